--- a/barleyhub/affinity/keeper.py
+++ b/barleyhub/affinity/keeper.py
@@ -15,7 +15,7 @@
 from barleyhub.affinity.plan import explain_caller
 from barleyhub.affinity.pool import Pool, View, share
 from barleyhub.affinity.valve import Valve
-from barleyhub.line.stock import State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 
 GROWS = (4.0, 1.0)  # s, and times coldStartS: a newcomer's share grows for the longer
 FAILING = 0.5  # of its answers are errors: it is passed over
@@ -38,7 +38,7 @@
 class Berths:
     """The choice for callers that are to be kept where they are."""
 
-    def __init__(self, stock: Stock) -> None:
+    def __init__(self, stock: Balancer) -> None:
         self.stock = stock
         self.sheds: dict[str, Shed] = {}
         self.pins: dict[tuple[str, bytes], tuple[str, float]] = {}
@@ -48,17 +48,17 @@
         shed = self.sheds.get(service)
         if shed is None:
             shed = self.sheds[service] = Shed()
-        if shed.seen != self.stock.changes or now >= shed.until:
+        if shed.seen != self.stock.revision or now >= shed.until:
             self.bring_up(shed, service, now)
         return shed
 
     def bring_up(self, shed: Shed, service: str, now: float) -> None:
-        stock, cold = self.stock, self.stock.colds.get(service)
-        lasts = max(GROWS[0], GROWS[1] * cold.lasts) if cold is not None else GROWS[0]
-        shed.seen, shed.until = stock.changes, math.inf
+        stock, cold = self.stock, self.stock.cold_limits.get(service)
+        lasts = max(GROWS[0], GROWS[1] * cold.duration_s) if cold is not None else GROWS[0]
+        shed.seen, shed.until = stock.revision, math.inf
         upstreams: dict[str, Upstream] = {}
         for upstream in stock.services.get(service, {}).values():
-            if upstream.state is State.READY and upstream.zone not in stock.evacuated:
+            if upstream.state is UpstreamState.READY and upstream.zone not in stock.evacuated:
                 place = f"{upstream.host}:{upstream.port}"
                 other = upstreams.get(place)
                 # Of two lives at one place, the one told of last, unless its beats are missed.
@@ -77,12 +77,12 @@
     def may(self, upstream: Upstream, homes: frozenset[str] | None, now: float) -> bool:
         """Whether anything at all may be sent to it now, from here."""
         return (
-            upstream.state is State.READY
+            upstream.state is UpstreamState.READY
             and upstream.zone not in self.stock.evacuated
             and (homes is None or upstream.region in homes)
-            and now >= upstream.rest_until
-            and not self.stock.cold(upstream, now)
-            and upstream.own.share(now) < FAILING
+            and now >= upstream.backoff_until
+            and not self.stock.is_cold(upstream, now)
+            and upstream.health.share(now) < FAILING
         )
 
     def pick(
@@ -114,11 +114,11 @@
         if self.may(upstream, homes, now):
             return ""
         reasons = {
-            "draining": upstream.state is not State.READY,
+            "draining": upstream.state is not UpstreamState.READY,
             "evacuated": upstream.zone in self.stock.evacuated,
             "outside the homes": homes is not None and upstream.region not in homes,
-            "can't be reached": now < upstream.rest_until or now < upstream.doubt_until,
-            "cold, or its beats are missed": self.stock.cold(upstream, now),
+            "can't be reached": now < upstream.backoff_until or now < upstream.assumed_cold_until,
+            "cold, or its beats are missed": self.stock.is_cold(upstream, now),
         }
         return next((why for why, holds in reasons.items() if holds), "answers with errors")
 
@@ -152,7 +152,7 @@
                 continue
             valve = shed.valves.get(place)
             usable = self.may(upstream, None, now)
-            full = now < upstream.full_until or upstream.out >= FULL_OUT * max(upstream.slots, 1)
+            full = now < upstream.full_until or upstream.in_flight >= FULL_OUT * max(upstream.slots, 1)
             if not usable or full:
                 if valve is None:
                     valve = shed.valves[place] = Valve(at=now)
--- a/barleyhub/line/__init__.py
+++ b/barleyhub/line/__init__.py
@@ -1,1 +1,1 @@
-"""The whole system's decisions at a gateway: admission by quotas, choice of server, further tries. Pure."""
+"""Decisions of a gateway: admission control, choice of an upstream, retries. Does no I/O."""
--- a/barleyhub/line/budget.py
+++ b/barleyhub/line/budget.py
@@ -1,4 +1,4 @@
-"""Budgets that all gateways keep together, each its own part: further tries, and what cold servers bear."""
+"""Limits shared by all gateways, each of which enforces its part: retries and requests to cold servers."""
 
 from __future__ import annotations
 
@@ -6,70 +6,76 @@
 from collections import deque
 from hashlib import blake2b
 
-RATIO_PART = 0.7  # of the ratio that the rules allow is given out
-SLACK_PART = 0.45  # of the slack, over all gateways
-COLD_PART = 0.5  # of what a cold server may get is given out
-WINDOW = 1.05  # s; the rule counts within one second
+# Shares of the configured limits that are handed out; the rest covers gateways that restart or disagree.
+RATIO_SHARE = 0.7
+SLACK_SHARE = 0.45
+COLD_SHARE = 0.5
+WINDOW_S = 1.05  # the limit for cold servers applies to any second
 
 
-class Tries:
-    """Further tries to one service: a bucket that requests fill."""
+class RetryBudget:
+    """Retry budget of one service: a token bucket that is filled by requests."""
 
-    __slots__ = ("level", "most", "ratio")
+    __slots__ = ("capacity", "ratio", "tokens")
 
     def __init__(self, ratio: float, slack: float, gateways: int) -> None:
-        self.ratio = ratio * RATIO_PART
-        self.most = self.level = 0.0
-        self.share(slack, gateways)
-        # A process that starts again has not forgotten its former life's tries, only it can't know of them.
-        self.level = self.most / 2
-
-    def share(self, slack: float, gateways: int) -> None:
-        self.most = max(slack * SLACK_PART / max(gateways, 1), 1.0)
-        self.level = min(self.level, self.most)
-
-    def request(self) -> None:
-        self.level = min(self.level + self.ratio, self.most)
-
-    def take(self) -> bool:
-        """Whether one more try may go out; it is paid for then."""
-        if self.level < 1.0:
+        self.ratio = ratio * RATIO_SHARE
+        self.capacity = self.tokens = 0.0
+        self.resize(slack, gateways)
+        # The previous instance of this process may have spent tokens shortly before it ended.
+        self.tokens = self.capacity / 2
+
+    def resize(self, slack: float, gateways: int) -> None:
+        """Set the capacity to this gateway's part of the slack, given the number of gateways."""
+        self.capacity = max(slack * SLACK_SHARE / max(gateways, 1), 1.0)
+        self.tokens = min(self.tokens, self.capacity)
+
+    def deposit(self) -> None:
+        """Credit one request that was admitted."""
+        self.tokens = min(self.tokens + self.ratio, self.capacity)
+
+    def withdraw(self) -> bool:
+        """Take the token for one retry; False if there is none."""
+        if self.tokens < 1.0:
             return False
-        self.level -= 1.0
+        self.tokens -= 1.0
         return True
 
 
-def rank(server: str, gateway: str) -> bytes:
-    """Rendezvous hashing: the same order of gateways for a server, wherever it is worked out."""
-    return blake2b(f"{server}\n{gateway}".encode(), digest_size=8).digest()
+def rendezvous_score(key: str, node: str) -> bytes:
+    """Rendezvous hashing: orders nodes for a key in the same way on every gateway."""
+    return blake2b(f"{key}\n{node}".encode(), digest_size=8).digest()
 
 
-def dealt(server: str, me: str, gateways: list[str], bound: float) -> int:
-    """Requests in a second that this gateway may send to a cold server that bears ``bound`` from all.
+def cold_server_allowance(server: str, gateway: str, gateways: list[str], limit: float) -> int:
+    """Requests a second that this gateway may send to a cold server.
 
-    It is dealt to a few gateways rather than as a sliver to each; 0 for the others.
+    ``limit`` holds for all gateways together. If it is too low for every gateway to get at least one request
+    a second, only the first gateways in rendezvous order get any, and the others get 0.
     """
-    given = max(bound * COLD_PART, 1.0)
-    others = [name for name in gateways if name != me]
-    each = max(math.floor(given / (len(others) + 1)), 1)
-    holders = math.floor(given / each)
-    mine = rank(server, me)
-    before = sum(rank(server, name) < mine for name in others)
-    return each if before < holders else 0
+    granted = max(limit * COLD_SHARE, 1.0)
+    others = [name for name in gateways if name != gateway]
+    per_gateway = max(math.floor(granted / (len(others) + 1)), 1)
+    sender_count = math.floor(granted / per_gateway)
+    own_score = rendezvous_score(server, gateway)
+    gateways_ahead = sum(rendezvous_score(server, name) < own_score for name in others)
+    return per_gateway if gateways_ahead < sender_count else 0
 
 
-class Sent:
-    """What was sent to one cold server within the window."""
+class SendWindow:
+    """Times of the requests sent to one server within the last ``WINDOW_S`` seconds."""
 
-    __slots__ = ("times",)
+    __slots__ = ("sent_at",)
 
     def __init__(self) -> None:
-        self.times: deque[float] = deque()
+        self.sent_at: deque[float] = deque()
 
-    def free(self, most: int, now: float) -> bool:
-        while self.times and now - self.times[0] > WINDOW:
-            self.times.popleft()
-        return len(self.times) < most
+    def has_room(self, limit: int, now: float) -> bool:
+        """Whether fewer than ``limit`` requests were sent within the window."""
+        while self.sent_at and now - self.sent_at[0] > WINDOW_S:
+            self.sent_at.popleft()
+        return len(self.sent_at) < limit
 
-    def note(self, now: float) -> None:
-        self.times.append(now)
+    def record(self, now: float) -> None:
+        """Count one request sent."""
+        self.sent_at.append(now)
--- a/barleyhub/line/quota.py
+++ b/barleyhub/line/quota.py
@@ -1,8 +1,8 @@
-"""Admission by quotas that all gateways hold together: gate formula, chance draw, batched totals.
+"""Rate-limit quotas that all gateways enforce together: probabilistic admission and batched usage reports.
 
-After Wu and Wong's closed-form local rule: the gate is the room over the units offered by all gateways,
-clamped to 0..1. ``Account`` is a gateway's side of one tenant, ``Tally`` the side that hosts its totals.
-Times are monotonic seconds.
+After Wu and Wong's closed-form local rule: a request is admitted with the probability of remaining units over
+units offered at all gateways, clamped to 0..1. ``Account`` is a gateway's side of one tenant's quota,
+``QuotaOwner`` the side that holds the totals. Times are monotonic seconds.
 """
 
 from __future__ import annotations
@@ -12,302 +12,358 @@
 
 import msgspec
 
-PERIOD = 0.5  # s; the gate's period: what it lets pass is spread over this
-DEPTH = 1.0  # s; offered and admitted units a second are averaged over this
-FRESH = 2.5  # s; a total older than this says nothing any more, and a gateway keeps to its own part
-HURRY = 0.04  # s between reports while a request waits for a total
-REPORT_CALM = 2.0  # s between reports where all is far from the quota; less than FRESH
-REPORT_TIGHT = 0.5  # s between reports near the quota
-REPORT_BUSY = 0.1  # s between reports where much was admitted or refused since
-NEAR = 0.8  # of the rate: who offers more may soon be over it
-REPORT_PART = 0.5  # of a gateway's part of the room: so much untold is much
-FEW = 4.0  # units a second
-START = 0.5  # of the burst is a host's first room where no gateway knows one: it may just have been used
-KEPT = 60.0  # s; who was idle for longer is forgotten
-SAFE = 1.0  # of the quota is given out
-# Of a tally that is handed on: rate, burst, room, offered, admitted, and by gateway what it told.
-Image = list[Any]
-
-
-class Totals(msgspec.Struct):
-    """What is known of one tenant over all gateways, as of one moment."""
-
-    room: float
+GATE_PERIOD_S = 0.5  # the remaining units are spread over this time
+RATE_WINDOW_S = 1.0  # time constant of the averages of offered and admitted units a second
+TOTALS_MAX_AGE_S = 2.5  # with older totals, a gateway falls back to its own part of the quota
+# Intervals between usage reports.
+REPORT_URGENT_S = 0.04  # a request waits for totals
+REPORT_IDLE_S = 2.0  # far from the quota; must be less than TOTALS_MAX_AGE_S
+REPORT_NEAR_QUOTA_S = 0.5
+REPORT_BUSY_S = 0.1  # much has been offered or admitted since the last report
+NEAR_QUOTA_SHARE = 0.8  # share of the rate from which offered units count as near the quota
+UNREPORTED_SHARE = 0.5  # share of a gateway's part of the remaining units that may stay unreported
+GROWTH_SMOOTHING_PER_S = 4.0  # units a second; keeps small local rates from implying large growth
+INITIAL_BURST_SHARE = 0.5  # initial level of a bucket without known history, as a share of the burst
+IDLE_EXPIRY_S = 60.0  # idle tenants are dropped after this time
+GRANTED_SHARE = 1.0  # share of the quota that is granted
+# A bucket on hand-over: rate, burst, remaining, offered, admitted, and the reported counts by gateway.
+BucketImage = list[Any]
+
+
+class TenantTotals(msgspec.Struct):
+    """Totals of one tenant over all gateways at one time."""
+
+    remaining: float
     offered: float  # units a second
     admitted: float  # units a second
-    at: float
-    here: float = 0.0  # units a second offered at this gateway then
+    as_of: float
+    offered_here: float = 0.0  # units a second offered at this gateway at the same time
 
-    def offered_now(self, here: float) -> float:
-        """What all are offered, if it has grown everywhere as it has here; few units here prove little."""
-        return max(self.offered * max((here + FEW) / (self.here + FEW), 1.0), here)
+    def estimate_offered(self, offered_here: float) -> float:
+        """Units a second now offered at all gateways, if they have grown in proportion to those here."""
+        return max(
+            self.offered
+            * max(
+                (offered_here + GROWTH_SMOOTHING_PER_S) / (self.offered_here + GROWTH_SMOOTHING_PER_S), 1.0
+            ),
+            offered_here,
+        )
 
 
 class Account(msgspec.Struct):
-    """A gateway's side: its own counts, and its estimate of the tenant's remaining room."""
+    """One gateway's counts for a tenant, and its estimate of the tenant's remaining units."""
 
     tenant: str
     rate: float  # units a second
     burst: float  # units
-    spread: int  # gateways that the tenant can come through
-    at: float
-    totals: Totals | None = None
-    own: float = 0.0  # this gateway's own part of the room, while no total is at hand
-    offered: float = 0.0  # cumulative, over this account's life
+    gateway_count: int  # gateways that share the quota
+    refilled_at: float
+    totals: TenantTotals | None = None
+    own_remaining: float = 0.0  # this gateway's part of the quota, used without fresh totals
+    offered: float = 0.0  # cumulative since the account was created
     admitted: float = 0.0
-    told_offered: float = 0.0  # of these: what the newest total holds
-    told_admitted: float = 0.0
-    rate_offered: float = 0.0  # units a second, here
-    rate_admitted: float = 0.0  # units a second, here
-    rate_at: float = 0.0
-    ranks: dict[int, float] = msgspec.field(
-        default_factory=dict
-    )  # units a second, here, by rank; 0 goes first
-    asked_at: float = -math.inf
-    used_at: float = 0.0
-    hurry: bool = False  # somebody waits for a total
+    reported_offered: float = 0.0  # of these, what the newest totals include
+    reported_admitted: float = 0.0
+    offered_per_s: float = 0.0  # at this gateway, as of rates_updated_at
+    admitted_per_s: float = 0.0
+    rates_updated_at: float = 0.0
+    offered_by_priority: dict[int, float] = msgspec.field(default_factory=dict)  # units a second
+    reported_at: float = -math.inf
+    last_used_at: float = 0.0
+    urgent: bool = False  # a request waits for totals
 
     def __post_init__(self) -> None:
-        # A new tenant starts with its burst split over the gateways that it can come through.
-        self.own = self.burst / max(self.spread, 1)
-        self.rate_at = self.used_at = self.at
-
-    def change(self, rate: float, burst: float, spread: int, now: float) -> None:
-        """Other figures from now on; nothing is given anew."""
-        self.advance(now)
-        self.rate, self.burst, self.spread = rate, burst, max(spread, 1)
-        self.own = min(self.own, burst / self.spread)
+        # The burst of a new tenant is split evenly among the gateways.
+        self.own_remaining = self.burst / max(self.gateway_count, 1)
+        self.rates_updated_at = self.last_used_at = self.refilled_at
+
+    def reconfigure(self, rate: float, burst: float, gateway_count: int, now: float) -> None:
+        """Change the quota or the number of gateways, without granting used units again."""
+        self.refill(now)
+        self.rate, self.burst, self.gateway_count = rate, burst, max(gateway_count, 1)
+        self.own_remaining = min(self.own_remaining, burst / self.gateway_count)
         if self.totals is not None:
-            self.totals.room = min(self.totals.room, burst)
-
-    def advance(self, now: float) -> None:
-        """Let this gateway's own part refill to now."""
-        gap, self.at = max(now - self.at, 0.0), now
-        part = SAFE / max(self.spread, 1)
-        self.own = min(self.own + self.rate * part * gap, self.burst * part)
+            self.totals.remaining = min(self.totals.remaining, burst)
+
+    def refill(self, now: float) -> None:
+        """Refill this gateway's own part of the quota up to now."""
+        elapsed_s, self.refilled_at = max(now - self.refilled_at, 0.0), now
+        own_share = GRANTED_SHARE / max(self.gateway_count, 1)
+        self.own_remaining = min(
+            self.own_remaining + self.rate * own_share * elapsed_s, self.burst * own_share
+        )
+
+    def totals_fresh(self, now: float) -> bool:
+        """Whether the totals are recent enough to be used."""
+        return self.totals is not None and now - self.totals.as_of < TOTALS_MAX_AGE_S
+
+    def remaining(self, now: float) -> float:
+        """Estimated remaining units: of the tenant with fresh totals, else of this gateway's own part."""
+        totals = self.totals
+        if totals is None or now - totals.as_of >= TOTALS_MAX_AGE_S:
+            return self.own_remaining
+        elapsed_s, offered_here = now - totals.as_of, self.offered_here(now)
+        unreported = self.admitted - self.reported_admitted
+        others_steady = min(max(totals.admitted - self.admitted_per_s, 0.0), self.rate) * elapsed_s
+        others_estimated = 0.0
+        offered = totals.estimate_offered(offered_here)
+        if 0.0 < offered_here < offered:
+            # Other gateways admit the same share of their requests, as they use the same totals.
+            others_estimated = min(
+                unreported * (offered / offered_here - 1), (offered - offered_here) * elapsed_s
+            )
+        refilled = min(totals.remaining + self.rate * GRANTED_SHARE * elapsed_s - others_steady, self.burst)
+        return refilled - unreported - max(others_estimated - others_steady, 0.0)
 
-    def fresh(self, now: float) -> bool:
-        """Whether a total is at hand that still says something."""
-        return self.totals is not None and now - self.totals.at < FRESH
+    def admission_probability(self, now: float, priority: int | None = None) -> float:
+        """Remaining units over the units offered at all gateways in ``GATE_PERIOD_S``, clamped to 0..1.
 
-    def room(self, now: float) -> float:
-        """What is left, by the newest total less what was admitted here since; else of the own part."""
-        totals = self.totals
-        if totals is None or now - totals.at >= FRESH:
-            return self.own
-        gap, here = now - totals.at, self.here(now)
-        untold = self.admitted - self.told_admitted
-        steady = min(max(totals.admitted - self.rate_admitted, 0.0), self.rate) * gap
-        alike = 0.0
-        offered = totals.offered_now(here)
-        if 0.0 < here < offered:
-            # Of what is offered to the others as much passes as here: they go by the same total.
-            alike = min(untold * (offered / here - 1), (offered - here) * gap)
-        gained = min(totals.room + self.rate * SAFE * gap - steady, self.burst)
-        return gained - untold - max(alike - steady, 0.0)
-
-    def gate(self, now: float, rank: int | None = None) -> float:
-        """Room over the units offered by all gateways in a period, clamped to 0..1.
-
-        Of a rank: the room less what those before it are offered, over its own, as offers are mixed here.
+        With a priority, higher priorities are served first: their units are subtracted from the remaining
+        ones. The mix of priorities is taken to be the same at all gateways.
         """
-        here = self.here(now)
-        if self.fresh(now):
+        offered_here = self.offered_here(now)
+        if self.totals_fresh(now):
             assert self.totals is not None
-            offered, rate = self.totals.offered_now(here), self.rate * SAFE
+            offered, rate = self.totals.estimate_offered(offered_here), self.rate * GRANTED_SHARE
         else:
-            offered, rate = here, self.rate * SAFE / max(self.spread, 1)
-        room = max(self.room(now), 0.0) + rate * PERIOD
-        gate = min(room / max(offered * PERIOD, 1.0), 1.0)
-        if gate == 1.0 or rank is None or not self.ranks.get(rank):
-            return gate
-        own = self.ranks[rank]
-        before = sum(units for other, units in self.ranks.items() if other < rank)
-        return min(max((gate * sum(self.ranks.values()) - before) / own, 0.0), 1.0)
-
-    def here(self, now: float) -> float:
-        """Units a second offered here lately."""
-        return self.rate_offered * math.exp(-max(now - self.rate_at, 0.0) / DEPTH)
-
-    def offer(self, units: float, now: float, rank: int = 0) -> None:
-        """A request has come: it counts as offered whatever becomes of it."""
-        self.advance(now)
-        faded = math.exp(-max(now - self.rate_at, 0.0) / DEPTH)
-        self.rate_offered = self.rate_offered * faded + units / DEPTH
-        self.ranks = {other: rate * faded for other, rate in self.ranks.items()}
-        self.ranks[rank] = self.ranks.get(rank, 0.0) + units / DEPTH
-        self.rate_admitted *= faded
-        self.rate_at = self.used_at = now
+            offered, rate = offered_here, self.rate * GRANTED_SHARE / max(self.gateway_count, 1)
+        remaining = max(self.remaining(now), 0.0) + rate * GATE_PERIOD_S
+        probability = min(remaining / max(offered * GATE_PERIOD_S, 1.0), 1.0)
+        if probability == 1.0 or priority is None or not self.offered_by_priority.get(priority):
+            return probability
+        own_offered = self.offered_by_priority[priority]
+        higher_offered = sum(units for other, units in self.offered_by_priority.items() if other < priority)
+        return min(
+            max((probability * sum(self.offered_by_priority.values()) - higher_offered) / own_offered, 0.0),
+            1.0,
+        )
+
+    def offered_here(self, now: float) -> float:
+        """Units a second offered at this gateway."""
+        return self.offered_per_s * math.exp(-max(now - self.rates_updated_at, 0.0) / RATE_WINDOW_S)
+
+    def record_offer(self, units: float, now: float, priority: int = 0) -> None:
+        """Count a request as offered, before it is decided."""
+        self.refill(now)
+        decay = math.exp(-max(now - self.rates_updated_at, 0.0) / RATE_WINDOW_S)
+        self.offered_per_s = self.offered_per_s * decay + units / RATE_WINDOW_S
+        self.offered_by_priority = {other: rate * decay for other, rate in self.offered_by_priority.items()}
+        self.offered_by_priority[priority] = (
+            self.offered_by_priority.get(priority, 0.0) + units / RATE_WINDOW_S
+        )
+        self.admitted_per_s *= decay
+        self.rates_updated_at = self.last_used_at = now
         self.offered += units
 
     def fits(self, units: float, now: float) -> bool:
-        """Whether the admitted total and the own count since do not pass the room."""
-        return self.room(now) >= units
+        """Whether the remaining units suffice."""
+        return self.remaining(now) >= units
 
     def admit(self, units: float) -> None:
-        """It goes on."""
+        """Count a request as admitted."""
         self.admitted += units
-        self.own = max(self.own - units, -1.0)
-        self.rate_admitted += units / DEPTH
+        self.own_remaining = max(self.own_remaining - units, -1.0)
+        self.admitted_per_s += units / RATE_WINDOW_S
 
     def hold(self, units: float) -> None:
-        """It waits for a total: it is told as admitted, so that the total tells whether it fits."""
+        """Reserve units for a request that waits for totals, so that the totals include them."""
         self.admitted += units
 
     def release(self, units: float) -> None:
-        """It waits no more, and counts for nothing before it is decided; a refusal is told as taken back."""
+        """Return the units reserved by ``hold`` before the request is decided."""
         self.admitted -= units
 
-    def pause(self, units: float, now: float) -> float:
-        """When a refused one should fit, in s."""
-        rate = self.rate if self.fresh(now) else self.rate / max(self.spread, 1)
-        return min(max((units - self.room(now)) / rate if rate else 1.0, 0.05), 5.0)
-
-    def known(self, units: float, now: float) -> bool:
-        """Whether what is at hand is enough to decide on so many units: a total, or the own part."""
-        return self.own >= units or self.fresh(now)
-
-    def due(self, now: float) -> bool:
-        """Whether a report should go out now."""
-        if self.hurry:
-            return now - self.asked_at >= HURRY
-        untold = abs(self.admitted - self.told_admitted) + (self.offered - self.told_offered) / 4
-        # Even if all gateways keep so much back at once, it is less than the room.
-        much = untold > max(REPORT_PART * self.room(now) / max(self.spread, 1), 1.0)
+    def retry_after(self, units: float, now: float) -> float:
+        """Time in s after which the units are expected to fit, within 0.05 to 5."""
+        rate = self.rate if self.totals_fresh(now) else self.rate / max(self.gateway_count, 1)
+        return min(max((units - self.remaining(now)) / rate if rate else 1.0, 0.05), 5.0)
+
+    def can_decide(self, units: float, now: float) -> bool:
+        """Whether the request can be decided now: with fresh totals, or from the own part of the quota."""
+        return self.own_remaining >= units or self.totals_fresh(now)
+
+    def report_due(self, now: float) -> bool:
+        """Whether a usage report is due."""
+        if self.urgent:
+            return now - self.reported_at >= REPORT_URGENT_S
+        unreported = abs(self.admitted - self.reported_admitted) + (self.offered - self.reported_offered) / 4
+        # The unreported units of all gateways together stay below the remaining ones.
+        many_unreported = unreported > max(
+            UNREPORTED_SHARE * self.remaining(now) / max(self.gateway_count, 1), 1.0
+        )
         totals = self.totals
-        tight = totals is not None and (totals.room < self.burst / 2 or totals.offered > NEAR * self.rate)
-        pause = REPORT_BUSY if much else REPORT_TIGHT if tight else REPORT_CALM
-        news = untold > 0 or (tight and self.fresh(now) and now - self.used_at < 2 * FRESH)
-        return news and now - self.asked_at >= pause
+        near_quota = totals is not None and (
+            totals.remaining < self.burst / 2 or totals.offered > NEAR_QUOTA_SHARE * self.rate
+        )
+        interval_s = (
+            REPORT_BUSY_S if many_unreported else REPORT_NEAR_QUOTA_S if near_quota else REPORT_IDLE_S
+        )
+        worth_reporting = unreported > 0 or (
+            near_quota and self.totals_fresh(now) and now - self.last_used_at < 2 * TOTALS_MAX_AGE_S
+        )
+        return worth_reporting and now - self.reported_at >= interval_s
 
     def report(self, now: float) -> dict[str, float]:
-        """Cumulative counts, so that one told twice counts once; and what is known here of the room."""
-        self.asked_at = now
-        known = {"o": self.offered, "a": self.admitted, "r": self.rate, "b": self.burst}
-        if self.totals is not None and now - self.totals.at < KEPT:
-            # A host that is new to the tenant goes on from here.
-            known |= {"k": round(self.room(now), 2), "ko": round(self.totals.offered, 2)}
-        return known
-
-    def learn(
-        self, room: float, offered: float, admitted: float, counts: tuple[float, float], now: float
+        """A usage report. Its counts are cumulative, so that a repeated report is harmless."""
+        self.reported_at = now
+        counts = {"o": self.offered, "a": self.admitted, "r": self.rate, "b": self.burst}
+        if self.totals is not None and now - self.totals.as_of < IDLE_EXPIRY_S:
+            # Initial values for an owner that has no bucket of this tenant yet.
+            counts |= {"k": round(self.remaining(now), 2), "ko": round(self.totals.offered, 2)}
+        return counts
+
+    def update_totals(
+        self,
+        remaining: float,
+        offered: float,
+        admitted: float,
+        included: tuple[float, float],
+        asked_at: float,
     ) -> None:
-        """A total that holds this account's counts up to ``counts``; ``now``: when it was asked for."""
-        if self.totals is not None and now < self.totals.at:
-            return  # an answer overtaken by a later one
-        self.totals, self.hurry = Totals(room, offered, admitted, now, self.here(now)), False
-        self.told_offered, self.told_admitted = counts
-        # If the totals stop, the own part goes on from a fair share of what was left.
-        self.own = min(self.own, max(room, 0.0) / max(self.spread, 1) + 1.0)
-
-
-class Told(msgspec.Struct):
-    """What one gateway has told of a tenant."""
-
-    life: str
+        """Take new totals, which include this account's counts up to ``included`` as of ``asked_at``."""
+        if self.totals is not None and asked_at < self.totals.as_of:
+            return  # out of order: newer totals have been received
+        self.totals, self.urgent = (
+            TenantTotals(remaining, offered, admitted, asked_at, self.offered_here(asked_at)),
+            False,
+        )
+        self.reported_offered, self.reported_admitted = included
+        # Without further totals, this gateway falls back to an equal part of the remaining units.
+        self.own_remaining = min(self.own_remaining, max(remaining, 0.0) / max(self.gateway_count, 1) + 1.0)
+
+
+class GatewayCounts(msgspec.Struct):
+    """Cumulative counts that one gateway instance has reported."""
+
+    instance_id: str
     offered: float
     admitted: float
-    at: float
+    updated_at: float
 
 
-class Tally(msgspec.Struct):
-    """The hosted totals of one tenant: a bucket over the admitted units of all gateways."""
+class TenantBucket(msgspec.Struct):
+    """Token bucket of one tenant over the units admitted at all gateways."""
 
     rate: float
     burst: float
-    at: float
-    room: float
-    offered: float = 0.0
-    admitted: float = 0.0
-    told: dict[str, Told] = msgspec.field(default_factory=dict)
-    since: float = 0.0
-    inherited: bool = False  # goes on from what the host before it knew, who gives nothing any more
-
-    def advance(self, now: float, part: float) -> None:
-        """``part``: of all gateways, what those are that may be told by this host."""
-        gap, self.at = max(now - self.at, 0.0), max(now, self.at)
-        faded = math.exp(-gap / DEPTH)
-        self.offered *= faded
-        self.admitted *= faded
-        self.room = min(self.room + self.rate * SAFE * part * gap, self.burst)
-
-
-class Host:
-    """All tenants whose totals are hosted here. Which ones these are is the caller's to decide."""
+    refilled_at: float
+    remaining: float
+    offered_per_s: float = 0.0
+    admitted_per_s: float = 0.0
+    reports: dict[str, GatewayCounts] = msgspec.field(default_factory=dict)
+    created_at: float = 0.0
+    inherited: bool = False  # taken over from the previous owner, which no longer grants units
+
+    def refill(self, now: float, reachable_share: float) -> None:
+        """Refill the bucket for the share of all gateways that can reach this owner."""
+        elapsed_s, self.refilled_at = max(now - self.refilled_at, 0.0), max(now, self.refilled_at)
+        decay = math.exp(-elapsed_s / RATE_WINDOW_S)
+        self.offered_per_s *= decay
+        self.admitted_per_s *= decay
+        self.remaining = min(
+            self.remaining + self.rate * GRANTED_SHARE * reachable_share * elapsed_s, self.burst
+        )
+
+
+class QuotaOwner:
+    """Token buckets of the tenants owned by this gateway. The caller decides which ones these are."""
 
     def __init__(self) -> None:
-        self.tallies: dict[str, Tally] = {}
-        self.heirs: dict[str, Tally] = {}  # handed on to here, and not asked for yet
-        self.part = 1.0  # the rest may be cut off, and have a host of their own
-        # This process has just begun, and others have not: until they tell, what they use is not known here.
-        self.cautious = False
-        self.gateways = 1
-
-    def report(
-        self, gateway: str, life: str, tenant: str, counts: dict[str, float], now: float
+        self.buckets: dict[str, TenantBucket] = {}
+        self.handed_over: dict[str, TenantBucket] = {}  # received, without a report yet
+        self.reachable_share = 1.0  # of the gateways; the others may have an owner of their own
+        # Other gateways were running before this one, and their usage is unknown until they report.
+        self.just_started = False
+        self.gateway_count = 1
+
+    def apply_report(
+        self, gateway: str, instance_id: str, tenant: str, counts: dict[str, float], now: float
     ) -> tuple[float, float, float]:
-        """Take one gateway's cumulative counts in; room, offered and admitted a second come back."""
+        """Apply a usage report; returns remaining units, and offered and admitted units a second."""
         rate, burst = counts["r"], counts["b"]
-        tally, known = self.tallies.get(tenant), counts.get("k", 0.0 if self.cautious else burst * START)
-        if tally is None and (heir := self.heirs.pop(tenant, None)) is not None and now - heir.at < FRESH:
-            tally = self.tallies[tenant] = heir
+        bucket, known = (
+            self.buckets.get(tenant),
+            counts.get("k", 0.0 if self.just_started else burst * INITIAL_BURST_SHARE),
+        )
+        if (
+            bucket is None
+            and (handed := self.handed_over.pop(tenant, None)) is not None
+            and now - handed.refilled_at < TOTALS_MAX_AGE_S
+        ):
+            bucket = self.buckets[tenant] = handed
         if known > 0:
-            known *= self.part
-        if tally is None:
-            tally = self.tallies[tenant] = Tally(rate, burst, now, min(known, burst), since=now)
-            tally.offered = counts.get("ko", 0.0)
-        # The others may still go by another host, which gives the rate too.
-        careful = self.cautious and not tally.inherited
-        heard = min(len(tally.told) / self.gateways, 1.0) if careful else 1.0
-        tally.advance(now, min(self.part, heard))
-        if (tally.rate, tally.burst) != (rate, burst):
-            # Gateways learn of other figures one by one: meanwhile the lower ones hold.
-            tally.rate, tally.burst = rate, burst
-            tally.room = min(tally.room, burst)
-        told = tally.told.get(gateway)
-        if told is None or told.life != life:
-            # What it counted before it told us here was counted by another host, or is in what it knows.
-            if told is None and "k" in counts and now - tally.since < FRESH:
-                tally.room = min(tally.room, known)
+            known *= self.reachable_share
+        if bucket is None:
+            bucket = self.buckets[tenant] = TenantBucket(rate, burst, now, min(known, burst), created_at=now)
+            bucket.offered_per_s = counts.get("ko", 0.0)
+        # Gateways that have not reported yet may still use another owner, which grants units as well.
+        uncertain = self.just_started and not bucket.inherited
+        reported_share = min(len(bucket.reports) / self.gateway_count, 1.0) if uncertain else 1.0
+        bucket.refill(now, min(self.reachable_share, reported_share))
+        if (bucket.rate, bucket.burst) != (rate, burst):
+            # Gateways learn of a new quota at different times; remaining units follow the lower burst.
+            bucket.rate, bucket.burst = rate, burst
+            bucket.remaining = min(bucket.remaining, burst)
+        report = bucket.reports.get(gateway)
+        if report is None or report.instance_id != instance_id:
+            # Earlier counts were reported to the previous owner, or are included in "k".
+            if report is None and "k" in counts and now - bucket.created_at < TOTALS_MAX_AGE_S:
+                bucket.remaining = min(bucket.remaining, known)
             elif "k" not in counts:
-                tally.room -= counts["a"]
-                tally.offered += counts["o"] / DEPTH
-            tally.told[gateway] = Told(life, counts["o"], counts["a"], now)
+                bucket.remaining -= counts["a"]
+                bucket.offered_per_s += counts["o"] / RATE_WINDOW_S
+            bucket.reports[gateway] = GatewayCounts(instance_id, counts["o"], counts["a"], now)
         else:
-            # Less than before is admitted where a request that waited was refused.
-            admitted, offered = counts["a"] - told.admitted, max(counts["o"] - told.offered, 0.0)
-            tally.room -= admitted
-            tally.admitted = max(tally.admitted + admitted / DEPTH, 0.0)
-            tally.offered += offered / DEPTH
-            told.admitted, told.offered, told.at = (
+            # The admitted count decreases when a request that waited for totals is refused.
+            admitted, offered = counts["a"] - report.admitted, max(counts["o"] - report.offered, 0.0)
+            bucket.remaining -= admitted
+            bucket.admitted_per_s = max(bucket.admitted_per_s + admitted / RATE_WINDOW_S, 0.0)
+            bucket.offered_per_s += offered / RATE_WINDOW_S
+            report.admitted, report.offered, report.updated_at = (
                 counts["a"],
-                max(counts["o"], told.offered),
+                max(counts["o"], report.offered),
                 now,
             )
-        return round(tally.room, 2), round(tally.offered, 2), round(tally.admitted, 2)
-
-    def forget(self, now: float) -> None:
-        """Drop what nobody has told of for long, and what isn't hosted here any more."""
-        for tenant in [t for t, tally in self.tallies.items() if now - tally.at > KEPT]:
-            del self.tallies[tenant]
-        self.heirs = {tenant: heir for tenant, heir in self.heirs.items() if now - heir.at < FRESH}
-
-    def hand_on(self, tenant: str, now: float) -> Image | None:
-        """Another gateway hosts it now, and gets this; what is known here must not be gone on with later."""
-        tally = self.tallies.pop(tenant, None)
-        if tally is None or all(now - told.at > FRESH for told in tally.told.values()):
+        return round(bucket.remaining, 2), round(bucket.offered_per_s, 2), round(bucket.admitted_per_s, 2)
+
+    def expire(self, now: float) -> None:
+        """Drop idle buckets, and handed-over ones that no gateway has reported for."""
+        for tenant in [
+            tenant for tenant, bucket in self.buckets.items() if now - bucket.refilled_at > IDLE_EXPIRY_S
+        ]:
+            del self.buckets[tenant]
+        self.handed_over = {
+            tenant: bucket
+            for tenant, bucket in self.handed_over.items()
+            if now - bucket.refilled_at < TOTALS_MAX_AGE_S
+        }
+
+    def hand_over(self, tenant: str, now: float) -> BucketImage | None:
+        """Remove the bucket and return its image for the new owner; None if it is unknown or out of date."""
+        bucket = self.buckets.pop(tenant, None)
+        if bucket is None or all(
+            now - report.updated_at > TOTALS_MAX_AGE_S for report in bucket.reports.values()
+        ):
             return None
-        tally.advance(now, self.part)
-        told = {name: [each.life, each.offered, each.admitted] for name, each in tally.told.items()}
-        figures = [round(x, 2) for x in (tally.room, tally.offered, tally.admitted)]
-        return [tally.rate, tally.burst, *figures, told]
-
-    def inherit(self, tenant: str, image: Image, now: float) -> None:
-        """What the host before knew. One that has begun here meanwhile keeps its own room, which is less."""
-        rate, burst, room, offered, admitted, told = image
-        counted = {name: Told(life, o, a, now) for name, (life, o, a) in told.items()}
-        begun = self.tallies.get(tenant)
-        if begun is None:
-            self.heirs[tenant] = Tally(rate, burst, now, room, offered, admitted, counted, now, True)
-        elif now - begun.since < FRESH:
-            begun.told = counted | begun.told
+        bucket.refill(now, self.reachable_share)
+        reports = {
+            name: [report.instance_id, report.offered, report.admitted]
+            for name, report in bucket.reports.items()
+        }
+        figures = [round(x, 2) for x in (bucket.remaining, bucket.offered_per_s, bucket.admitted_per_s)]
+        return [bucket.rate, bucket.burst, *figures, reports]
+
+    def take_over(self, tenant: str, image: BucketImage, now: float) -> None:
+        """Accept the previous owner's bucket. A bucket created here meanwhile keeps its lower level."""
+        rate, burst, remaining, offered, admitted, reports = image
+        taken = {
+            name: GatewayCounts(instance_id, reported_offered, reported_admitted, now)
+            for name, (instance_id, reported_offered, reported_admitted) in reports.items()
+        }
+        existing = self.buckets.get(tenant)
+        if existing is None:
+            self.handed_over[tenant] = TenantBucket(
+                rate, burst, now, remaining, offered, admitted, taken, now, True
+            )
+        elif now - existing.created_at < TOTALS_MAX_AGE_S:
+            existing.reports = taken | existing.reports
--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -25,7 +25,7 @@
 from barleyhub.affinity.order import NOWHERE, Caller, Member, key_of, order
 from barleyhub.affinity.plan import least
 from barleyhub.affinity.pool import Pool
-from barleyhub.line.stock import State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 
 Array = np.ndarray
 Set = dict[str, float]  # strength by place
@@ -225,11 +225,11 @@
     return table
 
 
-def stock_of(size: int) -> Stock:
-    stock = Stock("g", "z0", "r", random.Random(1), 0.5)
+def stock_of(size: int) -> Balancer:
+    stock = Balancer("g", "z0", "r", random.Random(1), 0.5)
     for n in range(size):
         host = f"10.0.{n // 250}.{n % 250}"
-        stock.put(Upstream(f"i{n}", "s", host, 80, f"z{n % 6}", "r", 2 + n % 4, State.READY), 0.0)
+        stock.put(Upstream(f"i{n}", "s", host, 80, f"z{n % 6}", "r", 2 + n % 4, UpstreamState.READY), 0.0)
     return stock
 
 
--- a/benchmarks/affinity_day.py
+++ b/benchmarks/affinity_day.py
@@ -23,8 +23,8 @@
 from barleyhub.affinity.keeper import Berths
 from barleyhub.affinity.order import Caller, key_of
 from barleyhub.interface import Code
-from barleyhub.line.dispatch import Call, Dispatcher, Full
-from barleyhub.line.stock import Cold, State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, ColdLimit, Upstream, UpstreamState
+from barleyhub.line.dispatch import Dispatcher, NoCapacity, RoutedRequest
 from latchspoke.configuration.routes import Route
 
 SERVERS, SLOTS, GATEWAYS, CALLERS = 12, 6, 9, 4000
@@ -52,7 +52,7 @@
     queue: list[tuple[str, bytes, Callable[[Code], None]]] = field(default_factory=list)
     states: dict[bytes, float] = field(default_factory=dict)
 
-    def upstream(self, state: State) -> Upstream:
+    def upstream(self, state: UpstreamState) -> Upstream:
         zone = f"z{self.number % 3}"
         ident, host = f"i{self.number}-{self.life}", f"10.0.0.{self.number}"
         return Upstream(ident, "s", host, 80, zone, "r", SLOTS, state, self.cold_until)
@@ -68,7 +68,7 @@
         )
         self.gates = [Dispatcher(self.stock(n), random.Random(n), 0.2, 60.0) for n in range(GATEWAYS)]
         self.servers = {f"i{n}-0": Server(n, 0) for n in range(SERVERS)}
-        self.calls: dict[tuple[int, str], tuple[Call, bytes, float]] = {}
+        self.calls: dict[tuple[int, str], tuple[RoutedRequest, bytes, float]] = {}
         self.cold: Counter[int] = Counter()
         self.ran: Counter[str] = Counter()
         self.ends: Counter[str] = Counter()
@@ -76,15 +76,15 @@
         self.last: dict[bytes, str] = {}
         self.moves: Counter[int] = Counter()
         for gate in self.gates:
-            gate.live({f"g{n}": f"z{n % 3}" for n in range(GATEWAYS)}, 0.0)
+            gate.set_gateways({f"g{n}": f"z{n % 3}" for n in range(GATEWAYS)}, 0.0)
             for server in self.servers.values():
-                gate.stock.put(server.upstream(State.READY), 0.0)
+                gate.balancer.put(server.upstream(UpstreamState.READY), 0.0)
             if way != "today":
-                gate.berths = Berths(gate.stock)
+                gate.affinity = Berths(gate.balancer)
 
-    def stock(self, number: int) -> Stock:
-        stock = Stock(f"g{number}", f"z{number % 3}", "r", random.Random(number), 0.5, 1.5, 5.0)
-        stock.colds["s"] = Cold(COLD, 5.0)
+    def stock(self, number: int) -> Balancer:
+        stock = Balancer(f"g{number}", f"z{number % 3}", "r", random.Random(number), 0.5, 1.5, 5.0)
+        stock.cold_limits["s"] = ColdLimit(COLD, 5.0)
         return stock
 
     def at(self, when: float, call: Callable[[], None]) -> None:
@@ -99,25 +99,25 @@
             self.now, _, call = heapq.heappop(self.events)
             call()
 
-    def tell(self, server: Server, state: State) -> None:
+    def tell(self, server: Server, state: UpstreamState) -> None:
         for gate in self.gates:
             when = self.now + self.draw.uniform(*NEWS)
-            self.at(when, lambda g=gate: g.stock.put(server.upstream(state), self.now))  # type: ignore[misc]
+            self.at(when, lambda g=gate: g.balancer.put(server.upstream(state), self.now))  # type: ignore[misc]
 
     def restart(self, number: int) -> None:
         (server,) = [s for s in self.servers.values() if s.number == number and not s.ended]
-        self.tell(server, State.DRAINING)
+        self.tell(server, UpstreamState.DRAINING)
 
         def end() -> None:
             server.ended = True
-            self.tell(server, State.GONE)
+            self.tell(server, UpstreamState.GONE)
             for _, _, done in server.queue:
                 done(Code.RESET)
 
         def begin() -> None:
             new = Server(number, server.life + 1, self.now + COLD)
             self.servers[f"i{number}-{new.life}"] = new
-            self.tell(new, State.READY)
+            self.tell(new, UpstreamState.READY)
 
         self.at(self.now + DRAIN, end)
         self.at(self.now + DRAIN + DOWN, begin)
@@ -129,7 +129,7 @@
         key = key_of(b"%d" % int(CALLERS * self.draw.random() ** 1.5))
         (name,) = self.draw.choices(list(ROUTES), SHARES)
         caller = Caller(key) if self.way != "today" else None
-        call = Call(str(number), "", "s", name, 1.0, 3.0, 1, route=ROUTES[name], caller=caller)
+        call = RoutedRequest(str(number), "", "s", name, 1.0, 3.0, 1, route=ROUTES[name], caller=caller)
         self.calls[gate, call.request] = call, key, self.now
         self.act(gate, self.gates[gate].handle(call, self.now))
 
@@ -140,7 +140,7 @@
             elif isinstance(action, api.SetTimer):
                 mark = action.mark
                 self.at(self.now + action.after, lambda m=mark: self.fire(gate, m))  # type: ignore[misc]
-            elif isinstance(action, Full | api.Refuse | api.Fail):
+            elif isinstance(action, NoCapacity | api.Refuse | api.Fail):
                 call, _, _ = self.calls.pop((gate, action.request))
                 self.ends[f"{call.plan} {'refused' if not isinstance(action, api.Fail) else 'lost'}"] += 1
 
@@ -148,7 +148,7 @@
         self.act(gate, self.gates[gate].handle(api.TimerFired(mark), self.now))
 
     def send(self, gate: int, action: api.Send) -> None:
-        job = self.gates[gate].jobs[action.request]
+        job = self.gates[gate].active_requests[action.request]
         attempt, sent = job.sends - 1, self.now
         call, key, _ = self.calls[gate, action.request]
 
@@ -165,7 +165,7 @@
 
         self.at(self.now + WAY, lambda: self.reach(action.server, call, key, done))
 
-    def reach(self, ident: str, call: Call, key: bytes, done: Callable[[Code], None]) -> None:
+    def reach(self, ident: str, call: RoutedRequest, key: bytes, done: Callable[[Code], None]) -> None:
         server = self.servers[ident]
         if server.ended:
             done(Code.UNREACHABLE)
--- a/benchmarks/affinity_system.py
+++ b/benchmarks/affinity_system.py
@@ -53,7 +53,7 @@
 
     def gates(self) -> list[Berths]:
         nodes = [machine.node for machine in self.fleet.edges if machine.running]
-        return [n.dispatcher.berths for n in nodes if n.ready and n.dispatcher.berths is not None]
+        return [n.dispatcher.affinity for n in nodes if n.ready and n.dispatcher.affinity is not None]
 
 
 pick = Berths.pick
--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -16,7 +16,7 @@
 from types import SimpleNamespace
 
 from barleyhub.interface import Code
-from barleyhub.line.stock import State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 from latchspoke.reach.graph import KEPT, Graph
 from latchspoke.reach.show import reach
 
@@ -26,10 +26,12 @@
 def measure(servers: int, rate: float, routes: int) -> dict[str, float]:
     """Seconds, bytes."""
     draw = random.Random(1)
-    stock = Stock("edge-a-1", "a", "north", draw, 1.5)
+    stock = Balancer("edge-a-1", "a", "north", draw, 1.5)
     for number in range(servers):
         ident = f"i-{number:08x}"
-        stock.put(Upstream(ident, f"s{number % 3}", "10.1.0.9", number, "a", "north", 6, State.READY), 0.0)
+        stock.put(
+            Upstream(ident, f"s{number % 3}", "10.1.0.9", number, "a", "north", 6, UpstreamState.READY), 0.0
+        )
     idents = list(stock.upstreams)
     attempts = [
         (draw.choice(idents), f"r{draw.randrange(routes)}", draw.expovariate(4)) for _ in range(TIMES)
--- a/latchspoke/ctl/offline.py
+++ b/latchspoke/ctl/offline.py
@@ -7,25 +7,25 @@
 from random import Random
 from typing import Any
 
-from barleyhub.line.stock import Cold, State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, ColdLimit, Upstream, UpstreamState
 from latchspoke.configuration import Table
 
-STATES = {"ready": State.READY, "draining": State.DRAINING}
+STATES = {"ready": UpstreamState.READY, "draining": UpstreamState.DRAINING}
 
 
 class StateError(ValueError):
     """The file is no view of a gateway's; one line."""
 
 
-def stock_of(data: bytes, table: Table) -> Stock:
+def stock_of(data: bytes, table: Table) -> Balancer:
     """As of the moment of the view, which counts as 0 s. Raises StateError."""
     try:
         found = json.loads(data)
         view: dict[str, Any] = found.get("gateway", found)
-        stock = Stock(view["name"], view["zone"], view["region"], Random(0), 1.0)
-        stock.live({str(name): view["zone"] for name in view["gateways"]})
-        stock.colds = {name: Cold(s.cold_s, s.cold_per_s) for name, s in table.services.items()}
-        stock.usual = {str(route): float(s) for route, s in view["usual_s"].items()}
+        stock = Balancer(view["name"], view["zone"], view["region"], Random(0), 1.0)
+        stock.set_gateways({str(name): view["zone"] for name in view["gateways"]})
+        stock.cold_limits = {name: ColdLimit(s.cold_s, s.cold_per_s) for name, s in table.services.items()}
+        stock.route_latency = {str(route): float(s) for route, s in view["usual_s"].items()}
         for each in view["servers"]:
             put(stock, each)
         stock.evacuated = frozenset(view["evacuated"])
@@ -34,7 +34,7 @@
     return stock
 
 
-def put(stock: Stock, each: dict[str, Any]) -> None:
+def put(stock: Balancer, each: dict[str, Any]) -> None:
     if each["state"] not in STATES:
         return
     host, _, port = str(each["address"]).rpartition(":")
@@ -43,7 +43,11 @@
         STATES[each["state"]], each["cold_s"] or -math.inf, bool(each["silent"]),
     )  # fmt: skip
     stock.put(upstream, 0.0)
-    upstream.rest_until = each["resting_s"] or -math.inf
-    upstream.out, upstream.own.pace, upstream.own.errors = int(each["out"]), each["pace"], each["errors"]
+    upstream.backoff_until = each["resting_s"] or -math.inf
+    upstream.in_flight, upstream.health.pace, upstream.health.errors = (
+        int(each["out"]),
+        each["pace"],
+        each["errors"],
+    )
     if each["answered_s_ago"] is not None:
         upstream.answered_at = -each["answered_s_ago"]
--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from barleyhub import interface as api
-from barleyhub.line.dispatch import Call, Dispatcher, Full
+from barleyhub.line.dispatch import Dispatcher, NoCapacity, RoutedRequest
 from latchspoke.core import Client, Core, Epoch, Flow, Forward, Ports
 from latchspoke.reach.graph import Graph
 
@@ -55,15 +55,20 @@
     ) -> None:  # fmt: skip
         """As ``Core.ended``; what became of it is noted for who asks which servers requests reach."""
         request = forward.flow.request
-        if self.graph is not None and not forward.ended and isinstance(request, Call) and request.route:
-            upstream = self.dispatcher.stock.upstreams.get(forward.target)
+        if (
+            self.graph is not None
+            and not forward.ended
+            and isinstance(request, RoutedRequest)
+            and request.route
+        ):
+            upstream = self.dispatcher.balancer.upstreams.get(forward.target)
             cold = upstream is not None and forward.sent_at < upstream.cold_until
             self.graph.note(forward.target, request.route.name, code, now - forward.sent_at, cold, now)
         super().ended(forward, code, now, answer, report)
 
     def act(self, action: api.Action, now: float) -> None:
         """As ``Core.act``, with refusals for want of room."""
-        if isinstance(action, Full):
+        if isinstance(action, NoCapacity):
             flow = self.final(action.request, "flows.no_room")
             if flow is not None:
                 flow.client.no_room(action.retry_after)  # type: ignore[attr-defined]
--- a/latchspoke/dataplane/counts.py
+++ b/latchspoke/dataplane/counts.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Container, Iterable
 from typing import Any
 
-from barleyhub.line.budget import rank
-from barleyhub.line.dispatch import Dispatcher, Told
-from barleyhub.line.quota import Host, Image
+from barleyhub.line.budget import rendezvous_score
+from barleyhub.line.dispatch import Dispatcher, TotalsReceived
+from barleyhub.line.quota import BucketImage, QuotaOwner
 from latchspoke.net.clock import Clock
 from latchspoke.transport.wire import Message, Wire, dial
 
@@ -23,14 +23,19 @@
     """Reports this gateway's counts to their hosts, and hosts others'."""
 
     def __init__(
-        self, name: str, life: str, clock: Clock, dispatcher: Dispatcher, told: Callable[[Told], None]
+        self,
+        name: str,
+        life: str,
+        clock: Clock,
+        dispatcher: Dispatcher,
+        told: Callable[[TotalsReceived], None],
     ) -> None:
         """``told`` gets the totals that come back."""
         self.name, self.life, self.clock, self.dispatcher, self.told = name, life, clock, dispatcher, told
-        self.host = Host()
+        self.host = QuotaOwner()
         self.gateways: dict[str, tuple[str, int]] = {}  # live ones, with where they are reached; this one too
         self.hosts = dict[str, tuple[str, int]]()  # of them, those that host totals
-        self.heirs = dict[str, dict[str, Image]]()  # tallies on their way to their next hosts, by these
+        self.heirs = dict[str, dict[str, BucketImage]]()  # tallies on their way to their next hosts, by these
         self.owners: dict[str, str] = {}
         self.wires: dict[str, Wire] = {}
         self.dialling: set[str] = set()
@@ -53,11 +58,11 @@
         """
         self.gateways = gateways
         self.hosts = {name: at for name, at in gateways.items() if name not in late} or gateways
-        self.host.cautious, self.host.gateways = cautious, max(len(gateways), 1)
+        self.host.just_started, self.host.gateway_count = cautious, max(len(gateways), 1)
         self.owners.clear()
         now = self.clock.now()
-        for tenant in list(self.host.tallies):
-            if (owner := self.owner(tenant)) != self.name and (image := self.host.hand_on(tenant, now)):
+        for tenant in list(self.host.buckets):
+            if (owner := self.owner(tenant)) != self.name and (image := self.host.hand_over(tenant, now)):
                 self.heirs.setdefault(owner, {})[tenant] = image
         self.bequeath(now)
         for name in [n for n in self.wires if n not in gateways]:
@@ -84,16 +89,16 @@
     def owner(self, tenant: str) -> str:
         owner = self.owners.get(tenant)
         if owner is None:
-            owner = max(self.hosts, key=lambda name: rank(tenant, name), default=self.name)
+            owner = max(self.hosts, key=lambda name: rendezvous_score(tenant, name), default=self.name)
             self.owners[tenant] = owner
         return owner
 
     def step(self, now: float) -> None:
         """Tell what is due, one message a host."""
-        self.host.part = max(len(self.gateways), 1) / max(self.dispatcher.spread, 1)
+        self.host.reachable_share = max(len(self.gateways), 1) / max(self.dispatcher.gateway_count, 1)
         due: dict[str, dict[str, Any]] = {}
         for name, account in self.dispatcher.accounts.items():
-            if account.due(now):
+            if account.report_due(now):
                 owner = self.owner(name)
                 if owner == self.name or owner in self.wires:
                     due.setdefault(owner, {})[name] = account.report(now)
@@ -102,7 +107,7 @@
         for owner, reports in due.items():
             if owner == self.name:
                 for tenant, counts in reports.items():
-                    total = self.host.report(self.name, self.life, tenant, counts, now)
+                    total = self.host.apply_report(self.name, self.life, tenant, counts, now)
                     self.learn(tenant, total, counts, now)
                 continue
             wire = self.wires.get(owner)
@@ -118,7 +123,7 @@
     def learn(
         self, tenant: str, total: tuple[float, float, float], counts: dict[str, float], asked: float
     ) -> None:
-        self.told(Told(tenant, *total, (counts["o"], counts["a"]), asked))
+        self.told(TotalsReceived(tenant, *total, (counts["o"], counts["a"]), asked))
 
     def open(self, owner: str, now: float) -> None:
         if owner in self.dialling or now - self.failed.get(owner, -1e9) < AGAIN or owner not in self.gateways:
@@ -160,7 +165,7 @@
             return
         if message["k"] == "heir":
             for tenant, image in message["t"].items():
-                self.host.inherit(tenant, image, self.clock.now())
+                self.host.take_over(tenant, image, self.clock.now())
             return
         now, totals = self.clock.now(), {}
         name, life = wire.tag
@@ -168,9 +173,9 @@
             if self.owner(tenant) == self.name:
                 counts = {f: float(value) for f, value in zip(FIELDS, told, strict=True) if value is not None}
                 account = self.dispatcher.accounts.get(tenant)
-                if "k" not in counts and account is not None and account.fresh(now):
-                    counts["k"] = account.room(now)
-                totals[tenant] = self.host.report(name, life, tenant, counts, now)
+                if "k" not in counts and account is not None and account.totals_fresh(now):
+                    counts["k"] = account.remaining(now)
+                totals[tenant] = self.host.apply_report(name, life, tenant, counts, now)
         wire.send({"q": message["q"], "t": totals})
 
     def stop(self) -> None:
--- a/latchspoke/dataplane/downstream.py
+++ b/latchspoke/dataplane/downstream.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from barleyhub.line.dispatch import Call
+from barleyhub.line.dispatch import RoutedRequest
 from latchspoke.configuration.routes import Limits, Route, Table
 from latchspoke.core import Epoch
 from latchspoke.dataplane.core import LineCore
@@ -273,7 +273,7 @@
         if left <= 0:
             self.turn_away(exchange, 503, "too_late", route.name)
             return
-        call = Call(
+        call = RoutedRequest(
             f"{next(self.number)}", tenant.name if tenant else "",
             service or route.service(self.draw.random()), route.name, 1.0, left, 1,
             route=route, tenant=tenant, caller=caller,
--- a/latchspoke/dataplane/explain.py
+++ b/latchspoke/dataplane/explain.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any
 
-from barleyhub.line.dispatch import GUESS, Dispatcher
-from barleyhub.line.stock import Stock, Upstream, homes_of
+from barleyhub.line.balancer import Balancer, Upstream, allowed_regions
+from barleyhub.line.dispatch import INITIAL_LATENCY_FACTOR, Dispatcher
 from latchspoke.configuration.routes import Route, Table, Tenant, plain_host
 from latchspoke.dataplane.view import avoided, server
 
@@ -53,16 +53,16 @@
 
 
 @contextmanager
-def undrawn(stock: Stock) -> Iterator[None]:
-    draw, stock.draw = stock.draw, Middle()
+def undrawn(stock: Balancer) -> Iterator[None]:
+    draw, stock.rng = stock.rng, Middle()
     try:
         yield
     finally:
-        stock.draw = draw
+        stock.rng = draw
 
 
 def explain(
-    table: Table, ask: Ask, now: float, stock: Stock | None = None, dispatcher: Dispatcher | None = None
+    table: Table, ask: Ask, now: float, stock: Balancer | None = None, dispatcher: Dispatcher | None = None
 ) -> dict[str, Any]:
     """``outcome`` says what would happen in a word, ``because`` in a line; the rest is what it rests on."""
     told: dict[str, Any] = {"version": f"{table.version:08x}", "host": ask.host, "path": ask.path}
@@ -85,7 +85,7 @@
         }  # fmt: skip
     if tenant is not None and dispatcher is not None and tenant.rate > 0:
         told["quota"] = quota(dispatcher, tenant, now)
-    homes = homes_of(route.homes, tenant.homes if tenant is not None else frozenset())
+    homes = allowed_regions(route.homes, tenant.homes if tenant is not None else frozenset())
     told["homes"] = None if homes is None else sorted(homes)
     if stock is None:
         return told | {"outcome": "forwarded", "because": "by the configuration alone; no servers are known"}
@@ -108,7 +108,7 @@
 
 
 def whereabouts(
-    text: str, route: Route, stock: Stock, dispatcher: Dispatcher | None, homes: frozenset[str] | None,
+    text: str, route: Route, stock: Balancer, dispatcher: Dispatcher | None, homes: frozenset[str] | None,
     now: float,
 ) -> dict[str, Any]:  # fmt: skip
     """Where a caller goes and why; the server's id, if it is the caller's own."""
@@ -116,7 +116,9 @@
     from barleyhub.affinity.order import key_of, service_of
 
     assert route.affinity is not None
-    berths = dispatcher.berths if dispatcher is not None and dispatcher.berths is not None else Berths(stock)
+    berths = (
+        dispatcher.affinity if dispatcher is not None and dispatcher.affinity is not None else Berths(stock)
+    )
     service = service_of(key_of(text.encode()), route.split)
     told = berths.explain(text, route.affinity.near, service, homes, now)
     upstream = berths.sheds[service].upstreams.get(told["goes_to"] or "")
@@ -161,36 +163,37 @@
     if account is None:
         return {"known": False, "gate": 1.0, "fits": True}
     return {
-        "known": True, "gate": round(account.gate(now), 3), "room": round(account.room(now), 3),
-        "total_fresh": account.fresh(now), "fits": account.fits(1.0, now),
+        "known": True, "gate": round(account.admission_probability(now), 3),
+        "room": round(account.remaining(now), 3),
+        "total_fresh": account.totals_fresh(now), "fits": account.fits(1.0, now),
     }  # fmt: skip
 
 
 def candidates(
-    stock: Stock, service: str, route: Route, homes: frozenset[str] | None, now: float
+    stock: Balancer, service: str, route: Route, homes: frozenset[str] | None, now: float
 ) -> list[dict[str, Any]]:
     """Every server of the service, the one that would be taken first; then those that may not be taken."""
-    usual = stock.usual.get(route.name, GUESS * route.aim)
+    usual = stock.route_latency.get(route.name, INITIAL_LATENCY_FACTOR * route.aim)
     found = []
     for upstream in stock.services.get(service, {}).values():
         barred = bars(stock, upstream, homes, now)
         told = server(stock, upstream, now) | {"barred": barred}
-        wait = stock.headway.wait(service, upstream.region, now)
+        wait = stock.queue_delays.delay(service, upstream.region, now)
         told["expected_s"] = None if barred else round(stock.score(upstream, usual, now, wait), 4)
         found.append(told)
     return sorted(found, key=lambda each: (bool(each["barred"]), each["expected_s"] or 0.0, each["id"]))
 
 
-def bars(stock: Stock, upstream: Upstream, homes: frozenset[str] | None, now: float) -> list[str]:
+def bars(stock: Balancer, upstream: Upstream, homes: frozenset[str] | None, now: float) -> list[str]:
     """Why it can't be taken at all."""
     hard = [code for code in avoided(stock, upstream, now) if code in ("gone", "draining", "evacuated")]
     if homes is not None and upstream.region not in homes:
         hard.append("outside_homes")
-    if stock.cold(upstream, now):
-        most = stock.allowance(upstream)
+    if stock.is_cold(upstream, now):
+        most = stock.cold_allowance(upstream)
         if not most:
             hard.append("cold_dealt_to_others")
-        elif not upstream.sent.free(most, now):
+        elif not upstream.send_window.has_room(most, now):
             hard.append("cold_used_up")
     return hard
 
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
+from barleyhub.line.balancer import Balancer, ColdLimit, Upstream, UpstreamState
 from barleyhub.line.dispatch import Dispatcher
-from barleyhub.line.examiner import Examiner
-from barleyhub.line.stock import Cold, State, Stock, Upstream
+from barleyhub.line.outliers import OutlierDetector
 from latchspoke import node_process
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.configuration.routes import Table, compile_table
@@ -94,7 +94,7 @@
         s, self.stats = self.settings, Stats()
         self.shared = Shared(self.clock, self.stats, Sockets(s.descriptors - 200), Dialer(self.loop))
         bound = s.bound
-        self.stock = Stock(
+        self.stock = Balancer(
             s.name, s.zone, s.region, self.draw, s.beat, bound("coldExcess", 1.0), bound("coldSlack", 0.0)
         )
         self.dispatcher = Dispatcher(
@@ -119,7 +119,7 @@
         )  # fmt: skip
         self.relay = Relay(self.clock, self.is_control)
         self.feed.relay = self.relay.heard
-        self.examiner = Examiner(s.zone)
+        self.examiner = OutlierDetector(s.zone)
         self.witnessed_at = -math.inf
         self.counts = Counts(
             s.name,
@@ -131,13 +131,13 @@
         self.ports.counts = self.counts
         self.travel: Travel | None = None
         if closed:  # what was dealt to one that is cut off is its own until its lease ends
-            self.dispatcher.holds = max(self.lease.lasts - GONE_AFTER, 0.0)
+            self.dispatcher.hold_s = max(self.lease.lasts - GONE_AFTER, 0.0)
         self.begun_at, self.old = self.clock.now(), s.first
         # Whether it came beside others that had begun long before; told once it is ready for the first time.
         self.late: bool | None = False if s.first else None
         self.old_at = self.begun_at + bound("quotaWindowS", YOUNG)
         if not s.first:
-            self.dispatcher.young_until = self.old_at
+            self.dispatcher.burst_unknown_until = self.old_at
         self.post = self.member(self.meta(False))
         self.post.overheard = self.overheard
         self.ready = False
@@ -221,12 +221,12 @@
             self.downstream.table is None or self.downstream.table.version != orders.version
         ):
             table: Table = compile_table(orders.doc)  # type: ignore[arg-type]
-            self.stock.colds = {n: Cold(s.cold_s, s.cold_per_s) for n, s in table.services.items()}
-            self.stock.changes += 1
-            if self.dispatcher.berths is None and any(r.affinity for r in table.routes.values()):
+            self.stock.cold_limits = {n: ColdLimit(s.cold_s, s.cold_per_s) for n, s in table.services.items()}
+            self.stock.revision += 1
+            if self.dispatcher.affinity is None and any(r.affinity for r in table.routes.values()):
                 from barleyhub.affinity.keeper import Berths
 
-                self.dispatcher.berths = Berths(self.stock)
+                self.dispatcher.affinity = Berths(self.stock)
             if self.travel is None and any(r.affinity and r.affinity.travels for r in table.routes.values()):
                 from latchspoke.dataplane.travel import Travel
 
@@ -240,7 +240,7 @@
             self.right = Epoch(f"{orders.version:08x}", self.lease.until)
             log("orders", version=f"{orders.version:08x}", index=orders.index)
         if orders.evacuated != self.stock.evacuated:
-            self.stock.evacuate(orders.evacuated, now)
+            self.stock.set_evacuated_zones(orders.evacuated, now)
             log("evacuated", zones=",".join(sorted(orders.evacuated)))
 
     def take_server(self, entry: Entry, now: float) -> None:
@@ -249,7 +249,7 @@
         self.stock.put(
             Upstream(
                 entry.ident, entry.service, host, int(port or 0), entry.zone, region, entry.slots,
-                State(int(entry.state)), entry.cold_until, entry.silent,
+                UpstreamState(int(entry.state)), entry.cold_until, entry.silent,
             ),
             now,
         )  # fmt: skip
@@ -262,32 +262,32 @@
         for entry in entries:
             self.examiner.learn(*read_evidence(entry), now)
         self.stats["evidence.heard"] += len(entries)
-        self.dispatcher.witness.question(self.examiner.told)
+        self.dispatcher.failure_reporter.suspect(self.examiner.received)
         self.examine(now)
 
     def examine(self, now: float) -> None:
         """Which servers this gateway turns from on the word of others."""
-        stock, told = self.stock, self.examiner.told
-        if not told and not stock.told:
+        stock, told = self.stock, self.examiner.received
+        if not told and not stock.outlier_shares:
             return
         services = dict.fromkeys(stock.upstreams[ident].service for ident in told if ident in stock.upstreams)
         ready = {
-            service: [w.ident for w in stock.services[service].values() if w.state is State.READY]
+            service: [w.ident for w in stock.services[service].values() if w.state is UpstreamState.READY]
             for service in services
         }
-        before, stock.told = stock.told, self.examiner.shares(ready, now)
-        for ident in sorted(before.keys() ^ stock.told.keys()):
-            log("evidence", server=ident, turned_from=ident in stock.told)
+        before, stock.outlier_shares = stock.outlier_shares, self.examiner.failure_shares(ready, now)
+        for ident in sorted(before.keys() ^ stock.outlier_shares.keys()):
+            log("evidence", server=ident, turned_from=ident in stock.outlier_shares)
 
     def testify(self, now: float) -> None:
         """Tell what is due: failures soon, the rest now and then."""
         if len(self.dispatcher.gateways) < MANY:
             return
-        witness, wire, source = self.dispatcher.witness, self.feed.wire, self.feed.source
-        due = witness.fresh and now - self.witnessed_at >= (TESTIFY if witness.urgent else TESTIFY_CALM)
+        witness, wire, source = self.dispatcher.failure_reporter, self.feed.wire, self.feed.source
+        due = witness.unreported and now - self.witnessed_at >= (TESTIFY if witness.urgent else TESTIFY_CALM)
         if due and wire is not None and source is not None and not source.gateway:
             self.witnessed_at = now
-            told = witness.due(now)
+            told = witness.take_report(now)
             self.stats["evidence.told"] += len(told)
             wire.send({"k": "hot", "w": told})
 
@@ -324,7 +324,7 @@
         edges = {n: m for n, m in self.post.membership.alive.items() if m.meta.get("role") == "edge"}
         now = self.live_at = self.clock.now()
         self.live_due = False
-        self.dispatcher.live({n: str(m.meta.get("zone")) for n, m in edges.items()}, now)
+        self.dispatcher.set_gateways({n: str(m.meta.get("zone")) for n, m in edges.items()}, now)
         elders = self.elders()
         hosts_anew = not self.old or (self.late and now < self.old_at + HOSTS_ANEW)
         late = {n for n, m in edges.items() if hosts_nothing(m.meta, elders or self.old)}
@@ -410,9 +410,9 @@
         if now - self.buried_at >= BURY_EVERY:
             self.buried_at = now
             self.registry.sweep(now, judge=False)
-        self.dispatcher.forget(now)
-        self.counts.host.forget(now)
-        self.dispatcher.witness.forget(now, self.examiner.forget(now))
+        self.dispatcher.expire(now)
+        self.counts.host.expire(now)
+        self.dispatcher.failure_reporter.expire(now, self.examiner.expire(now))
         self.examine(now)
         self.graph.look(self.stock, now)
         self.watch.look(now)
@@ -421,7 +421,7 @@
             self.old = True
             self.post.tell(self.meta(self.ready))
             self.live()
-        elif self.late and self.counts.host.cautious and now >= self.old_at + HOSTS_ANEW:
+        elif self.late and self.counts.host.just_started and now >= self.old_at + HOSTS_ANEW:
             self.live()
         if now - self.told_at >= TELL:
             self.tell(now)
--- a/latchspoke/dataplane/travel.py
+++ b/latchspoke/dataplane/travel.py
@@ -16,9 +16,9 @@
 
 from barleyhub import interface as api
 from barleyhub.interface import Code
-from barleyhub.line.dispatch import NEVER_RAN, Call, Dispatcher, Full
-from barleyhub.line.stock import State as ServerState
-from barleyhub.line.stock import homes_of
+from barleyhub.line.balancer import UpstreamState as ServerState
+from barleyhub.line.balancer import allowed_regions
+from barleyhub.line.dispatch import NOT_EXECUTED, Dispatcher, NoCapacity, RoutedRequest
 from latchspoke.configuration.routes import Affinity, Route, Travels
 from latchspoke.core import Epoch, Flow, Forward, Timer
 from latchspoke.dataplane.exchange import ClientExchange
@@ -62,7 +62,7 @@
 class Trip:
     """A request that is looked after here."""
 
-    call: Call
+    call: RoutedRequest
     flow: Flow
     waiting: Forward | None = None  # for its opening
     sent: bool = False  # its present attempt has gone to the upstream_pools
@@ -132,7 +132,7 @@
         self.out(self.office.leave(now))
 
     def known(self, life: str) -> bool:
-        upstream = self.dispatcher.stock.upstreams.get(life)
+        upstream = self.dispatcher.balancer.upstreams.get(life)
         return upstream is not None and upstream.state is not ServerState.GONE
 
     # Letters.
@@ -200,7 +200,9 @@
 
     def handle(self, event: api.Event | Steps, now: float) -> list[api.Action]:
         match event:
-            case Call(route=route, caller=caller) if caller is not None and travels_of(route) is not None:
+            case RoutedRequest(route=route, caller=caller) if (
+                caller is not None and travels_of(route) is not None
+            ):
                 self.actions = []
                 self.arrive(event, now)
                 return self.actions
@@ -215,13 +217,13 @@
                 return []
         return self.dispatcher.handle(event, now)
 
-    def arrive(self, call: Call, now: float) -> None:
+    def arrive(self, call: RoutedRequest, now: float) -> None:
         """Its record is looked up, before anything is decided on it."""
         flow = self.core.flows[call.request]
         travels = travels_of(call.route)
         assert travels is not None and call.caller is not None and call.route is not None
         tenant = call.tenant
-        homes = homes_of(call.route.homes, tenant.homes if tenant is not None else frozenset())
+        homes = allowed_regions(call.route.homes, tenant.homes if tenant is not None else frozenset())
         headers: dict[bytes, bytes] = getattr(flow.client, "headers", {})
         request = flow.message
         assert isinstance(request, Request)
@@ -261,7 +263,7 @@
                     self.passed(trip, ok, until, now)
 
     def go(self, trip: Trip, bill: Bill | None, now: float) -> None:
-        call, berths = trip.call, self.dispatcher.berths
+        call, berths = trip.call, self.dispatcher.affinity
         if trip.flow.closed:
             return
         if bill is not None and bill.life and berths is not None and call.caller is not None:
@@ -272,7 +274,7 @@
     def refuse(self, trip: Trip, pause: float, why: str, now: float) -> None:
         route = trip.call.route
         self.dispatcher.refusals.append((now, why, route.name if route else "", trip.call.customer))
-        self.actions.append(Full(trip.call.request, pause))
+        self.actions.append(NoCapacity(trip.call.request, pause))
 
     def tell(self, trip: Trip, state: State, exchange: str) -> None:
         """The truth about an exchange; this try has not run."""
@@ -291,7 +293,7 @@
         trip = self.trips[outcome.request]
         code = outcome.code
         fate = Fate.ANSWERED if code in (Code.OK, Code.ERROR) else Fate.MAY_RUN
-        if code in NEVER_RAN or not trip.sent:
+        if code in NOT_EXECUTED or not trip.sent:
             fate = Fate.NOT_RUN
         trip.waiting, trip.sent = None, False
         for step in self.desk.outcome(outcome.request, fate, now):
@@ -302,7 +304,7 @@
 
     def forward(self, forward: Forward) -> None:
         trip = self.trips.get(forward.flow.request.request)
-        upstream = self.dispatcher.stock.upstreams.get(forward.target)
+        upstream = self.dispatcher.balancer.upstreams.get(forward.target)
         if trip is None or upstream is None:
             self.ports.forward(forward)
             return
@@ -401,12 +403,12 @@
         known = table.routes.get(route) if table is not None else None
         holders = table.tenants.values() if table is not None else ()
         own = next((t.homes for t in holders if t.name == tenant), frozenset[str]())
-        return tuple(sorted(homes_of(known.homes if known is not None else frozenset(), own) or ()))
+        return tuple(sorted(allowed_regions(known.homes if known is not None else frozenset(), own) or ()))
 
     async def move(self, route: str, tenant: str, caller: str, to: str) -> tuple[int, dict[str, Any]]:
         """Another server for a caller, under the next move; not while an exchange is unsettled."""
         key, found = self.key(route, tenant, caller)
-        upstream = self.dispatcher.stock.upstreams.get(to)
+        upstream = self.dispatcher.balancer.upstreams.get(to)
         table = self.node.downstream.table
         known = table.routes.get(route) if table is not None else None
         if not found or known is None or known.affinity is None or upstream is None:
@@ -414,7 +416,7 @@
         if not any(upstream.service == service for service, _ in known.split):
             return 400, {"errorText": f"{to} is no server of that route"}
         allowed = frozenset(self.homes(route, tenant)) or None
-        berths = self.dispatcher.berths
+        berths = self.dispatcher.affinity
         why = berths.barred(upstream, allowed, self.clock.now()) if berths is not None else ""
         if why:
             return 400, {"errorText": f"{to} gets no requests now: {why}"}
--- a/latchspoke/dataplane/upstream.py
+++ b/latchspoke/dataplane/upstream.py
@@ -14,7 +14,7 @@
 import httptools
 
 from barleyhub import interface as api
-from barleyhub.line.stock import Stock, Upstream
+from barleyhub.line.balancer import Balancer, Upstream
 from latchspoke.core import Forward
 from latchspoke.dataplane.core import LineCore
 from latchspoke.net.http import Connection, FramingError, ParserError, Shared, parse_error, read_decimal
@@ -298,7 +298,7 @@
 
     core: LineCore  # comes once it is made, as it needs this port
 
-    def __init__(self, shared: Shared, stock: Stock, most_body: int) -> None:
+    def __init__(self, shared: Shared, stock: Balancer, most_body: int) -> None:
         self.shared, self.stock, self.most_body = shared, stock, most_body
         self.upstream_pools_by_life: dict[str, UpstreamPool] = {}
         self.wary: dict[str, float] = {}  # services whose servers forget idle connections, and until when
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
+from barleyhub.line.balancer import Balancer, Upstream
 from barleyhub.line.dispatch import Dispatcher
-from barleyhub.line.stock import Stock, Upstream
 from latchspoke.outliers.show import evidence
 from latchspoke.reach.graph import standing
 from latchspoke.transport.metrics import Family, page
@@ -34,12 +34,12 @@
     return round(now - at, 3) if math.isfinite(at) else None
 
 
-def avoided(stock: Stock, upstream: Upstream, now: float) -> list[str]:
+def avoided(stock: Balancer, upstream: Upstream, now: float) -> list[str]:
     """Why it gets nothing, or less than its part: reason codes, the hardest first."""
     return list(standing(stock, upstream, now))
 
 
-def server(stock: Stock, upstream: Upstream, now: float) -> dict[str, Any]:
+def server(stock: Balancer, upstream: Upstream, now: float) -> dict[str, Any]:
     """One life of a server, with the evidence that this gateway has."""
     return {
         "id": upstream.ident,
@@ -52,10 +52,10 @@
         "avoided": avoided(stock, upstream, now),
         "silent": upstream.silent,
         "cold_s": left(upstream.cold_until, now),
-        "resting_s": left(upstream.rest_until, now),
-        "out": upstream.out,
-        "errors": round(upstream.own.share(now), 3),
-        "pace": round(upstream.own.pace, 3),
+        "resting_s": left(upstream.backoff_until, now),
+        "out": upstream.in_flight,
+        "errors": round(upstream.health.share(now), 3),
+        "pace": round(upstream.health.pace, 3),
         "answered_s_ago": age(upstream.answered_at, now),
     }
 
@@ -63,8 +63,9 @@
 def told(node: Node, now: float) -> dict[str, dict[str, Any]]:
     """By server: the evidence of others, and the share of failures that it makes here (0: none)."""
     return {
-        ident: evidence(node.examiner.seen(ident, now)) | {"share": round(node.stock.told.get(ident, 0.0), 3)}
-        for ident in sorted(node.examiner.told)
+        ident: evidence(node.examiner.evidence(ident, now))
+        | {"share": round(node.stock.outlier_shares.get(ident, 0.0), 3)}
+        for ident in sorted(node.examiner.received)
     }
 
 
@@ -74,10 +75,10 @@
         name: {
             "rate_per_s": account.rate,
             "burst": account.burst,
-            "room": round(account.room(now), 3),
-            "gate": round(account.gate(now), 3),
-            "total_fresh": account.fresh(now),
-            "offered_per_s": round(account.here(now), 3),
+            "room": round(account.remaining(now), 3),
+            "gate": round(account.admission_probability(now), 3),
+            "total_fresh": account.totals_fresh(now),
+            "offered_per_s": round(account.offered_here(now), 3),
             "offered": account.offered,
             "admitted": account.admitted,
         }
@@ -88,8 +89,8 @@
 def budgets(dispatcher: Dispatcher) -> dict[str, dict[str, float]]:
     """Further tries that this gateway may still pay for, by service."""
     return {
-        service: {"level": round(tries.level, 3), "most": round(tries.most, 3)}
-        for service, tries in sorted(dispatcher.tries.items())
+        service: {"level": round(tries.tokens, 3), "most": round(tries.capacity, 3)}
+        for service, tries in sorted(dispatcher.retry_budgets.items())
     }
 
 
@@ -135,7 +136,7 @@
         "in_hand": node.downstream.busy,
         "servers": [server(node.stock, w, now) for w in node.stock.upstreams.values()],
         "evidence": told(node, now),
-        "usual_s": {route: round(s, 4) for route, s in sorted(node.stock.usual.items())},
+        "usual_s": {route: round(s, 4) for route, s in sorted(node.stock.route_latency.items())},
         "quotas": quotas(node.dispatcher, now),
         "budgets": budgets(node.dispatcher),
         "refusals": refusals(node.dispatcher, now),
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from barleyhub.interface import Code
-from barleyhub.line import budget, dispatch, quota, stock
+from barleyhub.line import balancer, budget, dispatch, quota
 from latchspoke.agent.ledger import LedgerError
 from latchspoke.configstore.orders import Orders
 from latchspoke.configuration.routes import Route
@@ -247,12 +247,12 @@
     ),
     "cold-allowance": Guard(
         "FAILBACK", (t(3.0, "cold", where="hill"), t(6.0, "cold", where="quay")),
-        lambda: [on(stock.Stock, "cold", lambda self, upstream, now: False)], 3.0,
+        lambda: [on(balancer.Balancer, "is_cold", lambda self, upstream, now: False)], 3.0,
     ),
-    "further-tries": Guard("BUDGET", LOSSES, lambda: [on(budget.Tries, "take", lambda self: True)]),
+    "further-tries": Guard("BUDGET", LOSSES, lambda: [on(budget.RetryBudget, "withdraw", lambda self: True)]),
     "quota": Guard(
         "QUOTA", (t(1.0, "rush", x=6.0, lasts=9.0),),
-        lambda: [on(quota.Account, "gate", lambda self, now, *more: 1.0),
+        lambda: [on(quota.Account, "admission_probability", lambda self, now, *more: 1.0),
                  on(quota.Account, "fits", lambda self, units, now, *more: True)],
     ),
     "drain": Guard(
@@ -270,7 +270,7 @@
     ),
     "evacuation": Guard(
         "EVAC", (t(1.0, "evacuate", where="hill", lasts=10.0),),
-        lambda: [on(stock.Stock, "evacuate", lambda self, zones, now: None)],
+        lambda: [on(balancer.Balancer, "set_evacuated_zones", lambda self, zones, now: None)],
     ),
     "once-only": Guard("TWICE", LOSSES, lambda: [around(dataplane, "compile_table", all_repeatable)]),
     "fate": Guard(
@@ -289,7 +289,7 @@
         lambda: [around(LineCore, "ended", leaves_failures),
                  around(exchange.ClientExchange, "failed", hands_on_what_is_left)],
     ),
-    "homes": Guard("HOME", (), lambda: [on(dispatch, "homes_of", lambda route, tenant: None)]),
+    "homes": Guard("HOME", (), lambda: [on(dispatch, "allowed_regions", lambda route, tenant: None)]),
     "route": Guard("ROUTE", (), lambda: [around(Route, "service", elsewhere)]),
     "hidden-key": Guard(
         "UNASKED", (), lambda: [on(downstream, "REPLACED", downstream.REPLACED - {b"authorization"})]
--- a/latchspoke/outliers/drill.py
+++ b/latchspoke/outliers/drill.py
@@ -18,9 +18,9 @@
 
 from barleyhub import interface as api
 from barleyhub.interface import Code
-from barleyhub.line.dispatch import Call, Dispatcher
-from barleyhub.line.examiner import Examiner
-from barleyhub.line.stock import State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
+from barleyhub.line.dispatch import Dispatcher, RoutedRequest
+from barleyhub.line.outliers import OutlierDetector
 from latchspoke.configuration.routes import NO_HOMES, Route
 from latchspoke.outliers.ledger import Ledger, read
 
@@ -104,20 +104,20 @@
         self.servers = {}
         for i in range(servers):
             zone = self.zones[i % zones]
-            upstream = Upstream(f"s{i:03d}", "pool", "h", 1, zone, self.region[zone], 6, State.READY)
+            upstream = Upstream(f"s{i:03d}", "pool", "h", 1, zone, self.region[zone], 6, UpstreamState.READY)
             self.servers[upstream.ident] = Server(upstream, False)
         for name in self.draw.sample(sorted(self.servers), round(servers * trouble.share)):
             self.servers[name].sick = True
         names = {f"g{i:03d}": self.zones[i % zones] for i in range(gateways)}
         self.gateways = {}
         for name, zone in names.items():
-            stock = Stock(name, zone, self.region[zone], self.draw, 1.5)
+            stock = Balancer(name, zone, self.region[zone], self.draw, 1.5)
             for server in self.servers.values():
                 w = server.upstream
-                stock.put(Upstream(w.ident, "pool", "h", 1, w.zone, w.region, 6, State.READY), 0.0)
+                stock.put(Upstream(w.ident, "pool", "h", 1, w.zone, w.region, 6, UpstreamState.READY), 0.0)
             dispatcher = Dispatcher(stock, self.draw, 0.2, 208.0)
-            dispatcher.live(names, 0.0)
-            self.gateways[name] = dispatcher, Examiner(zone)
+            dispatcher.set_gateways(names, 0.0)
+            self.gateways[name] = dispatcher, OutlierDetector(zone)
         self.ledgers = {zone: Ledger() for zone in self.zones}  # a control machine in each zone
         self.telling: set[str] = set()
         self.told_at = dict.fromkeys(names, 0.0)
@@ -144,7 +144,7 @@
         self.after(self.draw.expovariate(self.rate), partial(self.ask, name))
         self.sums.requests += 1
         ident = f"{name}.{next(self.numbers)}"
-        call = Call(ident, "", "pool", "r", 1.0, 6.0, 1, route=self.route)
+        call = RoutedRequest(ident, "", "pool", "r", 1.0, 6.0, 1, route=self.route)
         self.act(name, self.gateways[name][0].handle(call, self.now))
 
     def act(self, name: str, actions: list[api.Action]) -> None:
@@ -176,9 +176,9 @@
     def send(self, name: str, action: api.Send) -> None:
         dispatcher = self.gateways[name][0]
         server = self.servers[action.server]
-        zone = dispatcher.stock.zone
-        way = LINK if dispatcher.stock.region == server.upstream.region else FAR
-        number = dispatcher.jobs[action.request].sends - 1
+        zone = dispatcher.balancer.zone
+        way = LINK if dispatcher.balancer.region == server.upstream.region else FAR
+        number = dispatcher.active_requests[action.request].sends - 1
         tick = int(self.now / BIN)
         server.came[tick] = server.came.get(tick, 0) + 1
         ill = self.ails(server, zone)
@@ -200,14 +200,14 @@
         """A gateway's own beat."""
         self.after(SOON, partial(self.step, name))
         dispatcher, examiner = self.gateways[name]
-        witness = dispatcher.witness
+        witness = dispatcher.failure_reporter
         if int(self.now / SOON) % 3 == 0:
-            witness.forget(self.now, examiner.forget(self.now))
+            witness.expire(self.now, examiner.expire(self.now))
             self.examine(name)
         due = SOON if witness.urgent else CALM
-        if witness.fresh and self.now - self.told_at[name] >= due:
+        if witness.unreported and self.now - self.told_at[name] >= due:
             self.told_at[name] = self.now
-            told, zone = witness.due(self.now), dispatcher.stock.zone
+            told, zone = witness.take_report(self.now), dispatcher.balancer.zone
             self.count(told, 1)
             self.after(LINK, partial(self.heard, zone, name, told))
 
@@ -238,7 +238,7 @@
                     self.after(LINK if near else FAR, partial(self.merge, other, zone, words))
         if told := ledger.to_gateways(self.now, [zone]):
             for name, (dispatcher, _) in self.gateways.items():
-                if dispatcher.stock.zone == zone:
+                if dispatcher.balancer.zone == zone:
                     self.count(told[zone], 1)
                     self.after(LINK, partial(self.learn, name, told[zone]))
         if ledger.waiting():
@@ -252,15 +252,15 @@
         dispatcher, examiner = self.gateways[name]
         for entry in entries:
             examiner.learn(*read(entry), self.now)
-        dispatcher.witness.question(examiner.told)
+        dispatcher.failure_reporter.suspect(examiner.received)
         self.examine(name)
 
     def examine(self, name: str) -> None:
         dispatcher, examiner = self.gateways[name]
-        dispatcher.stock.told = examiner.shares({"pool": self.servers}, self.now)
-        good = [s for s in self.servers.values() if not self.bad_for(s, dispatcher.stock.zone)]
+        dispatcher.balancer.outlier_shares = examiner.failure_shares({"pool": self.servers}, self.now)
+        good = [s for s in self.servers.values() if not self.bad_for(s, dispatcher.balancer.zone)]
         self.sums.pairs += len(good)
-        self.sums.turned += sum(s.upstream.ident in dispatcher.stock.told for s in good)
+        self.sums.turned += sum(s.upstream.ident in dispatcher.balancer.outlier_shares for s in good)
 
     def bad_for(self, server: Server, zone: str) -> bool:
         since = self.now - self.trouble.at
--- a/latchspoke/outliers/ledger.py
+++ b/latchspoke/outliers/ledger.py
@@ -14,7 +14,14 @@
 
 import msgspec
 
-from barleyhub.line.examiner import FORGOTTEN, LEAST, WITNESSES, Seen, condensed, together
+from barleyhub.line.outliers import (
+    MIN_ATTEMPTS,
+    MIN_FAILURE_SHARE,
+    MIN_WITNESSES,
+    FailureEvidence,
+    combine,
+    summarize,
+)
 
 LEASE = 8.0  # s
 NAMED = 2  # witnesses that travel by name, of each zone
@@ -31,31 +38,37 @@
 class Word(msgspec.Struct):
     """What one source said of one server, as of ``at``."""
 
-    seen: dict[str, Seen]
+    seen: dict[str, FailureEvidence]
     at: float
 
-    def now(self, now: float) -> dict[str, Seen]:
-        return {zone: each.faded(now - self.at) for zone, each in self.seen.items()}
+    def now(self, now: float) -> dict[str, FailureEvidence]:
+        return {zone: each.decayed(now - self.at) for zone, each in self.seen.items()}
 
 
-def write(ident: str, seen: dict[str, Seen]) -> list[Any]:
+def write(ident: str, seen: dict[str, FailureEvidence]) -> list[Any]:
     """An entry on the wire: server, then zone, failed, attempts, some witnesses, zones for each zone."""
     zones = [
-        [zone, round(each.bad, 2), round(each.all, 2), sorted(each.witnesses)[:NAMED], each.zones]
+        [
+            zone,
+            round(each.failed, 2),
+            round(each.attempts, 2),
+            sorted(each.witnesses)[:NAMED],
+            each.zone_count,
+        ]
         for zone, each in sorted(seen.items())
     ]
     return [ident, zones]
 
 
-def read(entry: Any) -> tuple[str, dict[str, Seen]]:
+def read(entry: Any) -> tuple[str, dict[str, FailureEvidence]]:
     """What ``write`` wrote. Raises EvidenceError."""
     try:
         ident, zones = entry
         seen = {}
         for zone, bad, tries, witnesses, count in zones:
             names = frozenset(str(name) for name in witnesses)
-            seen[str(zone)] = Seen(float(bad), float(tries), names, int(count))
-            if not 0 <= seen[str(zone)].bad <= seen[str(zone)].all:
+            seen[str(zone)] = FailureEvidence(float(bad), float(tries), names, int(count))
+            if not 0 <= seen[str(zone)].failed <= seen[str(zone)].attempts:
                 raise EvidenceError(f"counts of {ident}: {bad} of {tries}")
         return str(ident), seen
     except (TypeError, ValueError) as e:
@@ -69,7 +82,7 @@
     second: dict[str, dict[str, Word]] = msgspec.field(default_factory=dict)  # by server and control machine
     for_peers: set[str] = msgspec.field(default_factory=set)  # servers of which something is new
     for_gateways: set[str] = msgspec.field(default_factory=set)
-    told: dict[tuple[bool, str], tuple[float, Seen]] = msgspec.field(
+    told: dict[tuple[bool, str], tuple[float, FailureEvidence]] = msgspec.field(
         default_factory=dict
     )  # to peers or gateways
 
@@ -83,8 +96,10 @@
                 raise EvidenceError(f"counts that can't be read: {e!r}") from None
             if not 0 <= bad <= tries:
                 raise EvidenceError(f"counts of {ident}: {bad} of {tries}")
-            saw = bad >= FORGOTTEN
-            seen = {zone: Seen(bad, tries, frozenset((gateway,)) if saw else frozenset(), int(saw))}
+            saw = bad >= MIN_ATTEMPTS
+            seen = {
+                zone: FailureEvidence(bad, tries, frozenset((gateway,)) if saw else frozenset(), int(saw))
+            }
             self.first.setdefault(str(ident), {})[gateway] = Word(seen, now)
             self.for_peers.add(str(ident))
             self.for_gateways.add(str(ident))
@@ -103,15 +118,15 @@
             self.for_gateways.add(ident)
 
     @staticmethod
-    def sum(words: Iterable[Word], now: float) -> dict[str, Seen]:
-        found: dict[str, Seen] = {}
+    def sum(words: Iterable[Word], now: float) -> dict[str, FailureEvidence]:
+        found: dict[str, FailureEvidence] = {}
         for word in words:
             for zone, seen in word.now(now).items():
-                found[zone] = found[zone].plus(seen) if zone in found else seen
-                found[zone].zones = min(found[zone].zones, 1)
+                found[zone] = found[zone].combined(seen) if zone in found else seen
+                found[zone].zone_count = min(found[zone].zone_count, 1)
         return found
 
-    def evidence(self, ident: str, now: float) -> dict[str, Seen]:
+    def evidence(self, ident: str, now: float) -> dict[str, FailureEvidence]:
         """All that is known of one server, by zone of those who saw it."""
         words = [*self.first.get(ident, {}).values(), *self.second.get(ident, {}).values()]
         return self.sum(words, now)
@@ -131,18 +146,18 @@
         for ident, seen in told:
             if not self.doubted(seen):
                 del self.told[False, ident]
-        return {zone: [write(i, condensed(seen, zone)) for i, seen in told] for zone in zones if told}
+        return {zone: [write(i, summarize(seen, zone)) for i, seen in told] for zone in zones if told}
 
     def news(
-        self, peers: bool, due: set[str], found: list[tuple[str, dict[str, Seen]]], now: float
-    ) -> list[tuple[str, dict[str, Seen]]]:
+        self, peers: bool, due: set[str], found: list[tuple[str, dict[str, FailureEvidence]]], now: float
+    ) -> list[tuple[str, dict[str, FailureEvidence]]]:
         """What is told now; the rest stays due until it has changed more, or for ``RENEW`` s."""
         told = []
         for ident, seen in found[:MOST]:
-            new = together(seen.values())
-            at, old = self.told.get((peers, ident), (-math.inf, Seen()))
-            old = old.faded(now - at)
-            moved = abs(new.bad - old.bad) > NEWS * max(old.bad, 1.0) or len(new.witnesses) > len(
+            new = combine(seen.values())
+            at, old = self.told.get((peers, ident), (-math.inf, FailureEvidence()))
+            old = old.decayed(now - at)
+            moved = abs(new.failed - old.failed) > NEWS * max(old.failed, 1.0) or len(new.witnesses) > len(
                 old.witnesses
             )
             if moved or now - at >= RENEW:
@@ -156,14 +171,16 @@
         return bool(self.for_peers or self.for_gateways)
 
     @staticmethod
-    def doubted(seen: dict[str, Seen]) -> bool:
-        whole = together(seen.values())
-        return len(whole.witnesses) >= WITNESSES and whole.bad >= LEAST / 2 * whole.all
+    def doubted(seen: dict[str, FailureEvidence]) -> bool:
+        whole = combine(seen.values())
+        return (
+            len(whole.witnesses) >= MIN_WITNESSES and whole.failed >= MIN_FAILURE_SHARE / 2 * whole.attempts
+        )
 
     def whole(self, now: float, zone: str) -> Entries:
         """For a gateway of this zone that has just come."""
         found = [(ident, self.evidence(ident, now)) for ident in sorted({*self.first, *self.second})]
-        return [write(i, condensed(seen, zone)) for i, seen in found if self.doubted(seen)][:MOST]
+        return [write(i, summarize(seen, zone)) for i, seen in found if self.doubted(seen)][:MOST]
 
     def sweep(self, now: float) -> None:
         """Leases end, and what has faded goes."""
@@ -177,4 +194,4 @@
 
     @staticmethod
     def over(word: Word, now: float) -> bool:
-        return now - word.at > LEASE or together(word.now(now).values()).all < FORGOTTEN
+        return now - word.at > LEASE or combine(word.now(now).values()).attempts < MIN_ATTEMPTS
--- a/latchspoke/outliers/show.py
+++ b/latchspoke/outliers/show.py
@@ -4,18 +4,18 @@
 
 from typing import Any
 
-from barleyhub.line.examiner import Seen, together
+from barleyhub.line.outliers import FailureEvidence, combine
 
 
-def evidence(seen: dict[str, Seen]) -> dict[str, Any]:
+def evidence(seen: dict[str, FailureEvidence]) -> dict[str, Any]:
     """What gateways saw of one server of late, faded, by their zone (``*``: all others), and witnesses."""
-    whole = together(seen.values())
+    whole = combine(seen.values())
     return {
-        "failed": round(whole.bad, 2),
-        "attempts": round(whole.all, 2),
+        "failed": round(whole.failed, 2),
+        "attempts": round(whole.attempts, 2),
         "witnesses": sorted(whole.witnesses),
         "zones": {
-            zone: {"failed": round(each.bad, 2), "attempts": round(each.all, 2)}
+            zone: {"failed": round(each.failed, 2), "attempts": round(each.attempts, 2)}
             for zone, each in sorted(seen.items())
         },
     }
--- a/latchspoke/reach/graph.py
+++ b/latchspoke/reach/graph.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from barleyhub.interface import Code
-from barleyhub.line.stock import State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 
 SPAN = 5.0  # s; what is counted together
 LOOKS = 300  # servers whose standing is looked at in one call
@@ -52,16 +52,16 @@
     return None
 
 
-def standing(stock: Stock, upstream: Upstream, now: float, was: tuple[str, ...] = ()) -> tuple[str, ...]:
+def standing(stock: Balancer, upstream: Upstream, now: float, was: tuple[str, ...] = ()) -> tuple[str, ...]:
     """Why a server gets nothing, or less than its part: reason codes, the hardest first; none: it is well."""
     found = []
-    if upstream.state is State.GONE:
+    if upstream.state is UpstreamState.GONE:
         found.append("gone")
-    if upstream.state is State.DRAINING:
+    if upstream.state is UpstreamState.DRAINING:
         found.append("draining")
     if upstream.zone in stock.evacuated:
         found.append("evacuated")
-    if now < upstream.rest_until:
+    if now < upstream.backoff_until:
         found.append("unreachable")
     if now < upstream.full_until:
         found.append("full")
@@ -69,13 +69,13 @@
         found.append("silent")
     if now < upstream.cold_until:
         found.append("cold")
-    if now < upstream.doubt_until:
+    if now < upstream.assumed_cold_until:
         found.append("doubtful")
-    if upstream.own.errors and upstream.own.share(now) > ERRING:
+    if upstream.health.errors and upstream.health.share(now) > ERRING:
         found.append("erring")
-    if upstream.ident in stock.told:
+    if upstream.ident in stock.outlier_shares:
         found.append("failing_elsewhere")
-    if upstream.own.pace > (SLOW_AGAIN if "slow" in was else SLOW):
+    if upstream.health.pace > (SLOW_AGAIN if "slow" in was else SLOW):
         found.append("slow")
     return tuple(found)
 
@@ -141,7 +141,7 @@
             self.now = {}
         self.span_at = now
 
-    def look(self, stock: Stock, now: float) -> list[Change]:
+    def look(self, stock: Balancer, now: float) -> list[Change]:
         """Compare servers' standing with what it was; what has changed is kept, and returned.
 
         Where there are more than ``LOOKS`` servers, each call looks at so many of them, in turn.
@@ -161,14 +161,14 @@
         self.changes.extend(found)
         return found
 
-    def next_idents(self, stock: Stock) -> list[str]:
+    def next_idents(self, stock: Balancer) -> list[str]:
         """The servers to be looked at now; when ``turn`` is empty after that, all have had theirs."""
         if not self.turn:
             self.turn = list(stock.upstreams)
         idents, self.turn = self.turn[:LOOKS], self.turn[LOOKS:]
         return idents
 
-    def look_for_gone(self, stock: Stock, now: float) -> list[Change]:
+    def look_for_gone(self, stock: Balancer, now: float) -> list[Change]:
         """Changes of servers that are no longer known."""
         found = []
         for ident, known in list(self.standings.items()):
@@ -184,17 +184,17 @@
         return found
 
     def change(
-        self, stock: Stock, upstream: Upstream, known: Standing | None, codes: tuple[str, ...], now: float
+        self, stock: Balancer, upstream: Upstream, known: Standing | None, codes: tuple[str, ...], now: float
     ) -> Change:
         """What a change of standing is noted as, with what led to it."""
         self.standings[upstream.ident] = Standing(
             upstream.service, upstream.zone, upstream.region, f"{upstream.host}:{upstream.port}", codes, now
         )
-        stock_told = stock.told.get(upstream.ident, 0.0)
+        stock_told = stock.outlier_shares.get(upstream.ident, 0.0)
         return Change(
             now, upstream.ident, upstream.service, upstream.zone,
             known.codes if known is not None else None, codes,
-            round(upstream.own.share(now), 3), round(upstream.own.pace, 2), round(stock_told, 3),
+            round(upstream.health.share(now), 3), round(upstream.health.pace, 2), round(stock_told, 3),
         )  # fmt: skip
 
     def counted(self, since: float, now: float) -> tuple[float, dict[tuple[str, str], array[int]]]:
--- a/latchspoke/reach/show.py
+++ b/latchspoke/reach/show.py
@@ -67,7 +67,7 @@
                 "since_s": round(now - standing.since, 2),
             }  # fmt: skip
         if upstream is not None:
-            row |= {"out": upstream.out, "slots": upstream.slots}
+            row |= {"out": upstream.in_flight, "slots": upstream.slots}
         rows.append(row)
     return {
         "name": settings.name, "zone": settings.zone, "region": settings.region, "life": node.life,
--- a/latchspoke/session_records/bill.py
+++ b/latchspoke/session_records/bill.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from barleyhub.line.budget import rank
+from barleyhub.line.budget import rendezvous_score
 
 PAST = 3  # exchanges before the last one that are remembered, if they ran
 
@@ -95,7 +95,7 @@
         if not without and (found := self.known.get((key, homes))) is not None:
             return found
         able = [n for n, p in self.peers.items() if n != without and (not homes or p.region in homes)]
-        names = sorted(able, key=lambda name: rank(key, name), reverse=True)
+        names = sorted(able, key=lambda name: rendezvous_score(key, name), reverse=True)
         pair = "", ""
         if names:
             first, rest = self.peers[names[0]], names[1:]
--- a/tests/affinity/test_hard.py
+++ b/tests/affinity/test_hard.py
@@ -7,7 +7,7 @@
 
 from barleyhub.affinity.keeper import Berths
 from barleyhub.affinity.order import Caller, key_of
-from barleyhub.line.stock import Cold, State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, ColdLimit, Upstream, UpstreamState
 from latchspoke.distribution.board import Board, Follower, Orders, Reader
 from latchspoke.pool.versions import Versions
 from latchspoke.registry.registry import Entry, Registry, read_beat
@@ -17,7 +17,7 @@
 Places = dict[bytes, str]
 
 
-def server(n: int, life: int = 0, state: State = State.READY, **more: Any) -> Upstream:
+def server(n: int, life: int = 0, state: UpstreamState = UpstreamState.READY, **more: Any) -> Upstream:
     zone = more.pop("zone", f"z{n % 2}")
     slots, cold = more.pop("slots", 4), more.pop("cold_until", -1e9)
     return Upstream(f"i{n}-{life}", "s", f"10.0.0.{n}", 80, zone, "r", slots, state, cold, **more)
@@ -25,8 +25,8 @@
 
 class Gateway:
     def __init__(self, servers: Iterable[Upstream] = (), name: str = "g", zone: str = "z0") -> None:
-        self.stock = Stock(name, zone, "r", random.Random(1), 0.5)
-        self.stock.colds["s"] = Cold(COLD, 5.0)
+        self.stock = Balancer(name, zone, "r", random.Random(1), 0.5)
+        self.stock.cold_limits["s"] = ColdLimit(COLD, 5.0)
         self.berths, self.now = Berths(self.stock), 100.0
         self.tell(*servers)
 
@@ -60,7 +60,7 @@
 def test_one_removed_of_ten_moves_its_callers_alone() -> None:
     gate = Gateway(ten())
     before = gate.all()
-    gate.tell(server(4, state=State.DRAINING))
+    gate.tell(server(4, state=UpstreamState.DRAINING))
     after = gate.all()
     assert {old for old, _ in moved(before, after)} == {"10.0.0.4"}
     assert len({new for _, new in moved(before, after)}) > 5  # spread over the others
@@ -85,7 +85,7 @@
     gate = Gateway(ten())
     before = gate.all()
     for n in range(5):
-        gate.tell(server(20 + n, cold_until=gate.now + 3), server(n, state=State.DRAINING))
+        gate.tell(server(20 + n, cold_until=gate.now + 3), server(n, state=UpstreamState.DRAINING))
         held = gate.all()
         gate.now += 30
         done = gate.all()
@@ -99,7 +99,7 @@
     gate = Gateway(ten())
     before = gate.all()
     for n in TEN:
-        gate.tell(server(n, state=State.GONE))
+        gate.tell(server(n, state=UpstreamState.GONE))
         assert {old for old, _ in moved(before, gate.all())} == {f"10.0.0.{n}"}
         gate.now += 2
         gate.tell(server(n, 1, cold_until=gate.now + 3))
@@ -111,11 +111,11 @@
     gate = Gateway(ten())
     before, waits = gate.all(), []
     for _ in range(4):
-        gate.stock.failed(gate.stock.upstreams["i3-0"], gate.now, True)
+        gate.stock.record_failure(gate.stock.upstreams["i3-0"], gate.now, True)
         gone = gate.all()
         assert {old for old, _ in moved(before, gone)} == {"10.0.0.3"}
-        up = gate.now = gate.stock.upstreams["i3-0"].doubt_until
-        gate.stock.upstreams["i3-0"].rest_until = up
+        up = gate.now = gate.stock.upstreams["i3-0"].assumed_cold_until
+        gate.stock.upstreams["i3-0"].backoff_until = up
         while gate.all() != before:
             assert {old for old, _ in moved(before, gate.all())} == {"10.0.0.3"}
             gate.now += 0.5
@@ -127,7 +127,7 @@
     one, two = Gateway(ten(), "one"), Gateway(reversed(ten()), "two", "z1")
     before = one.all()
     assert two.all() == before
-    first, second = server(1, state=State.GONE), server(11)
+    first, second = server(1, state=UpstreamState.GONE), server(11)
     one.tell(first)
     two.tell(second)
     differ = moved(one.all(), two.all())
@@ -182,7 +182,7 @@
     held = mine[0]
     assert gate.goes(held, exchange=60.0) is gate.stock.upstreams["i2-0"]
     for _ in range(20):
-        gate.stock.full(gate.stock.upstreams["i2-0"], gate.now)
+        gate.stock.record_rejection(gate.stock.upstreams["i2-0"], gate.now)
         away = gate.all()
         assert {old for old, _ in moved(before, away)} <= {"10.0.0.2"}
         gate.now += 0.1
@@ -196,7 +196,7 @@
     assert counts == sorted(counts, reverse=True) and counts[-1] == 0
     assert max(a - b for a, b in pairwise(counts)) < len(mine) / 4  # no wave
     gate.now += 60
-    gate.tell(server(2, state=State.DRAINING))
+    gate.tell(server(2, state=UpstreamState.DRAINING))
     assert gate.goes(held, exchange=60.0) is not found  # it may not be sent to at all
 
 
@@ -211,11 +211,11 @@
 def test_an_evacuation_moves_the_zone_and_its_end_brings_it_back_in_steps() -> None:
     gate = Gateway(ten())
     last = before = gate.all()
-    gate.stock.evacuate(["z1"], gate.now)
+    gate.stock.set_evacuated_zones(["z1"], gate.now)
     away = gate.all()
     assert {int(old[-1]) % 2 for old, _ in moved(before, away)} == {1}
     gate.now += 10
-    gate.stock.evacuate([], gate.now)
+    gate.stock.set_evacuated_zones([], gate.now)
     last, steps = gate.all(), []
     assert last == away  # they may be cold
     for _ in range(60):
--- a/tests/affinity/test_telling.py
+++ b/tests/affinity/test_telling.py
@@ -11,8 +11,8 @@
 
 from barleyhub.affinity.keeper import Berths
 from barleyhub.affinity.order import key_of
+from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 from barleyhub.line.dispatch import Dispatcher
-from barleyhub.line.stock import State, Stock, Upstream
 from latchspoke.configuration import compile_table
 from latchspoke.dataplane.explain import Ask, explain
 from latchspoke.pool.command import pool_app
@@ -27,11 +27,11 @@
 
 
 def test_a_gateway_tells_where_a_caller_goes_and_why() -> None:
-    stock = Stock("g", "z", "r", random.Random(1), 0.5)
+    stock = Balancer("g", "z", "r", random.Random(1), 0.5)
     for n in range(4):
-        stock.put(Upstream(f"i{n}", "s", "h", n + 1, "z", "r", 4, State.READY), 0.0)
+        stock.put(Upstream(f"i{n}", "s", "h", n + 1, "z", "r", 4, UpstreamState.READY), 0.0)
     gate = Dispatcher(stock, random.Random(1), 0.2, 9.0)
-    gate.berths = Berths(stock)
+    gate.affinity = Berths(stock)
     table = compile_table(cast(Any, DOC))
 
     def told(**ask: str) -> dict[str, Any]:
@@ -41,11 +41,11 @@
     assert first["caller"]["caller"] == "bob" and first["caller"]["id"] in first["because"]
     assert told(caller="eve")["caller"]["caller"] == "eve"
     upstream = stock.upstreams[first["caller"]["id"]]
-    upstream.rest_until = 5.0
+    upstream.backoff_until = 5.0
     assert told()["caller"]["id"] != upstream.ident
     assert "can't be reached" in [line["passed_over"] for line in told()["caller"]["order"]]
-    upstream.rest_until = 0.0
-    gate.berths.pins["s", key_of(b"bob")] = "i3", 4.0
+    upstream.backoff_until = 0.0
+    gate.affinity.pins["s", key_of(b"bob")] = "i3", 4.0
     assert told()["caller"]["id"] == "i3" and "exchange is open" in told()["because"]
     assert "caller" not in explain(table, Ask("h", "/a/"), 1.0, stock, gate)
 
--- a/tests/ctl/test_views.py
+++ b/tests/ctl/test_views.py
@@ -13,7 +13,7 @@
 import pytest
 
 from barleyhub import interface as api
-from barleyhub.line.dispatch import Call
+from barleyhub.line.dispatch import RoutedRequest
 from latchspoke.configuration import compile_table
 from latchspoke.ctl import pages
 from latchspoke.dataplane import view
@@ -53,11 +53,11 @@
     tenant, route = table.tenant(KEY), table.routes["r-read"]
     node.draw.seed(1)
     assert tenant is not None
-    account = node.dispatcher.account(tenant, node.clock.now())
-    account.learn(20.0, 0.0, 0.0, (0.0, 0.0), node.clock.now())
+    account = node.dispatcher.get_account(tenant, node.clock.now())
+    account.update_totals(20.0, 0.0, 0.0, (0.0, 0.0), node.clock.now())
     sent = []
     for number in range(60):
-        call = Call(f"{number}", "mill", "books", "r-read", 1.0, 2.0, 1, route=route, tenant=tenant)
+        call = RoutedRequest(f"{number}", "mill", "books", "r-read", 1.0, 2.0, 1, route=route, tenant=tenant)
         sent += node.dispatcher.handle(call, node.clock.now())
     assert any(isinstance(action, api.Refuse) for action in sent)
     seen = view.status(node)
--- a/tests/dataplane/player.py
+++ b/tests/dataplane/player.py
@@ -142,7 +142,7 @@
             case "server":
                 self.server(*rest.split())
             case "gateways":
-                self.node.dispatcher.live(
+                self.node.dispatcher.set_gateways(
                     {f"edge-{n + 1}": "waw-a" for n in range(int(rest))}, self.clock.now()
                 )
             case "ready":
--- a/tests/line/test_quota.py
+++ b/tests/line/test_quota.py
@@ -14,9 +14,9 @@
 import pytest
 
 from barleyhub import interface as api
-from barleyhub.line.dispatch import Call, Dispatcher, Told
-from barleyhub.line.quota import Account, Host
-from barleyhub.line.stock import State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
+from barleyhub.line.dispatch import Dispatcher, RoutedRequest, TotalsReceived
+from barleyhub.line.quota import Account, QuotaOwner
 from latchspoke.configuration.routes import NO_HOMES, Route, Tenant
 from latchspoke.dataplane.counts import STEP, Counts
 from latchspoke.dataplane.node import HOSTS_ANEW, YOUNG, hosts_nothing
@@ -45,17 +45,17 @@
     def __init__(self, world: World, name: str, life: int) -> None:
         self.world, self.name, self.acts = world, name, True
         self.tenant = Tenant("t", RATE, BURST, None, NO_HOMES)
-        stock = Stock(name, "a", "r", world.draw, 1.5)
-        stock.put(Upstream("s", "pool", "h", 1, "a", "r", 9, State.READY), 0.0)
+        stock = Balancer(name, "a", "r", world.draw, 1.5)
+        stock.put(Upstream("s", "pool", "h", 1, "a", "r", 9, UpstreamState.READY), 0.0)
         self.dispatcher = Dispatcher(stock, world.draw, 0.2, 62.0)
         if life > len(world.names):
-            self.dispatcher.young_until = world.clock.now() + YOUNG
+            self.dispatcher.burst_unknown_until = world.clock.now() + YOUNG
         self.counts = Counts(name, f"{life}", world.clock, self.dispatcher, self.handle)
 
     def see(self, names: list[str]) -> None:
         HERE.set(self.name)
         late, now = self.world.late, self.world.clock.now()
-        self.dispatcher.live(dict.fromkeys(names, "a"), now)
+        self.dispatcher.set_gateways(dict.fromkeys(names, "a"), now)
         cautious = late.get(self.name, -math.inf) + HOSTS_ANEW > now
         those = {n for n in names if late.get(n, -math.inf) > now}
         self.counts.live({n: (n, 1) for n in names}, cautious, those)
@@ -64,9 +64,11 @@
         self.world.number += 1
         name = f"{self.world.number}"
         if self.acts:
-            self.handle(Call(name, "t", "pool", "read", 1.0, 2.0, 1, route=ROUTE, tenant=self.tenant))
+            self.handle(
+                RoutedRequest(name, "t", "pool", "read", 1.0, 2.0, 1, route=ROUTE, tenant=self.tenant)
+            )
 
-    def handle(self, event: api.Event | Told) -> None:
+    def handle(self, event: api.Event | TotalsReceived) -> None:
         now = self.world.clock.now()
         for action in self.dispatcher.handle(cast(api.Event, event), now):
             match action:
@@ -179,7 +181,7 @@
             if tick % 5 == 0:
                 for name, gateway in self.gateways.items():
                     HERE.set(name)
-                    gateway.dispatcher.forget(now)
+                    gateway.dispatcher.expire(now)
                     gateway.counts.step(now)
 
     def most(self, window: float = WINDOW, after: float = 0.0) -> int:
@@ -283,7 +285,7 @@
     world.run(15.0, story(world))
     assert world.most() <= most
     assert len(world.sent) > 0.75 * RATE * 15, "what is within the quota is let through"
-    refused = sum((gateway.dispatcher.counts for gateway in world.gateways.values()), Counter())
+    refused = sum((gateway.dispatcher.counters for gateway in world.gateways.values()), Counter())
     assert refused["refused.gate"] > refused["refused.total"], "the gate shares the room, the total guards it"
 
 
@@ -300,42 +302,42 @@
 ) -> None:
     """Near its quota, a tenant is refused nothing for that; were nothing handed on, it would be."""
     if not handed_on:
-        monkeypatch.setattr(Host, "inherit", lambda *args: None)
+        monkeypatch.setattr(QuotaOwner, "take_over", lambda *args: None)
     refused = Counter[str]()
     for seed in (0, 2, 5):
         world = World(seed)
         world.run(18.0, leave_in_turn(world), load=0.85 * RATE)
-        refused += sum((gateway.dispatcher.counts for gateway in world.gateways.values()), Counter())
+        refused += sum((gateway.dispatcher.counters for gateway in world.gateways.values()), Counter())
     assert (refused["refused.total"] + refused["refused.gate"] == 0) is handed_on
 
 
 def test_a_tally_that_is_handed_on_counts_each_report_once() -> None:
     """Two gateways told the host before; one tells the next one, too, before the tally has come."""
     told = {"r": 10.0, "b": 100.0}
-    before, after = Host(), Host()
-    before.report("g1", "one", "t", told | {"o": 5.0, "a": 5.0, "k": 60.0}, 0.0)
-    before.report("g2", "one", "t", told | {"o": 4.0, "a": 4.0, "k": 60.0}, 0.0)
-    image = before.hand_on("t", 0.5)
-    assert image is not None and image[2] == 65.0 and before.hand_on("t", 0.5) is None
-    after.inherit("t", image, 0.5)
+    before, after = QuotaOwner(), QuotaOwner()
+    before.apply_report("g1", "one", "t", told | {"o": 5.0, "a": 5.0, "k": 60.0}, 0.0)
+    before.apply_report("g2", "one", "t", told | {"o": 4.0, "a": 4.0, "k": 60.0}, 0.0)
+    image = before.hand_over("t", 0.5)
+    assert image is not None and image[2] == 65.0 and before.hand_over("t", 0.5) is None
+    after.take_over("t", image, 0.5)
     # 3 more by the one, 2 more by the other, 10 a second between.
-    assert after.report("g1", "one", "t", told | {"o": 8.0, "a": 8.0, "k": 0.0}, 0.6)[0] == 63.0
-    assert after.report("g2", "one", "t", told | {"o": 6.0, "a": 6.0, "k": 0.0}, 0.6)[0] == 61.0
-    late = Host()
-    late.report("g1", "one", "t", told | {"o": 8.0, "a": 8.0, "k": 50.0}, 0.5)
-    late.inherit("t", image, 0.6)
-    assert late.report("g2", "one", "t", told | {"o": 6.0, "a": 6.0, "k": 0.0}, 0.6)[0] == 49.0
-    late.hand_on("t", 0.7)
-    late.inherit("t", image, 1.0)
-    late.forget(9.0)
-    assert not late.heirs, "what nobody asked for is old"
+    assert after.apply_report("g1", "one", "t", told | {"o": 8.0, "a": 8.0, "k": 0.0}, 0.6)[0] == 63.0
+    assert after.apply_report("g2", "one", "t", told | {"o": 6.0, "a": 6.0, "k": 0.0}, 0.6)[0] == 61.0
+    late = QuotaOwner()
+    late.apply_report("g1", "one", "t", told | {"o": 8.0, "a": 8.0, "k": 50.0}, 0.5)
+    late.take_over("t", image, 0.6)
+    assert late.apply_report("g2", "one", "t", told | {"o": 6.0, "a": 6.0, "k": 0.0}, 0.6)[0] == 49.0
+    late.hand_over("t", 0.7)
+    late.take_over("t", image, 1.0)
+    late.expire(9.0)
+    assert not late.handed_over, "what nobody asked for is old"
 
 
 def test_a_tally_for_somebody_out_of_reach_is_let_go() -> None:
     """Sent later it would pass for what is known now."""
     world = World(1)
     counts = world.gateways["g1"].counts
-    counts.host.report("g2", "1", "t", {"r": RATE, "b": BURST, "o": 1.0, "a": 1.0}, world.clock.now())
+    counts.host.apply_report("g2", "1", "t", {"r": RATE, "b": BURST, "o": 1.0, "a": 1.0}, world.clock.now())
     those = {name: (name, 1) for name in world.names}
     others = [name for name in world.names if name != "g1"]
     world.cut(["g1"], others)
@@ -365,17 +367,17 @@
 def test_a_host_without_memory_begins_with_half_a_burst() -> None:
     """The other half may just have been used, as told to a host that is dead now."""
     told = {"o": 1.0, "a": 0.0, "r": 10.0, "b": 10.0}
-    assert Host().report("g1", "one", "t", told, 0.0)[0] == 5.0
-    assert Host().report("g1", "one", "t", told | {"k": 7.0, "ko": 1.0}, 0.0)[0] == 7.0
+    assert QuotaOwner().apply_report("g1", "one", "t", told, 0.0)[0] == 5.0
+    assert QuotaOwner().apply_report("g1", "one", "t", told | {"k": 7.0, "ko": 1.0}, 0.0)[0] == 7.0
 
 
 def test_the_guard_of_the_total_holds_whatever_the_draw_says() -> None:
     """A gate that lets one in ten pass may be lucky: the room is the end."""
     account = Account("t", 10.0, 10.0, 2, 0.0)
-    account.learn(3.0, 100.0, 0.0, (0.0, 0.0), 0.0)
+    account.update_totals(3.0, 100.0, 0.0, (0.0, 0.0), 0.0)
     passed = 0
     for _ in range(50):
-        account.offer(1.0, 0.0)
+        account.record_offer(1.0, 0.0)
         if account.fits(1.0, 0.0):
             account.admit(1.0)
             passed += 1
@@ -386,14 +388,20 @@
     """The room goes by rank, and all ranks together get no more of it than without ranks."""
     account = Account("t", 10.0, 10.0, 1, 0.0)
     for rank, units in ((2, 60.0), (0, 5.0), (1, 15.0)):
-        account.offer(units, 0.0, rank)
-    account.learn(0.0, 80.0, 0.0, (80.0, 0.0), 0.0)
-    gates = [account.gate(0.0, rank) for rank in range(3)]
+        account.record_offer(units, 0.0, rank)
+    account.update_totals(0.0, 80.0, 0.0, (80.0, 0.0), 0.0)
+    gates = [account.admission_probability(0.0, rank) for rank in range(3)]
     assert gates == pytest.approx([1.0, 5 / 15, 0.0])
-    assert 5 * gates[0] + 15 * gates[1] + 60 * gates[2] == pytest.approx(80 * account.gate(0.0))
-    assert account.gate(0.0, 3) == account.gate(0.0), "a rank that nothing is known of"
-    account.learn(9.0, 80.0, 0.0, (80.0, 0.0), 0.0)
-    assert account.gate(0.0, 1) == 1.0 and account.gate(0.0, 2) < 0.2, "a burst reaches further down"
+    assert 5 * gates[0] + 15 * gates[1] + 60 * gates[2] == pytest.approx(
+        80 * account.admission_probability(0.0)
+    )
+    assert account.admission_probability(0.0, 3) == account.admission_probability(0.0), (
+        "a rank that nothing is known of"
+    )
+    account.update_totals(9.0, 80.0, 0.0, (80.0, 0.0), 0.0)
+    assert account.admission_probability(0.0, 1) == 1.0 and account.admission_probability(0.0, 2) < 0.2, (
+        "a burst reaches further down"
+    )
 
 
 def test_who_comes_back_beside_others_hosts_nothing_until_it_is_old() -> None:
--- a/tests/outliers/test_ledger.py
+++ b/tests/outliers/test_ledger.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from barleyhub.line.examiner import together
+from barleyhub.line.outliers import combine
 from latchspoke.outliers.ledger import LEASE, RENEW, EvidenceError, Ledger, read
 
 
@@ -18,8 +18,8 @@
     for _ in range(2):
         one.merge("two", two.to_peers(0.0) or [], 0.0)
     found = one.evidence("s1", 0.0)
-    assert (found["a"].bad, found["b"].bad) == (2, 1)
-    assert together(found.values()).witnesses == {"g1", "g2"} and together(found.values()).zones == 2
+    assert (found["a"].failed, found["b"].failed) == (2, 1)
+    assert combine(found.values()).witnesses == {"g1", "g2"} and combine(found.values()).zone_count == 2
     assert [read(e)[0] for e in one.to_gateways(0.0, ["a"])["a"]] == ["s1"]
 
 
@@ -38,7 +38,7 @@
     assert not two.to_gateways(0.1, ["a"])
     one.left("g1")
     two.merge("one", one.to_peers(RENEW), RENEW)
-    assert two.evidence("s1", RENEW)["a"].all < 5.1
+    assert two.evidence("s1", RENEW)["a"].attempts < 5.1
 
 
 def test_leases_end() -> None:
@@ -74,7 +74,7 @@
     sums: list[dict[str, float]] = []
     for ledger in ledgers.values():
         ledger.sweep(now)
-        sums.append({z: round(s.all, 1) for z, s in ledger.evidence("s1", now).items()})
+        sums.append({z: round(s.attempts, 1) for z, s in ledger.evidence("s1", now).items()})
     first = sums[0]
     assert all(each.keys() == first.keys() for each in sums)
     for each in sums:
--- a/tests/outliers/test_wiring.py
+++ b/tests/outliers/test_wiring.py
@@ -11,7 +11,7 @@
 
 from barleyhub import interface as api
 from barleyhub.interface import Code
-from barleyhub.line.dispatch import Call
+from barleyhub.line.dispatch import RoutedRequest
 from latchspoke.ctl import pages
 from latchspoke.dataplane import node as dataplane
 from latchspoke.dataplane.feed import Source
@@ -39,10 +39,10 @@
     now = node.clock.now()
     for number in range(times):
         ident = f"q{number}"
-        call = Call(ident, "", "books", "r-all", 1.0, 2.0, 1, route=route)
+        call = RoutedRequest(ident, "", "books", "r-all", 1.0, 2.0, 1, route=route)
         node.dispatcher.handle(call, now)
-        (attempt, (_, sent_at)) = next(iter(node.dispatcher.jobs[ident].out.items()))
-        node.dispatcher.jobs[ident].out[attempt] = upstream, sent_at
+        (attempt, (_, sent_at)) = next(iter(node.dispatcher.active_requests[ident].in_flight.items()))
+        node.dispatcher.active_requests[ident].in_flight[attempt] = upstream, sent_at
         node.dispatcher.handle(api.Outcome(ident, attempt, server, code, 0.1, report=report), now)
 
 
@@ -66,7 +66,7 @@
         core.tell_evidence(core.clock.now())
     (told,) = [m for m in lines[2].sent if m["k"] == "hot"]
     edges[2].feed.heard(Line(), told)
-    assert edges[2].stock.told == {} or set(edges[2].stock.told) == {"b1"}
+    assert edges[2].stock.outlier_shares == {} or set(edges[2].stock.outlier_shares) == {"b1"}
     seen = edges[2].readiness("GET", "/status", b"")[1]
     assert seen["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
     assert seen["evidence"]["b1"]["failed"] > 5
@@ -100,5 +100,5 @@
     fail(node, Code.RESET, {"forgot": 1.0})
     fail(node, Code.UNREACHABLE, {}, "b2")
     fail(node, Code.FULL, {})
-    assert not node.dispatcher.witness.due(node.clock.now())
+    assert not node.dispatcher.failure_reporter.take_report(node.clock.now())
     loop.close()
--- a/tests/reach/test_graph.py
+++ b/tests/reach/test_graph.py
@@ -9,7 +9,7 @@
 import pytest
 
 from barleyhub.interface import Code
-from barleyhub.line.stock import State, Stock, Upstream
+from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 from latchspoke.reach import graph as module
 from latchspoke.reach.fleet import findings, gather, timeline
 from latchspoke.reach.graph import CHANGES, ENDS, KEPT, SPAN, SPANS, Graph, bucket, quantile
@@ -17,10 +17,10 @@
 Row = dict[str, Any]
 
 
-def stock(*idents: str) -> Stock:
-    made = Stock("edge-a-1", "a", "north", random.Random(1), 1.0)
+def stock(*idents: str) -> Balancer:
+    made = Balancer("edge-a-1", "a", "north", random.Random(1), 1.0)
     for ident in idents:
-        made.put(Upstream(ident, "books", "127.0.0.9", 1, "a", "north", 2, State.READY), 0.0)
+        made.put(Upstream(ident, "books", "127.0.0.9", 1, "a", "north", 2, UpstreamState.READY), 0.0)
     return made
 
 
@@ -62,16 +62,16 @@
     known, graph = stock("b1", "b2"), Graph(0.0)
     assert [(c.ident, c.was, c.codes) for c in graph.look(known, 0.0)] == [("b1", None, ()), ("b2", None, ())]
     one = known.upstreams["b1"]
-    one.own.pace = 2.1
-    known.failed(known.upstreams["b2"], 0.5, unreachable=True)
+    one.health.pace = 2.1
+    known.record_failure(known.upstreams["b2"], 0.5, unreachable=True)
     changes = {c.ident: c for c in graph.look(known, 0.5)}
     assert changes["b1"].codes == ("slow",) and changes["b1"].pace == 2.1
     assert changes["b2"].codes == ("unreachable", "doubtful", "erring") and changes["b2"].errors == 0.25
-    one.own.pace = 1.9
+    one.health.pace = 1.9
     assert "b1" not in {c.ident for c in graph.look(known, 0.6)}
-    one.own.pace = 1.4
+    one.health.pace = 1.4
     assert {c.ident: c.was for c in graph.look(known, 0.7)}["b1"] == ("slow",)
-    known.drop("b1")
+    known.remove("b1")
     assert [(c.ident, c.codes) for c in graph.look(known, 0.8)] == [("b1", ("gone",))]
     assert graph.standings["b1"].address == "127.0.0.9:1"  # for counts of those that are gone
     graph.look(known, 0.9 + KEPT)
