--- a/barleyhub/affinity/__init__.py
+++ b/barleyhub/affinity/__init__.py
@@ -1,6 +1,7 @@
-"""Which server a caller is served by, so that a change of the pool moves only those that must move.
+"""Affinity: keeps each caller at one server, and moves as few callers as possible when a pool changes.
 
-``order`` is the placement itself, the same on every gateway; ``pool`` keeps one service's set and the orders
-worked out of it; ``valve`` lets callers go to their second and come back without a wave; ``keeper`` puts it
-before a gateway's stock; ``plan`` explains a caller and plans a change. docs/affinity.md tells why.
+``rendezvous`` is the weighted hash, which gives the same results on every gateway. ``pool`` caches the
+rankings for one service. ``diversion`` moves a share of callers away from a server and brings them back
+gradually. ``selection`` chooses an upstream for a caller. ``plan`` explains where a caller goes and predicts
+the effect of a change. See docs/affinity.md.
 """
--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -21,10 +21,10 @@
 from rich.console import Console
 from rich.table import Table
 
-from barleyhub.affinity.keeper import Berths
-from barleyhub.affinity.order import NOWHERE, Caller, Member, key_of, order
-from barleyhub.affinity.plan import least
+from barleyhub.affinity.plan import least_movement
 from barleyhub.affinity.pool import Pool
+from barleyhub.affinity.rendezvous import NO_ORIGIN, Caller, Member, caller_key, rank_members
+from barleyhub.affinity.selection import AffinitySelector
 from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 
 Array = np.ndarray
@@ -45,7 +45,7 @@
 
 
 def seeds(places: list[str]) -> Array:
-    return np.array([int.from_bytes(key_of(p.encode())) for p in places], dtype=np.uint64)
+    return np.array([int.from_bytes(caller_key(p.encode())) for p in places], dtype=np.uint64)
 
 
 def number(places: list[str]) -> Array:
@@ -182,7 +182,7 @@
             after = changes(places, draw)[kind]
             for name, way in WAYS.items():
                 moved = float((way(callers, places) != way(callers, after)).mean())
-                cells[name].append(f"{moved / least(places, after):.2f}")
+                cells[name].append(f"{moved / least_movement(places, after):.2f}")
     for name, row in cells.items():
         table.add_row(name, *row)
     return table
@@ -238,7 +238,7 @@
     table = Table("µs a decision", *map(str, SIZES), box=None)
     rows: dict[str, list[str]] = {}
     text, names = b"member-8192736", [b"member-%d" % n for n in range(3000)]
-    keys = [key_of(name) for name in names]
+    keys = [caller_key(name) for name in names]
 
     def took(name: str, call: Callable[[], object], count: int) -> None:
         best = min(timeit.repeat(call, number=count, repeat=5, timer=time.process_time)) / count * 1e6
@@ -246,36 +246,38 @@
 
     for size in SIZES:
         stock = stock_of(size)
-        berths = Berths(stock)
+        berths = AffinitySelector(stock)
         caller = Caller(keys[0])
-        view = berths.shed("s", 0.0).pool.view(None, NOWHERE)
+        view = berths.service_state("s", 0.0).pool.view(None, NO_ORIGIN)
         places = {f"p{n}": 4.0 for n in range(size)}
         at, line = ring_of(places)
         spots, last = at.tolist(), line.tolist()
         few = max(20_000 // size, 100)
-        took("plain hash", lambda: key_of(text), 100_000)
+        took("plain hash", lambda: caller_key(text), 100_000)
         took("today: least expected time", lambda s=stock: s.pick("s", "r", None, (), 0.0, 0.1), few)  # type: ignore[misc]
         took("berths: known caller", lambda b=berths, c=caller: b.pick(c, "s", None, (), 0.0), 50_000)  # type: ignore[misc]
 
         def anew(view: object = view) -> None:
-            view.kept.clear()  # type: ignore[attr-defined]
-            view.order(keys[0])  # type: ignore[attr-defined]
+            view.rankings.clear()  # type: ignore[attr-defined]
+            view.ranking(keys[0])  # type: ignore[attr-defined]
 
         took("berths: order worked out", anew, few)
-        members = list(berths.sheds["s"].pool.members.values())
-        took("order(), not kept", lambda m=members: order(keys[0], m), few)  # type: ignore[misc]
+        members = list(berths.services["s"].pool.members.values())
+        took("order(), not kept", lambda m=members: rank_members(keys[0], m), few)  # type: ignore[misc]
         took("ring, bisect", lambda s=spots, n=last: n[bisect.bisect(s, 1 << 63) % len(n)], 100_000)  # type: ignore[misc]
         for key in keys[:200]:
-            view.order(key)
+            view.ranking(key)
         member, turn = members[1], [0]
 
         def changed(
-            pool: Pool = berths.sheds["s"].pool, member: Member = member, turn: list[int] = turn
+            pool: Pool = berths.services["s"].pool, member: Member = member, turn: list[int] = turn
         ) -> None:
             turn[0] += 1
-            pool.view(None, NOWHERE).change(member.place, replace(member, share=0.5 + turn[0] % 2 / 2))
+            pool.view(None, NO_ORIGIN).update_member(
+                member.address, replace(member, share=0.5 + turn[0] % 2 / 2)
+            )
             for key in keys[:200]:
-                pool.view(None, NOWHERE).order(key)
+                pool.view(None, NO_ORIGIN).ranking(key)
 
         best = min(timeit.repeat(changed, number=4, repeat=5, timer=time.process_time)) / 4 / 200 * 1e6
         rows.setdefault("berths: first time after a change", []).append(f"{best:.2f}")
@@ -295,7 +297,7 @@
         views = [dict(now) for _ in range(gateways)]
         pools = [Pool() for _ in range(gateways)]
         for held in pools:
-            held.put(now.values())
+            held.set_members(now.values())
         events: list[tuple[float, int, str, Member | None]] = []
         at = 0.0
         while at < seconds - 1:
@@ -312,9 +314,9 @@
                 views[g].pop(place, None)
                 if new is not None:
                     views[g][place] = new
-                pools[g].put(views[g].values())
-            key = key_of(b"%d" % draw.randrange(5000))
-            firsts = [held.view(None, NOWHERE).order(key)[0][2] for held in pools]
+                pools[g].set_members(views[g].values())
+            key = caller_key(b"%d" % draw.randrange(5000))
+            firsts = [held.view(None, NO_ORIGIN).ranking(key)[0][2] for held in pools]
             count += 1
             if len(set(firsts)) > 1:
                 differ += 1
--- a/benchmarks/affinity_day.py
+++ b/benchmarks/affinity_day.py
@@ -19,9 +19,9 @@
 from rich.table import Table
 
 from barleyhub import interface as api
-from barleyhub.affinity import keeper
-from barleyhub.affinity.keeper import Berths
-from barleyhub.affinity.order import Caller, key_of
+from barleyhub.affinity import selection
+from barleyhub.affinity.rendezvous import Caller, caller_key
+from barleyhub.affinity.selection import AffinitySelector
 from barleyhub.interface import Code
 from barleyhub.line.balancer import Balancer, ColdLimit, Upstream, UpstreamState
 from barleyhub.line.dispatch import Dispatcher, NoCapacity, RoutedRequest
@@ -80,7 +80,7 @@
             for server in self.servers.values():
                 gate.balancer.put(server.upstream(UpstreamState.READY), 0.0)
             if way != "today":
-                gate.affinity = Berths(gate.balancer)
+                gate.affinity = AffinitySelector(gate.balancer)
 
     def stock(self, number: int) -> Balancer:
         stock = Balancer(f"g{number}", f"z{number % 3}", "r", random.Random(number), 0.5, 1.5, 5.0)
@@ -126,7 +126,7 @@
         self.at(self.now + self.draw.expovariate(RATE), lambda: self.arrive(numbers))
         number, gate = next(numbers), self.draw.randrange(GATEWAYS)
         # Callers differ in how often they ask.
-        key = key_of(b"%d" % int(CALLERS * self.draw.random() ** 1.5))
+        key = caller_key(b"%d" % int(CALLERS * self.draw.random() ** 1.5))
         (name,) = self.draw.choices(list(ROUTES), SHARES)
         caller = Caller(key) if self.way != "today" else None
         call = RoutedRequest(str(number), "", "s", name, 1.0, 3.0, 1, route=ROUTES[name], caller=caller)
@@ -204,14 +204,14 @@
         "choice", "cold a s, before", "in the restart", "worst 5 s", "moves a s, before", "in the restart",
         "mean ms", "99th ms", "refused", "lost", "run twice", box=None,
     )  # fmt: skip
-    saved = keeper.GROWS
+    saved = selection.WARM_UP_BOUNDS
     for way, grows in (
         ("today", saved),
         ("berths", saved),
         ("no growth", (0.0, 0.0)),
         ("12 s growth", (12.0, 0.0)),
     ):
-        keeper.GROWS = grows
+        selection.WARM_UP_BOUNDS = grows
         day = Day(seed, way)
         day.run()
         before, during = range(int(WARM) - 40, int(WARM)), range(int(WARM), int(WARM + SERVERS * EACH))
--- a/benchmarks/affinity_system.py
+++ b/benchmarks/affinity_system.py
@@ -18,8 +18,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from barleyhub.affinity.keeper import Berths
-from barleyhub.affinity.order import NOWHERE, Caller
+from barleyhub.affinity.rendezvous import NO_ORIGIN, Caller
+from barleyhub.affinity.selection import AffinitySelector
 from benchmarks.system_days import HEADS, SINCE, STATE, Sums, callers_day
 from latchspoke.lab.system.day import Play, Played
 from latchspoke.lab.system.records import Callers, Day, Deployment, Trouble, read
@@ -51,20 +51,25 @@
         super().__init__(deployment, day, home)
         Watched.now = self
 
-    def gates(self) -> list[Berths]:
+    def gates(self) -> list[AffinitySelector]:
         nodes = [machine.node for machine in self.fleet.edges if machine.running]
         return [n.dispatcher.affinity for n in nodes if n.ready and n.dispatcher.affinity is not None]
 
 
-pick = Berths.pick
+pick = AffinitySelector.pick
 
 
 def compared(
-    berths: Berths, caller: Caller, service: str, homes: frozenset[str] | None, tried: Any, now: float
+    berths: AffinitySelector,
+    caller: Caller,
+    service: str,
+    homes: frozenset[str] | None,
+    tried: Any,
+    now: float,
 ) -> Any:
     if not tried:
-        sheds = [gate.shed(service, now) for gate in Watched.now.gates()]
-        orders = [shed.pool.view(homes, NOWHERE).order(caller.key) for shed in sheds]
+        sheds = [gate.service_state(service, now) for gate in Watched.now.gates()]
+        orders = [shed.pool.view(homes, NO_ORIGIN).ranking(caller.key) for shed in sheds]
         apart = len({ranks[0][2] if ranks else "" for ranks in orders}) > 1
         Watched.asked += 1
         Watched.apart += apart
@@ -104,7 +109,7 @@
         for way in ("today", "kept"):
             sums, found = Sums(), list[tuple[float, bool]]()
             Watched.asked = Watched.apart = Watched.alike = 0
-            with patch.object(Berths, "pick", compared):
+            with patch.object(AffinitySelector, "pick", compared):
                 for played in callers_day(busy, Callers(COUNT, way=way), days, name, seeds, sums, Watched):
                     found += cold(played)
             share = f"{sum(new for _, new in found) / len(found):.1%}"
--- a/latchspoke/dataplane/downstream.py
+++ b/latchspoke/dataplane/downstream.py
@@ -27,7 +27,7 @@
 )
 
 if TYPE_CHECKING:
-    from barleyhub.affinity.order import Caller
+    from barleyhub.affinity.rendezvous import Caller
 
 LINGER = 0.5  # s; after a refusal of bad input the rest is read and dropped, so that it arrives
 HOLD = 0.25  # s that a request waits at most for a gateway that has just begun to know the operator's word
@@ -328,15 +328,15 @@
 
     def caller(self, exchange: ClientExchange, route: Route, tenant: str) -> tuple[Caller | None, str]:
         """Whose request it is, where its route keeps callers, and the service that it goes to then."""
-        from barleyhub.affinity.order import Caller, key_of, service_of
+        from barleyhub.affinity.rendezvous import Caller, caller_key, choose_service
 
         affinity = route.affinity
         assert affinity is not None
         text = affinity.caller(exchange.headers, exchange.url, tenant)
         if text is None:
             return None, ""
-        key = key_of(text)
-        return Caller(key, affinity.near, affinity.exchange), service_of(key, route.split)
+        key = caller_key(text)
+        return Caller(key, affinity.near, affinity.exchange), choose_service(key, route.split)
 
     def message(self, exchange: ClientExchange, ident: bytes, tenant: bytes) -> Request:
         """Method, path, body and headers are as they came, but for what concerns one connection."""
--- a/latchspoke/dataplane/explain.py
+++ b/latchspoke/dataplane/explain.py
@@ -112,16 +112,18 @@
     now: float,
 ) -> dict[str, Any]:  # fmt: skip
     """Where a caller goes and why; the server's id, if it is the caller's own."""
-    from barleyhub.affinity.keeper import Berths
-    from barleyhub.affinity.order import key_of, service_of
+    from barleyhub.affinity.rendezvous import caller_key, choose_service
+    from barleyhub.affinity.selection import AffinitySelector
 
     assert route.affinity is not None
     berths = (
-        dispatcher.affinity if dispatcher is not None and dispatcher.affinity is not None else Berths(stock)
+        dispatcher.affinity
+        if dispatcher is not None and dispatcher.affinity is not None
+        else AffinitySelector(stock)
     )
-    service = service_of(key_of(text.encode()), route.split)
+    service = choose_service(caller_key(text.encode()), route.split)
     told = berths.explain(text, route.affinity.near, service, homes, now)
-    upstream = berths.sheds[service].upstreams.get(told["goes_to"] or "")
+    upstream = berths.services[service].upstreams.get(told["goes_to"] or "")
     ident = told.get("exchange", {}).get("id") or (upstream.ident if upstream is not None else None)
     return {"service": service, "id": ident} | told
 
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -224,9 +224,9 @@
             self.stock.cold_limits = {n: ColdLimit(s.cold_s, s.cold_per_s) for n, s in table.services.items()}
             self.stock.revision += 1
             if self.dispatcher.affinity is None and any(r.affinity for r in table.routes.values()):
-                from barleyhub.affinity.keeper import Berths
+                from barleyhub.affinity.selection import AffinitySelector
 
-                self.dispatcher.affinity = Berths(self.stock)
+                self.dispatcher.affinity = AffinitySelector(self.stock)
             if self.travel is None and any(r.affinity and r.affinity.travels for r in table.routes.values()):
                 from latchspoke.dataplane.travel import Travel
 
--- a/latchspoke/dataplane/travel.py
+++ b/latchspoke/dataplane/travel.py
@@ -230,7 +230,7 @@
         exchange = headers.get(travels.exchange, b"") or request.ident
         strict = travels.refuse and not call.route.repeatable
         terms = Terms(
-            tuple(sorted(homes or ())), call.caller.exchange, travels.look, strict, bool(travels.ask)
+            tuple(sorted(homes or ())), call.caller.exchange_s, travels.look, strict, bool(travels.ask)
         )
         self.trips[call.request] = Trip(call, flow)
         key = key_of(call.route.name, tenant.name if tenant is not None else "", call.caller.key)
@@ -267,7 +267,7 @@
         if trip.flow.closed:
             return
         if bill is not None and bill.life and berths is not None and call.caller is not None:
-            berths.pins[call.service, call.caller.key] = bill.life, now + call.caller.exchange
+            berths.pins[call.service, call.caller.key] = bill.life, now + call.caller.exchange_s
         trip.begun = True
         self.actions += self.dispatcher.handle(replace(call, left=max(trip.flow.until - now, 0.0)), now)
 
@@ -392,7 +392,7 @@
         return {"key": key, "travels": found, "owner": owner, "copy": copy, "homes": list(homes), **seen}
 
     def key(self, route: str, tenant: str, caller: str) -> tuple[str, bool]:
-        from barleyhub.affinity.order import key_of as caller_key
+        from barleyhub.affinity.rendezvous import caller_key
 
         table = self.node.downstream.table
         known = table.routes.get(route) if table is not None else None
@@ -417,7 +417,7 @@
             return 400, {"errorText": f"{to} is no server of that route"}
         allowed = frozenset(self.homes(route, tenant)) or None
         berths = self.dispatcher.affinity
-        why = berths.barred(upstream, allowed, self.clock.now()) if berths is not None else ""
+        why = berths.unusable_reason(upstream, allowed, self.clock.now()) if berths is not None else ""
         if why:
             return 400, {"errorText": f"{to} gets no requests now: {why}"}
         homes, travels = self.homes(route, tenant), known.affinity.travels
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -22,7 +22,7 @@
 from latchspoke.membership.words import Member
 from latchspoke.net.clock import Clock
 from latchspoke.net.signals import ENDING, ignore_from_now_on
-from latchspoke.pool.versions import Versions
+from latchspoke.pool.versions import PoolVersions
 from latchspoke.registry.registry import BeatError, Registry
 from latchspoke.settings import VARIABLE, Settings, SettingsError, load
 from latchspoke.settings.watch import Stamp, Watch, stamp_of
@@ -56,7 +56,7 @@
         self.inner = s.ip, s.ports[0] + self.PORT
         self.link = f"{s.ip}:{s.ports[0] + self.PORT}"
         self.registry = Registry(s.beat)
-        self.board = Board(self.registry, difference=diff, versions=Versions())  # type: ignore[arg-type]
+        self.board = Board(self.registry, difference=diff, versions=PoolVersions())  # type: ignore[arg-type]
         self.teller = Teller(self.board, self.clock, self.prove)
         self.servers: list[asyncio.Server] = []
         self.done = asyncio.Event()
--- a/latchspoke/pool/__init__.py
+++ b/latchspoke/pool/__init__.py
@@ -1,1 +1,1 @@
-"""For people, and between gateways: versions of pools, where a caller goes, who a change would move."""
+"""Versions of affinity pools, and the command that explains placements and plans changes."""
--- a/latchspoke/pool/command.py
+++ b/latchspoke/pool/command.py
@@ -1,4 +1,4 @@
-"""``ctl pool``: who would move with a planned change of a service's servers. Asks nobody."""
+"""``ctl pool``: explains placements and plans changes offline, from a saved status."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from cyclopts import App, Parameter
 
 if TYPE_CHECKING:
-    from barleyhub.affinity.order import Member
+    from barleyhub.affinity.rendezvous import Member
 
-pool_app = App(name="pool", help="Callers that are kept at their servers: who is where, who would move.")
-USAGE = 2
+pool_app = App(name="pool", help="Callers with affinity: where one goes, and which ones a change would move.")
+EXIT_USAGE = 2
 
 
 class PoolError(ValueError):
-    """What was asked can't be read, or names a place that isn't there; one line."""
+    """Invalid input: unreadable, or naming an unknown address, zone or region. One line."""
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
-    """A change of a set: places by address, ``added`` as ADDRESS=SLOTS@ZONE, ``slots`` as ADDRESS=SLOTS."""
+class PoolChange:
+    """A change of a pool: ``added`` as ADDRESS=SLOTS@ZONE, ``slots`` as ADDRESS=SLOTS."""
 
     removed: tuple[str, ...] = ()
     added: tuple[str, ...] = ()
@@ -32,160 +32,166 @@
     evacuated: tuple[str, ...] = ()
 
     def apply(self, members: list[Member]) -> list[Member]:
-        """Raises PoolError."""
-        from barleyhub.affinity.order import Member
-
-        known = {m.place: m for m in members}
-        regions = {m.zone: m.region for m in members}
-        for place in self.removed:
-            if known.pop(place, None) is None:
-                raise PoolError(f"no place {place}")
+        """The members after the change. Raises PoolError."""
+        from barleyhub.affinity.rendezvous import Member
+
+        by_address = {member.address: member for member in members}
+        regions = {member.zone: member.region for member in members}
+        for address in self.removed:
+            if by_address.pop(address, None) is None:
+                raise PoolError(f"no server {address}")
         for text in self.slots:
-            place, number = split(text, "=")
-            if place not in known:
-                raise PoolError(f"no place {place}")
-            known[place] = replace(known[place], strength=amount(number, text))
+            address, slots = split_pair(text, "=")
+            if address not in by_address:
+                raise PoolError(f"no server {address}")
+            by_address[address] = replace(by_address[address], capacity=parse_slots(slots, text))
         for text in self.added:
-            place, rest = split(text, "=")
-            number, zone = split(rest, "@")
-            if place in known:
-                raise PoolError(f"{place} is there already")
-            known[place] = Member(place, amount(number, text), zone, regions.get(zone, zone))
+            address, rest = split_pair(text, "=")
+            slots, zone = split_pair(rest, "@")
+            if address in by_address:
+                raise PoolError(f"server {address} already exists")
+            by_address[address] = Member(address, parse_slots(slots, text), zone, regions.get(zone, zone))
         for zone in self.evacuated:
-            if zone not in {m.zone for m in known.values()}:
-                raise PoolError(f"no place in zone {zone!r}")
-        left = [m for m in known.values() if m.zone not in self.evacuated]
-        if not left:
-            raise PoolError("the change leaves no place")
-        return left
-
-
-def split(text: str, sign: str) -> tuple[str, str]:
-    """Both sides of a sign. Raises PoolError where one is missing."""
-    first, found, rest = text.partition(sign)
-    if not found or not first or not rest:
+            if zone not in {member.zone for member in by_address.values()}:
+                raise PoolError(f"no server in zone {zone!r}")
+        remaining = [member for member in by_address.values() if member.zone not in self.evacuated]
+        if not remaining:
+            raise PoolError("the change leaves no server")
+        return remaining
+
+
+def split_pair(text: str, separator: str) -> tuple[str, str]:
+    """Split at the separator. Raises PoolError if a side is empty."""
+    left, sign, right = text.partition(separator)
+    if not sign or not left or not right:
         raise PoolError(f"{text!r} is not of the form ADDRESS=SLOTS or ADDRESS=SLOTS@ZONE")
-    return first, rest
+    return left, right
 
 
-def amount(number: str, text: str) -> float:
-    """A whole number above 0. Raises PoolError where it is none."""
-    if not number.isdigit() or not int(number):
-        raise PoolError(f"{text!r}: slots are a whole number above 0")
-    return float(number)
+def parse_slots(slots: str, text: str) -> float:
+    """Parse a number of slots that was given in ``text``. Raises PoolError."""
+    if not slots.isdigit() or not int(slots):
+        raise PoolError(f"{text!r}: slots must be a whole number above 0")
+    return float(slots)
 
 
-def members_of(data: bytes, service: str) -> list[Member]:
-    """The set of a service from a gateway's view, as `status --gateway ... --json` told. Raises PoolError."""
-    from barleyhub.affinity.order import Member
+def read_members(data: bytes, service: str) -> list[Member]:
+    """Ready servers of a service, from the output of `status --gateway ... --json`. Raises PoolError."""
+    from barleyhub.affinity.rendezvous import Member
 
     try:
         view: dict[str, Any] = json.loads(data)
         view = view.get("gateway", view)
-        away = set(view.get("evacuated", ()))
-        found = [
-            Member(str(s["address"]), float(s["slots"]), str(s["zone"]), str(s["region"]))
-            for s in view["servers"]
-            if s["service"] == service and s["state"] == "ready" and s["zone"] not in away
+        evacuated = set(view.get("evacuated", ()))
+        members = [
+            Member(str(server["address"]), float(server["slots"]), str(server["zone"]), str(server["region"]))
+            for server in view["servers"]
+            if server["service"] == service and server["state"] == "ready" and server["zone"] not in evacuated
         ]
     except (AttributeError, KeyError, TypeError, ValueError) as e:
-        raise PoolError(f"no view of a gateway's: {e!r}") from None
-    if not found:
-        raise PoolError(f"no server of {service!r} is ready there")
-    return found
+        raise PoolError(f"not the status of a gateway: {e!r}") from None
+    if not members:
+        raise PoolError(f"no ready server of service {service!r}")
+    return members
 
 
-def homes_of(names: list[str], members: list[Member]) -> frozenset[str] | None:
-    """Raises PoolError."""
+def parse_homes(names: list[str], members: list[Member]) -> frozenset[str] | None:
+    """Allowed regions; None for all. Raises PoolError."""
     for name in names:
-        if name not in {m.region for m in members}:
-            raise PoolError(f"no place in region {name!r}")
+        if name not in {member.region for member in members}:
+            raise PoolError(f"no server in region {name!r}")
     return frozenset(names) or None
 
 
-Json = Annotated[bool, Parameter(negative="", help="One JSON object instead of text.")]
-State = Annotated[Path, Parameter(help="Servers as `status --gateway ... --json` told.")]
-Service = Annotated[str, Parameter(help="The service.")]
+JsonOption = Annotated[bool, Parameter(negative="", help="Print a JSON object instead of text.")]
+StateOption = Annotated[Path, Parameter(help="Output of `status --gateway ... --json`.")]
+ServiceOption = Annotated[str, Parameter(help="Name of the service.")]
 
 
 @pool_app.command
 def plan(
     *,
-    state: State,
-    service: Service,
-    remove: Annotated[list[str], Parameter(negative="", help="ADDRESS that goes.")] = [],  # noqa: B006
-    add: Annotated[list[str], Parameter(negative="", help="ADDRESS=SLOTS@ZONE that comes.")] = [],  # noqa: B006
-    slots: Annotated[list[str], Parameter(negative="", help="ADDRESS=SLOTS that changes.")] = [],  # noqa: B006
-    evacuate: Annotated[list[str], Parameter(negative="", help="ZONE that is emptied.")] = [],  # noqa: B006
-    callers: Annotated[Path | None, Parameter(help="Callers, one a line; else drawn ones.")] = None,
-    home: Annotated[list[str], Parameter(negative="", help="REGION that may serve; else any.")] = [],  # noqa: B006
-    json: Json = False,
+    state: StateOption,
+    service: ServiceOption,
+    remove: Annotated[list[str], Parameter(negative="", help="ADDRESS to remove.")] = [],  # noqa: B006
+    add: Annotated[list[str], Parameter(negative="", help="ADDRESS=SLOTS@ZONE to add.")] = [],  # noqa: B006
+    slots: Annotated[list[str], Parameter(negative="", help="ADDRESS=SLOTS to change.")] = [],  # noqa: B006
+    evacuate: Annotated[list[str], Parameter(negative="", help="ZONE to evacuate.")] = [],  # noqa: B006
+    callers: Annotated[
+        Path | None, Parameter(help="File of callers, one per line; default: a sample.")
+    ] = None,
+    home: Annotated[list[str], Parameter(negative="", help="Allowed REGION; default: all.")] = [],  # noqa: B006
+    json: JsonOption = False,
 ) -> int:
-    """Who would move, from where to where, against the least that any placement moves."""
+    """Show which callers a change would move, and the least number that any placement would move."""
     from barleyhub.affinity.plan import plan_change
 
     try:
-        before = members_of(state.read_bytes(), service)
-        after = Plan(tuple(remove), tuple(add), tuple(slots), tuple(evacuate)).apply(before)
+        before = read_members(state.read_bytes(), service)
+        after = PoolChange(tuple(remove), tuple(add), tuple(slots), tuple(evacuate)).apply(before)
         names = None if callers is None else callers.read_text().split()
-        homes = homes_of(home, before)
+        homes = parse_homes(home, before)
     except (OSError, UnicodeDecodeError, PoolError) as e:
-        return refused(e, json)
-    return shown(plan_change(before, after, names, homes=homes), planned, json)
+        return print_error(e, json)
+    return print_result(plan_change(before, after, names, homes=homes), plan_text, json)
 
 
 @pool_app.command
 def explain(
     caller: str,
     *,
-    state: State,
-    service: Service,
-    home: Annotated[list[str], Parameter(negative="", help="REGION that may serve; else any.")] = [],  # noqa: B006
-    json: Json = False,
+    state: StateOption,
+    service: ServiceOption,
+    home: Annotated[list[str], Parameter(negative="", help="Allowed REGION; default: all.")] = [],  # noqa: B006
+    json: JsonOption = False,
 ) -> int:
-    """A caller's order among all ready servers, as every gateway has it once all are warm."""
+    """Show a caller's ranking of all ready servers, as it is once all are warm."""
     from barleyhub.affinity.plan import explain_caller
 
     try:
-        members = members_of(state.read_bytes(), service)
-        homes = homes_of(home, members)
+        members = read_members(state.read_bytes(), service)
+        homes = parse_homes(home, members)
     except (OSError, PoolError) as e:
-        return refused(e, json)
-    return shown(explain_caller(caller, members, homes=homes), explained, json)
+        return print_error(e, json)
+    return print_result(explain_caller(caller, members, homes=homes), explanation_text, json)
 
 
-def planned(told: dict[str, Any]) -> str:
-    """A plan as text for people."""
+def plan_text(result: dict[str, Any]) -> str:
+    """Format the result of ``plan``."""
     lines = [
-        f"{told['moved']} of {told['callers']} callers move: {told['share_moved']:.2%}, at least"
-        f" {told['least_possible']:.2%} must (set {told['from_version']} to {told['to_version']})"
+        f"{result['moved']} of {result['callers']} callers move: {result['share_moved']:.2%}, at least"
+        f" {result['least_possible']:.2%} must (set {result['from_version']} to {result['to_version']})"
     ]
-    lines += [f"{count} as {why}" for why, count in sorted(told["why"].items())]
-    lines += [f"{p}: {n['leave']} leave, {n['come']} come" for p, n in told["places"].items()]
-    lines += [f"{m['caller']}: {m['from']} to {m['to']}, {m['why']}" for m in told["moves"]]
+    lines += [f"{count} as {why}" for why, count in sorted(result["why"].items())]
+    lines += [
+        f"{address}: {counts['leave']} leave, {counts['come']} come"
+        for address, counts in result["places"].items()
+    ]
+    lines += [f"{move['caller']}: {move['from']} to {move['to']}, {move['why']}" for move in result["moves"]]
     return "\n".join(lines)
 
 
-def explained(told: dict[str, Any]) -> str:
-    """An explanation as text for people."""
-    lines = [f"{told['caller']!r} goes to {told['goes_to']}: {told['why']} (set {told['version']})"]
+def explanation_text(result: dict[str, Any]) -> str:
+    """Format the result of ``explain``."""
+    lines = [f"{result['caller']!r} goes to {result['goes_to']}: {result['why']} (set {result['version']})"]
     lines += [
-        f"{n}. {line['place']} in {line['zone']}, {line['strength']:g} slots, {line['part']:.2%} of callers"
-        for n, line in enumerate(told["order"], 1)
+        f"{number}. {line['place']} in {line['zone']}, {line['strength']:g} slots, "
+        f"{line['part']:.2%} of callers"
+        for number, line in enumerate(result["order"], 1)
     ]
-    return "\n".join(lines + [f"{place}: {why}" for place, why in told["not_in_order"].items()])
+    return "\n".join(lines + [f"{address}: {why}" for address, why in result["not_in_order"].items()])
 
 
-def refused(e: Exception, as_json: bool) -> int:
-    """One line that says what is wrong."""
+def print_error(error: Exception, as_json: bool) -> int:
+    """Print an error in one line, or as JSON; returns the exit code."""
     if as_json:
-        print(json.dumps({"ok": False, "exit": USAGE, "error": str(e)}, indent=2))
+        print(json.dumps({"ok": False, "exit": EXIT_USAGE, "error": str(error)}, indent=2))
     else:
-        print(f"pool: {e}", file=sys.stderr)
-    return USAGE
+        print(f"pool: {error}", file=sys.stderr)
+    return EXIT_USAGE
 
 
-def shown(told: dict[str, Any], page: Callable[[dict[str, Any]], str], as_json: bool) -> int:
-    """Print an answer as a page or as JSON; the exit code."""
-    print(json.dumps({"ok": True, "exit": 0} | told, indent=2) if as_json else page(told))
+def print_result(result: dict[str, Any], render: Callable[[dict[str, Any]], str], as_json: bool) -> int:
+    """Print a result as text or JSON; returns the exit code."""
+    print(json.dumps({"ok": True, "exit": 0} | result, indent=2) if as_json else render(result))
     return 0
--- a/latchspoke/session_records/drill.py
+++ b/latchspoke/session_records/drill.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from barleyhub.affinity.order import Member, order
-from barleyhub.affinity.order import key_of as placed_key
+from barleyhub.affinity.rendezvous import Member, rank_members
+from barleyhub.affinity.rendezvous import caller_key as placed_key
 from latchspoke.session_records.bill import Bill, Fate, Number, Peer, key_of
 from latchspoke.session_records.desk import LEAST, Ask, Desk, Go, Later, Pass, Step, Tell, Terms
 from latchspoke.session_records.office import Held, Letter, Message, Office, Out, read
@@ -380,7 +380,7 @@
         server = ready.get(bill.life) if bill is not None and not one.tried else None
         if server is None:
             members = [Member(s.place, 4.0, s.zone, s.region) for s in ready.values()]
-            ranks = order(placed_key(one.caller.encode()), members)
+            ranks = rank_members(placed_key(one.caller.encode()), members)
             server = self.servers[ranks[0][2]] if ranks else None
         if server is None or len(one.tried) >= 3:
             self.end(site, one, "503")
--- a/tests/affinity/test_telling.py
+++ b/tests/affinity/test_explain.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from barleyhub.affinity.keeper import Berths
-from barleyhub.affinity.order import key_of
+from barleyhub.affinity.rendezvous import caller_key
+from barleyhub.affinity.selection import AffinitySelector
 from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 from barleyhub.line.dispatch import Dispatcher
 from latchspoke.configuration import compile_table
@@ -31,7 +31,7 @@
     for n in range(4):
         stock.put(Upstream(f"i{n}", "s", "h", n + 1, "z", "r", 4, UpstreamState.READY), 0.0)
     gate = Dispatcher(stock, random.Random(1), 0.2, 9.0)
-    gate.affinity = Berths(stock)
+    gate.affinity = AffinitySelector(stock)
     table = compile_table(cast(Any, DOC))
 
     def told(**ask: str) -> dict[str, Any]:
@@ -45,7 +45,7 @@
     assert told()["caller"]["id"] != upstream.ident
     assert "can't be reached" in [line["passed_over"] for line in told()["caller"]["order"]]
     upstream.backoff_until = 0.0
-    gate.affinity.pins["s", key_of(b"bob")] = "i3", 4.0
+    gate.affinity.pins["s", caller_key(b"bob")] = "i3", 4.0
     assert told()["caller"]["id"] == "i3" and "exchange is open" in told()["because"]
     assert "caller" not in explain(table, Ask("h", "/a/"), 1.0, stock, gate)
 
--- a/tests/affinity/test_hard.py
+++ b/tests/affinity/test_selection.py
@@ -5,14 +5,14 @@
 from itertools import pairwise
 from typing import Any
 
-from barleyhub.affinity.keeper import Berths
-from barleyhub.affinity.order import Caller, key_of
+from barleyhub.affinity.rendezvous import Caller, caller_key
+from barleyhub.affinity.selection import AffinitySelector
 from barleyhub.line.balancer import Balancer, ColdLimit, Upstream, UpstreamState
 from latchspoke.distribution.board import Board, Follower, Orders, Reader
-from latchspoke.pool.versions import Versions
+from latchspoke.pool.versions import PoolVersions
 from latchspoke.registry.registry import Entry, Registry, read_beat
 
-KEYS = [key_of(b"%d" % n) for n in range(300)]
+KEYS = [caller_key(b"%d" % n) for n in range(300)]
 COLD = 12.0  # s; a share grows over as much
 Places = dict[bytes, str]
 
@@ -27,7 +27,7 @@
     def __init__(self, servers: Iterable[Upstream] = (), name: str = "g", zone: str = "z0") -> None:
         self.stock = Balancer(name, zone, "r", random.Random(1), 0.5)
         self.stock.cold_limits["s"] = ColdLimit(COLD, 5.0)
-        self.berths, self.now = Berths(self.stock), 100.0
+        self.berths, self.now = AffinitySelector(self.stock), 100.0
         self.tell(*servers)
 
     def tell(self, *servers: Upstream) -> None:
@@ -135,7 +135,7 @@
     one.tell(second)
     two.tell(first)
     assert one.all() == two.all()
-    assert one.berths.sheds["s"].pool.version == two.berths.sheds["s"].pool.version
+    assert one.berths.services["s"].pool.version == two.berths.services["s"].pool.version
 
 
 def beat(n: int, cold: float, sequence: int, now: float) -> Entry:
@@ -145,7 +145,7 @@
 
 def test_a_gateway_that_starts_in_the_middle_agrees_at_once() -> None:
     """A newcomer's share is half grown; the control plane has had beats without a word of cold since."""
-    told = Board(Registry(0.5), versions=Versions())
+    told = Board(Registry(0.5), versions=PoolVersions())
     doc = {
         "listenerList": [
             {"ruleSet": [{"actionSpec": {"service": "s", "affinity": {"callerFrom": ["tenant"]}}}]}
@@ -162,7 +162,7 @@
     for one in TEN:
         early.stock.upstreams[f"i{one}-0"].zone = "z0"
     told.join(Reader("late", messages.append), 109.5)
-    follower = Follower(Board(Registry(0.5), versions=Versions()), lambda old, patch: old)
+    follower = Follower(Board(Registry(0.5), versions=PoolVersions()), lambda old, patch: old)
     _, entries = follower.take(messages[0], 400.0)  # its clock is another
     assert not follower.differing
     for entry in entries:
@@ -170,9 +170,9 @@
         late.tell(server(number, zone="z0", cold_until=entry.cold_until))
     early.now, late.now = 109.5, 400.0
     assert early.all() == late.all()
-    member = late.berths.sheds["s"].pool.members["10.0.0.10:80"]
+    member = late.berths.services["s"].pool.members["10.0.0.10:80"]
     assert member.share == 9 / 16
-    assert messages[0]["pools"]["s"] == late.berths.sheds["s"].pool.version
+    assert messages[0]["pools"]["s"] == late.berths.services["s"].pool.version
 
 
 def test_one_that_is_full_keeps_an_open_exchange_and_spills_the_rest() -> None:
