--- a/barleyhub/line/balancer.py
+++ b/barleyhub/line/balancer.py
@@ -208,8 +208,8 @@
 
     def score(self, upstream: Upstream, latency: float, now: float, delay: float) -> float:
         """Expected latency in s with penalties; ``delay`` is the queueing delay in the upstream's region."""
-        gateways = self.zone_gateways.get(upstream.zone, 0) if upstream.zone == self.zone else 1.5
-        load = upstream.in_flight * max(gateways, 1) / max(upstream.slots, 1)
+        gateway_count = self.zone_gateways.get(upstream.zone, 0) if upstream.zone == self.zone else 1.5
+        load = upstream.in_flight * max(gateway_count, 1) / max(upstream.slots, 1)
         pace = latency * upstream.health.pace
         if upstream.in_flight_since and now - upstream.in_flight_since[0] > OVERDUE_FACTOR * pace:
             pace = max(pace, (now - upstream.in_flight_since[0]) / 2)
--- a/barleyhub/line/quota.py
+++ b/barleyhub/line/quota.py
@@ -281,7 +281,7 @@
     ) -> tuple[float, float, float]:
         """Apply a usage report; returns remaining units, and offered and admitted units a second."""
         rate, burst = counts["r"], counts["b"]
-        bucket, known = (
+        bucket, known_remaining = (
             self.buckets.get(tenant),
             counts.get("k", 0.0 if self.just_started else burst * INITIAL_BURST_SHARE),
         )
@@ -291,10 +291,12 @@
             and now - handed.refilled_at < TOTALS_MAX_AGE_S
         ):
             bucket = self.buckets[tenant] = handed
-        if known > 0:
-            known *= self.reachable_share
+        if known_remaining > 0:
+            known_remaining *= self.reachable_share
         if bucket is None:
-            bucket = self.buckets[tenant] = TenantBucket(rate, burst, now, min(known, burst), created_at=now)
+            bucket = self.buckets[tenant] = TenantBucket(
+                rate, burst, now, min(known_remaining, burst), created_at=now
+            )
             bucket.offered_per_s = counts.get("ko", 0.0)
         # Gateways that have not reported yet may still use another owner, which grants units as well.
         uncertain = self.just_started and not bucket.inherited
@@ -308,7 +310,7 @@
         if report is None or report.instance_id != instance_id:
             # Earlier counts were reported to the previous owner, or are included in "k".
             if report is None and "k" in counts and now - bucket.created_at < TOTALS_MAX_AGE_S:
-                bucket.remaining = min(bucket.remaining, known)
+                bucket.remaining = min(bucket.remaining, known_remaining)
             elif "k" not in counts:
                 bucket.remaining -= counts["a"]
                 bucket.offered_per_s += counts["o"] / RATE_WINDOW_S
--- a/tests/affinity/test_selection.py
+++ b/tests/affinity/test_selection.py
@@ -179,8 +179,8 @@
     messages: list[dict[str, Any]] = []
     early, late = Gateway(ten_servers()), Gateway(name="late")
     early.update(server(10, cold_until=103.0, zone="z0"))
-    for number in NUMBERS:
-        early.balancer.upstreams[f"i{number}-0"].zone = "z0"
+    for server_number in NUMBERS:
+        early.balancer.upstreams[f"i{server_number}-0"].zone = "z0"
     board.join(Reader("late", messages.append), 109.5)
     follower = Follower(Board(Registry(0.5), versions=PoolVersions()), lambda old, patch: old)
     _, entries = follower.take(messages[0], 400.0)  # its clock differs
