--- a/barleyhub/line/balancer.py
+++ b/barleyhub/line/balancer.py
@@ -58,7 +58,7 @@
     in_flight_since: list[float] = msgspec.field(default_factory=list)  # send times, oldest first
     backoff_until: float = -math.inf
     backoffs: int = 0
-    assumed_cold_until: float = -math.inf  # after a connection failure, until the control plane reports
+    assumed_cold_until: float = -math.inf  # after a connection failure; cleared when heartbeats resume
     answered_at: float = -math.inf
     send_window: SendWindow = msgspec.field(default_factory=SendWindow)
     full_until: float = -math.inf  # after it rejected a request
--- a/tests/line/test_quota.py
+++ b/tests/line/test_quota.py
@@ -56,9 +56,9 @@
         CURRENT_GATEWAY.set(self.name)
         not_owning_until, now = self.cluster.not_owning_until, self.cluster.clock.now()
         self.dispatcher.set_gateways(dict.fromkeys(names, "a"), now)
-        cautious = not_owning_until.get(self.name, -math.inf) + HOSTS_ANEW > now
+        just_started = not_owning_until.get(self.name, -math.inf) + HOSTS_ANEW > now
         not_owning = {other for other in names if not_owning_until.get(other, -math.inf) > now}
-        self.counts.live({other: (other, 1) for other in names}, cautious, not_owning)
+        self.counts.live({other: (other, 1) for other in names}, just_started, not_owning)
 
     def send_request(self) -> None:
         self.cluster.request_count += 1
@@ -328,14 +328,14 @@
     # 3 more units by g1, 2 more by g2, refilled at 10 a second.
     assert after.apply_report("g1", "one", "t", counts | {"o": 8.0, "a": 8.0, "k": 0.0}, 0.6)[0] == 63.0
     assert after.apply_report("g2", "one", "t", counts | {"o": 6.0, "a": 6.0, "k": 0.0}, 0.6)[0] == 61.0
-    late = QuotaOwner()
-    late.apply_report("g1", "one", "t", counts | {"o": 8.0, "a": 8.0, "k": 50.0}, 0.5)
-    late.take_over("t", image, 0.6)
-    assert late.apply_report("g2", "one", "t", counts | {"o": 6.0, "a": 6.0, "k": 0.0}, 0.6)[0] == 49.0
-    late.hand_over("t", 0.7)
-    late.take_over("t", image, 1.0)
-    late.expire(9.0)
-    assert not late.handed_over, "a hand-over without a report expires"
+    existing = QuotaOwner()
+    existing.apply_report("g1", "one", "t", counts | {"o": 8.0, "a": 8.0, "k": 50.0}, 0.5)
+    existing.take_over("t", image, 0.6)
+    assert existing.apply_report("g2", "one", "t", counts | {"o": 6.0, "a": 6.0, "k": 0.0}, 0.6)[0] == 49.0
+    existing.hand_over("t", 0.7)
+    existing.take_over("t", image, 1.0)
+    existing.expire(9.0)
+    assert not existing.handed_over, "a hand-over without a report expires"
 
 
 def test_a_hand_over_to_an_unreachable_owner_is_dropped() -> None:
@@ -425,7 +425,7 @@
 
 
 @pytest.mark.parametrize(
-    ("meta", "elders", "late"),
+    ("meta", "others_running", "owns_nothing"),
     [
         ({"old": True}, True, False),
         ({"old": False}, True, True),  # not announced yet, while others were running
@@ -439,6 +439,6 @@
     ],
 )
 def test_totals_have_an_owner_after_all_gateways_restart(
-    meta: dict[str, bool], elders: bool, late: bool
+    meta: dict[str, bool], others_running: bool, owns_nothing: bool
 ) -> None:
-    assert hosts_nothing(meta, elders) is late
+    assert hosts_nothing(meta, others_running) is owns_nothing
