--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -59,9 +59,10 @@
     looked = (time.perf_counter() - began) / 100
 
     node = SimpleNamespace(
-        graph=graph, stock=stock, life="l", ready=True, clock=SimpleNamespace(now=lambda: moment),
+        reach_graph=graph, balancer=stock, instance_id="l", ready=True,
+        clock=SimpleNamespace(now=lambda: moment),
         settings=SimpleNamespace(name="edge-a-1", zone="a", region="north"),
-        board=SimpleNamespace(orders=SimpleNamespace(version=7)),
+        published_state=SimpleNamespace(orders=SimpleNamespace(version=7)),
     )  # fmt: skip
     told = reach(node, 60.0)  # type: ignore[arg-type]
     return {
--- a/benchmarks/travel.py
+++ b/benchmarks/travel.py
@@ -21,7 +21,7 @@
 from latchspoke.session_records.bill import Bill, Fate, Peer, key_of
 from latchspoke.session_records.drill import SETTLE, World
 from latchspoke.session_records.office import Held, Office
-from latchspoke.transport.netstring import frame
+from latchspoke.transport.netstring import encode_frame
 
 SIZES = (10, 84)
 CALLERS = 120
@@ -117,7 +117,9 @@
             f" {whole:.0f} µs in all, {whole / rank:.1f} times one ranking of the gateways ({rank:.0f} µs)"
         )
     bill = Bill(key="0" * 24, site="edge-1/1a2b3c4d", exchange="0" * 16, attempt="0" * 16, life="i-00000000")
-    console.print(f"one record on the wire: {len(frame(bill))} bytes; kinds: {dict(Counter(world.bytes))}")
+    console.print(
+        f"one record on the wire: {len(encode_frame(bill))} bytes; kinds: {dict(Counter(world.bytes))}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/travel_system.py
+++ b/benchmarks/travel_system.py
@@ -20,10 +20,10 @@
 from rich.table import Table
 
 from benchmarks.system_days import HEADS, SINCE, STATE, Sums, callers_day
-from latchspoke.dataplane.travel import Travel
+from latchspoke.dataplane.session_affinity import SessionAffinity
 from latchspoke.lab.system.day import Played
 from latchspoke.lab.system.records import Callers, Day, Deployment, Trouble, read
-from latchspoke.transport.netstring import frame
+from latchspoke.transport.netstring import encode_frame
 
 COUNT, PER_S = 60, 75.0  # callers of a route; requests a second at most
 WAYS = ("pins", "travels", "strict")
@@ -85,11 +85,11 @@
 
 
 letters: Counter[str] = Counter()
-post = Travel.post
+post = SessionAffinity.send
 
 
-def counted(travel: Travel, to: str, message: dict[str, Any]) -> None:
-    letters[str(message["w"])] += len(frame({"k": "w", "f": travel.office.me, "m": message}))
+def counted(travel: SessionAffinity, to: str, message: dict[str, Any]) -> None:
+    letters[str(message["w"])] += len(encode_frame({"k": "w", "f": travel.record_store.me, "m": message}))
     post(travel, to, message)
 
 
@@ -107,7 +107,7 @@
                 sums, seen, tries = Sums(), Seen(), 0
                 letters.clear()
                 callers = Callers(COUNT, share, way)
-                with patch.object(Travel, "post", counted):
+                with patch.object(SessionAffinity, "send", counted):
                     for played in callers_day(deployment, callers, days, name, seeds, sums):
                         seen.add(played)
                         tries += sum(bool(t.exchange) for t in played.record.tries.values())
--- a/latchspoke/agent/members.py
+++ b/latchspoke/agent/members.py
@@ -27,7 +27,7 @@
 from latchspoke.duties.office import Done, Look, Office, Put, Refused, Reply, Shown
 from latchspoke.duties.records import Answer, Beat
 from latchspoke.revisions.records import RulesAnswer, RulesQuestion
-from latchspoke.transport.questions import first_number
+from latchspoke.transport.request_ids import first_request_id
 
 log = structlog.get_logger("agent.members")
 
@@ -79,7 +79,7 @@
         self.news = asyncio.Event()
         self.replies: dict[int, Callable[[Reply], None]] = {}
         self.forwarded: dict[int, asyncio.Future[Reply]] = {}
-        self.number = first_number(secrets.token_hex(8))
+        self.number = first_request_id(secrets.token_hex(8))
         self.known: dict[str, str] = {}  # identities that have greeted, by name
         self.disk = ""
         self.counters: Counter[str] = Counter()
--- a/latchspoke/controlplane/fanout.py
+++ b/latchspoke/controlplane/fanout.py
@@ -15,7 +15,7 @@
 from zlib import crc32
 
 from latchspoke.distribution.board import pack_entries
-from latchspoke.transport.wire import Message
+from latchspoke.transport.connection import Message
 
 PASS_ON = "fan"  # the field that asks the receiver to pass a message on within its region
 WANTED_MOST = 200  # servers asked for at once
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -33,13 +33,13 @@
 from latchspoke.distribution.board import Orders, Reader, unpack_entries
 from latchspoke.membership.post import PACKS
 from latchspoke.membership.watch import News
-from latchspoke.node_process import CORE_PORT, NodeProcess
+from latchspoke.node_process import CONTROL_PORT_OFFSET, NodeProcess
 from latchspoke.outliers.ledger import Ledger
 from latchspoke.registry.registry import BeatError, Entry, State, read_beat
-from latchspoke.transport.door import PRESENT, Answer, Caller, Door
+from latchspoke.transport.connection import Message, MessageConnection
+from latchspoke.transport.http_server import LOCAL_CALLER, Caller, HttpServerConnection, Response
 from latchspoke.transport.log import log
-from latchspoke.transport.questions import first_number
-from latchspoke.transport.wire import Message, Wire
+from latchspoke.transport.request_ids import first_request_id
 
 SWEEP = 0.25  # s
 GOSSIP = 1.0  # s between words to the other control machines on who has beaten here
@@ -77,16 +77,16 @@
 class Node(NodeProcess):
     """One control machine on its sockets."""
 
-    PORT = CORE_PORT
+    PORT_OFFSET = CONTROL_PORT_OFFSET
 
-    def fit(self) -> None:
+    def build(self) -> None:
         """Raises LedgerError."""
         s = self.settings
-        self.me = self.link
-        founders = tuple(f"{host}:{port}" for host, port in self.seeds())
+        self.me = self.internal_endpoint
+        founders = tuple(f"{host}:{port}" for host, port in self.seed_addresses())
         self.ledger, self.telling = Ledger(), False
-        self.relays = Relays(self.me, self.draw)
-        regions = Regions(self.me, s.region, self.draw)
+        self.relays = Relays(self.me, self.rng)
+        regions = Regions(self.me, s.region, self.rng)
         self.peers = Peers(self.me, self.peer_joined, self.peer_answers, self.relays, regions, self.clock.now)
         assert s.data is not None
         self.replica = Replica(
@@ -98,21 +98,23 @@
             "role": "core",
             "zone": s.zone,
             "region": s.region,
-            "link": self.link,
+            "link": self.internal_endpoint,
             "ready": True,
             PACKS: True,
         }
-        self.post = self.member(meta)
-        self.to_gateways = ServerNews(self.clock, self.board.servers)
+        self.membership_transport = self.create_membership_transport(meta)
+        self.to_gateways = ServerNews(self.clock, self.published_state.servers)
         self.to_peers = ServerNews(self.clock, self.tell_peers)
         self.beaten: dict[str, Entry] = {}  # heard here since the last word to the others
         self.copies: dict[int, Copies] = {}
-        self.number = first_number(self.life)
-        self.asking: list[tuple[Wire, int, float]] = []  # gateways that wait for a proof, and since when
+        self.number = first_request_id(self.instance_id)
+        self.asking: list[
+            tuple[MessageConnection, int, float]
+        ] = []  # gateways that wait for a proof, and since when
         self.proving = False
         self.together_at = self.begun_at = self.clock.now()
         self.evacuations = EvacuationCalls(self.begun_at)
-        self.calls: dict[str, Callable[[Asked, bytes, Caller], Answer | Awaitable[Answer]]] = {
+        self.calls: dict[str, Callable[[Asked, bytes, Caller], Response | Awaitable[Response]]] = {
             "instances.heartbeat": lambda asked, body, caller: self.beat(asked.of, body),
             "instances.deregister": lambda asked, body, caller: self.leave(asked.of),
             "configuration.replace": lambda asked, body, caller: self.configure(body),
@@ -144,7 +146,7 @@
         """Tell gateways the newest orders, if they are news."""
         kept = self.replica.orders
         orders = Orders(kept.index, kept.version, kept.document, kept.evacuated)
-        if self.board.order(orders, self.clock.now()):
+        if self.published_state.order(orders, self.clock.now()):
             log(
                 "orders",
                 version=f"{orders.version:08x}",
@@ -152,7 +154,7 @@
                 evacuated=",".join(sorted(orders.evacuated)),
             )
 
-    def prove(self, wire: Wire, tag: int) -> None:
+    def handle_proof_request(self, wire: MessageConnection, tag: int) -> None:
         """A gateway asks whether what it knows is the newest. Those who ask at one time share a proof."""
         self.asking.append((wire, tag, self.clock.now()))
         if not self.proving:
@@ -173,7 +175,7 @@
             else:
                 self.tell_orders()
                 # By what this machine has applied: a gateway that knows all of it knows the newest.
-                known = self.board.orders.index
+                known = self.published_state.orders.index
                 for wire, tag, at in asking:
                     age = max(at - begun, 0.0)
                     proof = {"k": "proven", "t": tag, "index": known}
@@ -185,14 +187,14 @@
     async def confirmed(self) -> int | None:
         """Up to which index this machine surely knows all; None where that can't be proven now."""
         try:
-            return await self.replica.confirm(LIMIT, patient=self.board.orders.index > 0)
+            return await self.replica.confirm(LIMIT, patient=self.published_state.orders.index > 0)
         except Exception as e:  # one round that fails must not be the last
             log("proof-failed", why=repr(e))
             return None
 
     # Other control machines.
 
-    def peer_joined(self, wire: Wire) -> None:
+    def peer_joined(self, wire: MessageConnection) -> None:
         """A new connection to one: it is told all that is known of servers."""
         now = self.clock.now()
         if self.peers.regions.tells_whole(str(wire.tag), self.peers.alive):
@@ -202,7 +204,7 @@
         if told := self.evacuations.wire(now):
             wire.send(told)
 
-    def peer_answers(self, wire: Wire, message: Message) -> None:
+    def peer_answers(self, wire: MessageConnection, message: Message) -> None:
         """What another control machine says on a connection opened from here."""
         self.peers.heard(str(wire.tag))
         if message.get("k") == "got":
@@ -214,7 +216,7 @@
         if copies is not None:
             copies.got(name)
 
-    def relayed(self, wire: Wire, message: Message, now: float) -> None:
+    def relayed(self, wire: MessageConnection, message: Message, now: float) -> None:
         """From another control machine, by way of a gateway."""
         name, said = str(message["from"]), message["m"]
         self.relays.heard(name, wire, now)
@@ -242,7 +244,7 @@
                 return False
         return True
 
-    def heard(self, wire: Wire, message: Message) -> None:
+    def handle_message(self, wire: MessageConnection, message: Message) -> None:
         """What comes on connections that others have opened: control machines and gateways."""
         now = self.clock.now()
         if isinstance(wire.tag, str):
@@ -257,22 +259,22 @@
             case "hot":
                 self.evidence(wire, message, now)
             case "hello":
-                self.teller.heard(wire, message)
+                self.publisher.heard(wire, message)
                 self.relays.joined(wire)
                 if known := self.ledger.whole(now, wire.tag.zone):
                     wire.send({"k": "hot", "e": known})
             case _:
                 if not self.from_peer(str(wire.tag), message, now, wire.send):
-                    self.teller.heard(wire, message)
+                    self.publisher.heard(wire, message)
 
-    def left(self, wire: Wire, reason: str) -> None:
+    def inbound_closed(self, wire: MessageConnection, reason: str) -> None:
         """A connection that another process had opened has ended."""
-        super().left(wire, reason)
+        super().inbound_closed(wire, reason)
         self.relays.left(wire)
         if isinstance(wire.tag, Reader):
             self.ledger.left(wire.tag.name)
 
-    def evidence(self, wire: Wire, message: Message, now: float) -> None:
+    def evidence(self, wire: MessageConnection, message: Message, now: float) -> None:
         """What gateways that follow here, or another control machine's, saw of servers."""
         if isinstance(wire.tag, Reader):
             self.ledger.heard(wire.tag.name, wire.tag.zone, message["w"], now)
@@ -291,8 +293,8 @@
         self.telling = False
         if entries := self.ledger.to_peers(now):
             self.peers.all({"k": "hot", "e": entries})
-        news = self.ledger.to_gateways(now, {reader.zone for reader in self.board.readers})
-        for reader in list(self.board.readers):
+        news = self.ledger.to_gateways(now, {reader.zone for reader in self.published_state.readers})
+        for reader in list(self.published_state.readers):
             if told := news.get(reader.zone):
                 reader.send({"k": "hot", "e": told})
         if self.ledger.waiting():
@@ -370,8 +372,8 @@
     # Calls.
 
     def control(
-        self, method: str, target: str, body: bytes, caller: Caller = PRESENT
-    ) -> Answer | Awaitable[Answer]:
+        self, method: str, target: str, body: bytes, caller: Caller = LOCAL_CALLER
+    ) -> Response | Awaitable[Response]:
         """Answer a call of an operator, a server or a client."""
         asked = read_call(method, target)
         call = self.calls.get(asked.name)
@@ -379,19 +381,17 @@
             return 404, {"errorText": f"no such call: {method} {target[:100]}"}
         return call(asked, body, caller)
 
-    def resolve(self, asked: Asked) -> Answer:
+    def resolve(self, asked: Asked) -> Response:
         """Answer a client's look-up with gateways."""
-        membership, query = self.post.membership, asked.query
+        membership, query = self.membership_transport.membership, asked.query
         members = list(membership.alive.values())
-        found = locate(
-            members, membership.suspects, query.get("zone", ""), query.get("region", ""), self.draw
-        )
+        found = locate(members, membership.suspects, query.get("zone", ""), query.get("region", ""), self.rng)
         if not found:
             return 503, {"errorText": "no gateway is ready"}
         ttl = min(TTL, self.settings.bound("ttl_max_s", TTL))
         return 200, {"addresses": found, "ttlS": ttl}
 
-    def beat(self, ident: str, body: bytes) -> Answer | Awaitable[Answer]:
+    def beat(self, ident: str, body: bytes) -> Response | Awaitable[Response]:
         """Take a server's heartbeat."""
         import msgspec
 
@@ -420,10 +420,10 @@
 
     def near_target(self, entry: Entry) -> dict[str, str]:
         """What the answer to a server's heartbeat says of where its later ones are to go."""
-        membership, settings = self.post.membership, self.settings
+        membership, settings = self.membership_transport.membership, self.settings
         region = settings.zones.get(entry.zone, "")
         members = list(membership.alive.values())
-        host = heartbeat_target(members, membership.suspects, region, settings.region, self.draw)
+        host = heartbeat_target(members, membership.suspects, region, settings.region, self.rng)
         if not host:
             return {}
         port = settings.listen["controlPlane"][1]  # alike on all machines
@@ -431,16 +431,18 @@
 
     def cast(self, entry: Entry, now: float) -> None:
         """Straight to all gateways: some follow one who is cut off, dark, or not reached from here."""
-        edges = [m for m in self.post.membership.alive.values() if m.meta.get("role") == "edge"]
-        self.post.cast({"e": [entry.wire(now)]}, [m.address for m in edges])
+        edges = [
+            m for m in self.membership_transport.membership.alive.values() if m.meta.get("role") == "edge"
+        ]
+        self.membership_transport.cast({"e": [entry.wire(now)]}, [m.address for m in edges])
 
-    async def held(self, entry: Entry) -> Answer:
+    async def held(self, entry: Entry) -> Response:
         """A server's word that it leaves: acknowledged once a majority of the core would tell it too."""
         if await self.copied(entry):
             return 200, {}
         return 503, {"errorText": "no majority of the control machines knows of it yet"}
 
-    def leave(self, ident: str) -> Awaitable[Answer]:
+    def leave(self, ident: str) -> Awaitable[Response]:
         """Take the word of a server that it has ended."""
         now = self.clock.now()
         entry, news = self.registry.leave(ident, now)
@@ -449,7 +451,7 @@
             self.cast(entry, now)
         return self.held(entry)
 
-    async def configure(self, body: bytes) -> Answer:
+    async def configure(self, body: bytes) -> Response:
         """Take a configuration or a change of one."""
         if self.stopping:
             return 503, {"errorText": "stops"}
@@ -483,11 +485,11 @@
             command["unchecked"] = True
         return command, faults
 
-    async def put(self, command: dict[str, Any]) -> Answer:
+    async def put(self, command: dict[str, Any]) -> Response:
         """Submit a command, and the answer to its caller."""
         return await self.acknowledge(command, await self.replica.submit(command, LIMIT))
 
-    async def acknowledge(self, command: dict[str, Any], verdict: Verdict) -> Answer:
+    async def acknowledge(self, command: dict[str, Any], verdict: Verdict) -> Response:
         """The answer to a command's caller; an order that was taken waits shortly for the gateways."""
         log("order", what=command["do"], verdict=verdict.kind, why=verdict.reason, index=verdict.index)
         if not verdict.ok:
@@ -496,12 +498,12 @@
                 "version": f"{verdict.version:08x}",
             }
         until = self.clock.now() + TOLD
-        index = min(verdict.index, self.board.orders.index)
-        while self.board.behind(index) and self.clock.now() < until:
+        index = min(verdict.index, self.published_state.orders.index)
+        while self.published_state.behind(index) and self.clock.now() < until:
             await asyncio.sleep(0.01)
         return 200, {"version": f"{verdict.version:08x}"}
 
-    async def read(self) -> Answer:
+    async def read(self) -> Response:
         """The newest configuration, whole; 503 without a majority."""
         if await self.replica.confirm(LIMIT) is None:
             return 503, {"errorText": "no majority can be reached"}
@@ -510,19 +512,19 @@
             return 503, {"errorText": "there is no configuration yet"}
         return 200, kept.document
 
-    async def copy(self) -> Answer:
+    async def copy(self) -> Response:
         """The operator's word as a file may hold it, at least as new as all that was acknowledged."""
         if await self.replica.confirm(LIMIT) is None:
             return 503, {"errorText": "no majority can be reached"}
         return self.show("copy")
 
-    def show(self, what: str) -> Answer:
+    def show(self, what: str) -> Response:
         """One of the views for operators."""
         from latchspoke.controlplane import view  # loaded only when people ask
 
         return 200, view.answer(self, what)
 
-    async def evacuate(self, asked: Asked, caller: Caller) -> Answer:
+    async def evacuate(self, asked: Asked, caller: Caller) -> Response:
         """Begin or finish one; ``evacuations`` tells which calls repeat an earlier one.
 
         First a majority confirms what stands. That also takes time in which the end of the connection arrives
@@ -551,7 +553,7 @@
 
     # Who there is.
 
-    def news(self, news: News) -> None:
+    def membership_changed(self, news: News) -> None:
         """A change of the membership."""
         if news.kind != "changed":
             log("membership", what=news.kind, who=news.member.name)
@@ -562,7 +564,7 @@
         """Tell the replicated store and the connections which control machines are alive."""
         alive = {
             f"{m.host}:{m.port}": Place(str(m.meta.get("zone", "")), str(m.meta.get("region", "")))
-            for m in self.post.membership.alive.values()
+            for m in self.membership_transport.membership.alive.values()
             if m.meta.get("role") == "core"
         }
         named = {name_of(identity) for identity in self.replica.register.member.members.all}
@@ -576,15 +578,17 @@
         s = self.settings
         create = self.loop.create_server
         self.replica.start()  # before anybody can ask
-        await self.listen(self.post)
+        await self.listen_internal(self.membership_transport)
         for name in ("controlPlane", "directoryService"):
             if name in s.listen:
-                self.servers.append(await create(lambda: Door(self.control), *s.listen[name], backlog=512))
+                self.listeners.append(
+                    await create(lambda: HttpServerConnection(self.control), *s.listen[name], backlog=512)
+                )
         self.core_changed()
         now = self.clock.now()
         self.clock.schedule(now + SWEEP, self.sweep)
         self.clock.schedule(now + GOSSIP, self.regossip)
-        self.serves(control=str(s.listen.get("controlPlane")))
+        self.serving_started(control=str(s.listen.get("controlPlane")))
 
     def sweep(self, now: float) -> None:
         """Periodic: judge silent servers, drop old evidence, look at the settings file."""
@@ -594,10 +598,10 @@
         news = self.registry.sweep(now, judge=now - self.together_at > ALONE)
         self.to_gateways.tell(news, now)
         self.ledger.sweep(now)
-        if self.replica.proven and self.board.orders.index < self.replica.orders.index:
+        if self.replica.proven and self.published_state.orders.index < self.replica.orders.index:
             self.tell_orders()
         self.core_changed()
-        self.watch.look(now)
+        self.settings_watch.look(now)
 
     def regossip(self, now: float) -> None:
         """Periodic: ``gossip``."""
@@ -615,12 +619,12 @@
         """Hand over, leave the membership and close."""
         await self.replica.stop()
         await asyncio.sleep(0.1)
-        self.post.leave()
-        for server in self.servers:
+        self.membership_transport.leave()
+        for server in self.listeners:
             server.close()
         self.peers.stop()
-        self.post.stop()
-        self.done.set()
+        self.membership_transport.stop()
+        self.stopped.set()
 
 
 def main(path: str | None = None) -> int:
--- a/latchspoke/controlplane/peers.py
+++ b/latchspoke/controlplane/peers.py
@@ -10,7 +10,7 @@
 from latchspoke.configstore.voters import Place
 from latchspoke.controlplane.fanout import PASS_ON, Regions
 from latchspoke.controlplane.relays import Relays
-from latchspoke.transport.wire import Message, Wire, dial
+from latchspoke.transport.connection import Message, MessageConnection, dial
 
 DIAL = 0.4  # s
 PAUSE = (0.05, 0.5)  # s between tries
@@ -26,7 +26,7 @@
         self.peers, self.name = peers, name
         host, _, port = name.rpartition(":")
         self.address = host, int(port)
-        self.wire: Wire | None = None
+        self.wire: MessageConnection | None = None
         self.waiting: deque[Message] = deque(maxlen=RAFT_WAITS)
         self.unanswered: float | None = None  # when the first was sent after which nothing came from there
         self.heard_at = -math.inf  # directly, on any connection
@@ -35,7 +35,7 @@
 
     def doubtful(self, now: float) -> bool:
         """Whether what is sent directly may not arrive."""
-        if self.wire is None or self.wire.over:
+        if self.wire is None or self.wire.closed:
             return True
         return self.unanswered is not None and now - self.unanswered > DOUBTFUL
 
@@ -47,7 +47,7 @@
         """Directly; whether it went out now. Else it waits for the connection."""
         if self.unanswered is None:
             self.unanswered = now
-        if self.wire is not None and not self.wire.over:
+        if self.wire is not None and not self.wire.closed:
             return self.wire.send(message)
         self.waiting.append(message)
         return False
@@ -58,10 +58,10 @@
         while self.wanted:
             over = asyncio.Event()
 
-            def ended(wire: Wire, reason: str, over: asyncio.Event = over) -> None:
+            def ended(wire: MessageConnection, reason: str, over: asyncio.Event = over) -> None:
                 over.set()
 
-            wire = Wire(self.peers.heard_back, ended)
+            wire = MessageConnection(self.peers.heard_back, ended)
             if await dial(wire, *self.address, DIAL):
                 pause = PAUSE[0]
                 wire.tag = self.name
@@ -89,8 +89,8 @@
     def __init__(
         self,
         me: str,
-        joined: Callable[[Wire], None],
-        heard_back: Callable[[Wire, Message], None],
+        joined: Callable[[MessageConnection], None],
+        heard_back: Callable[[MessageConnection, Message], None],
         relays: Relays,
         regions: Regions,
         clock: Callable[[], float],
@@ -158,7 +158,7 @@
     @property
     def connected(self) -> int:
         """To how many there is a connection."""
-        return sum(link.wire is not None and not link.wire.over for link in self.links.values())
+        return sum(link.wire is not None and not link.wire.closed for link in self.links.values())
 
     def stop(self) -> None:
         """Close all connections for good."""
--- a/latchspoke/controlplane/relays.py
+++ b/latchspoke/controlplane/relays.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from latchspoke.transport.netstring import frame
-from latchspoke.transport.wire import Message, Wire
+from latchspoke.transport.connection import Message, MessageConnection
+from latchspoke.transport.netstring import encode_frame
 
 MOST_BYTES = 256 * 1024  # of a message; larger ones would fill a gateway's link
 FRESH = 1.0  # s for which the way by which a message came is taken for the answer
@@ -23,7 +23,7 @@
 class Way(msgspec.Struct):
     """The connection by which something from another control machine came last."""
 
-    wire: Wire
+    wire: MessageConnection
     at: float
 
 
@@ -32,21 +32,21 @@
 
     def __init__(self, me: str, draw: random.Random) -> None:
         self.me, self.draw = me, draw
-        self.wires: list[Wire] = []
+        self.wires: list[MessageConnection] = []
         self.ways: dict[str, Way] = {}  # by the name of the other control machine
 
-    def joined(self, wire: Wire) -> None:
+    def joined(self, wire: MessageConnection) -> None:
         """A gateway has connected."""
         if wire not in self.wires:
             self.wires.append(wire)
 
-    def left(self, wire: Wire) -> None:
+    def left(self, wire: MessageConnection) -> None:
         """A connection has ended."""
         if wire in self.wires:
             self.wires.remove(wire)
         self.ways = {name: way for name, way in self.ways.items() if way.wire is not wire}
 
-    def heard(self, name: str, wire: Wire, now: float) -> None:
+    def heard(self, name: str, wire: MessageConnection, now: float) -> None:
         """A relayed message from ``name`` has come on this connection."""
         self.joined(wire)
         self.ways[name] = Way(wire, now)
@@ -62,14 +62,14 @@
         if len(body) > MOST_BYTES:
             return False
         wires = self.choose(name, now)
-        data = frame({"k": "relay", "to": name, "from": self.me, "m": msgspec.Raw(body)})
+        data = encode_frame({"k": "relay", "to": name, "from": self.me, "m": msgspec.Raw(body)})
         sent = [wire.write(data) for wire in wires]
         return any(sent)
 
-    def choose(self, name: str, now: float) -> list[Wire]:
+    def choose(self, name: str, now: float) -> list[MessageConnection]:
         """The gateways by which a message for this control machine goes."""
         way = self.ways.get(name)
-        if way is not None and now - way.at < FRESH and not way.wire.over:
+        if way is not None and now - way.at < FRESH and not way.wire.closed:
             return [way.wire]
-        live = [wire for wire in self.wires if not wire.over]
+        live = [wire for wire in self.wires if not wire.closed]
         return self.draw.sample(live, min(TRIED, len(live)))
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -9,7 +9,7 @@
 
 from latchspoke.outliers.show import evidence
 from latchspoke.registry.registry import Entry, State
-from latchspoke.transport.metrics import Family, page
+from latchspoke.transport.metrics import MetricFamily, render
 
 if TYPE_CHECKING:
     from latchspoke.controlplane.node import Node
@@ -52,8 +52,8 @@
 
 def members(node: Node) -> list[dict[str, Any]]:
     """Gateways and control machines that the membership knows to live, with what each has acknowledged."""
-    membership, index = node.post.membership, node.board.orders.index
-    read = {reader.name: reader.index for reader in node.board.readers}
+    membership, index = node.membership_transport.membership, node.published_state.orders.index
+    read = {reader.name: reader.index for reader in node.published_state.readers}
     found = []
     for name, member in sorted(membership.alive.items()):
         meta = member.meta
@@ -84,16 +84,16 @@
         "role": "core",
         "zone": settings.zone,
         "region": settings.region,
-        "life": node.life,
+        "life": node.instance_id,
         "stopping": node.stopping,
         "version": f"{kept.version:08x}",
         "index": kept.index,
-        "told_index": node.board.orders.index,
+        "told_index": node.published_state.orders.index,
         "evacuated": sorted(kept.evacuated),
         "register": node.replica.status(),
         "peers_connected": node.peers.connected,
         "members": members(node),
-        "gone": sorted(node.post.membership.gone),
+        "gone": sorted(node.membership_transport.membership.gone),
         "servers": [server(e, settings.zones, now) for e in node.registry.entries.values()],
         "evidence": {
             ident: evidence(node.ledger.evidence(ident, now))
@@ -106,7 +106,7 @@
 def metrics(seen: dict[str, Any]) -> str:
     """The text format of a view."""
     register = seen["register"]
-    people = Family("latchspoke_members", "Live machines that the membership knows, by role and state.")
+    people = MetricFamily("latchspoke_members", "Live machines that the membership knows, by role and state.")
     counts: dict[tuple[str, str], int] = {}
     for member in seen["members"]:
         state = "suspected" if member["suspected"] else "ready" if member["ready"] else "not_ready"
@@ -114,7 +114,7 @@
         counts[key] = counts.get(key, 0) + 1
     for (role, state), count in sorted(counts.items()):
         people.add(count, role=role, state=state)
-    servers = Family("latchspoke_servers", "Servers by service and state, as their beats tell.")
+    servers = MetricFamily("latchspoke_servers", "Servers by service and state, as their beats tell.")
     states: dict[tuple[str, str], int] = {}
     for each in seen["servers"]:
         key = each["service"], "silent" if each["silent"] else each["state"]
@@ -122,28 +122,30 @@
     for (service, state), count in sorted(states.items()):
         servers.add(count, service=service, state=state)
     following = [member for member in seen["members"] if member.get("follows_here")]
-    return page(
+    return render(
         [
-            Family("latchspoke_config_version", "The configuration in force.").add(int(seen["version"], 16)),
-            Family("latchspoke_config_index", "Place of the operator's last word.").add(seen["index"]),
-            Family("latchspoke_register_leads", "1 on the machine that leads the register.").add(
+            MetricFamily("latchspoke_config_version", "The configuration in force.").add(
+                int(seen["version"], 16)
+            ),
+            MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(seen["index"]),
+            MetricFamily("latchspoke_register_leads", "1 on the machine that leads the register.").add(
                 register["role"] == "leader"
             ),
-            Family("latchspoke_register_leader_known", "1 while a leader is known here.").add(
+            MetricFamily("latchspoke_register_leader_known", "1 while a leader is known here.").add(
                 bool(register["leader"])
             ),
-            Family("latchspoke_register_term", "The register's term.").add(register["term"]),
-            Family("latchspoke_register_voters", "Machines that vote.").add(len(register["voters"])),
-            Family("latchspoke_register_commit", "Committed place of the log.").add(register["commit"]),
-            Family("latchspoke_register_applied", "Applied place of the log.").add(register["applied"]),
-            Family("latchspoke_register_disk_refuses", "1 while the disk takes nothing.").add(
+            MetricFamily("latchspoke_register_term", "The register's term.").add(register["term"]),
+            MetricFamily("latchspoke_register_voters", "Machines that vote.").add(len(register["voters"])),
+            MetricFamily("latchspoke_register_commit", "Committed place of the log.").add(register["commit"]),
+            MetricFamily("latchspoke_register_applied", "Applied place of the log.").add(register["applied"]),
+            MetricFamily("latchspoke_register_disk_refuses", "1 while the disk takes nothing.").add(
                 bool(register["disk"])
             ),
-            Family("latchspoke_gateways_following", "Gateways told from here.").add(len(following)),
-            Family("latchspoke_gateways_behind", "Of these, those that don't know the newest.").add(
+            MetricFamily("latchspoke_gateways_following", "Gateways told from here.").add(len(following)),
+            MetricFamily("latchspoke_gateways_behind", "Of these, those that don't know the newest.").add(
                 sum(bool(member["behind"]) for member in following)
             ),
-            Family("latchspoke_members_gone", "Machines that the membership holds to be gone.").add(
+            MetricFamily("latchspoke_members_gone", "Machines that the membership holds to be gone.").add(
                 len(seen["gone"])
             ),
             people,
--- a/latchspoke/ctl/app.py
+++ b/latchspoke/ctl/app.py
@@ -331,7 +331,7 @@
 ) -> dict[str, Any]:
     from latchspoke.configuration import compile_table
     from latchspoke.ctl.offline import StateError, stock_of
-    from latchspoke.dataplane.explain import Ask, explain
+    from latchspoke.dataplane.explain import ExplainRequest, explain
 
     table = compile_table(got(reviews.configuration(file_of(config))))
     stock = None
@@ -340,7 +340,7 @@
             stock = stock_of(file_of(state), table)
         except StateError as e:
             raise Ended(USAGE, f"{state}: {e}") from None
-    return explain(table, Ask(host, path, tenant, key, caller), 0.0, stock)
+    return explain(table, ExplainRequest(host, path, tenant, key, caller), 0.0, stock)
 
 
 # Callers that travel.
--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -15,21 +15,21 @@
 from latchspoke.reach.graph import Graph
 
 
-class LineClient(Client, Protocol):
+class DataPlaneClient(Client, Protocol):
     """Where the one final answer of a flow goes."""
 
-    def no_room(self, retry_after: float | None) -> None:
+    def unavailable(self, retry_after: float | None) -> None:
         """It has not run and will not: no server could take it."""
 
 
-class LineCore(Core):
+class DataPlaneCore(Core):
     """Feeds calls to the dispatcher and carries out its actions."""
 
     def __init__(self, dispatcher: Dispatcher, ports: Ports, stats: Counter[str]) -> None:
         super().__init__(dispatcher, ports, stats)  # type: ignore[arg-type]
         self.dispatcher = dispatcher
-        self.right: Rights | None = None
-        self.graph: Graph | None = None
+        self.epoch_provider: EpochProvider | None = None
+        self.reach_graph: Graph | None = None
 
     def arrived(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
         """A request has come whole; ``begin`` is to follow."""
@@ -44,7 +44,7 @@
 
     def lapsed(self, flow: Flow) -> bool:
         """Whether the right under which it was decided has ended, looked at right before it is sent."""
-        if flow.epoch is None or self.right is None or self.right.now() < flow.epoch.until:
+        if flow.epoch is None or self.epoch_provider is None or self.epoch_provider.now() < flow.epoch.until:
             return False
         self.stats["forwards.without_right"] += 1
         return True
@@ -55,10 +55,10 @@
     ) -> None:  # fmt: skip
         """As ``Core.ended``; what became of it is noted for who asks which servers requests reach."""
         request = forward.flow.request
-        if self.graph is not None and not forward.ended and isinstance(request, Call) and request.route:
+        if self.reach_graph is not None and not forward.ended and isinstance(request, Call) and request.route:
             upstream = self.dispatcher.stock.upstreams.get(forward.target)
             cold = upstream is not None and forward.sent_at < upstream.cold_until
-            self.graph.note(forward.target, request.route.name, code, now - forward.sent_at, cold, now)
+            self.reach_graph.note(forward.target, request.route.name, code, now - forward.sent_at, cold, now)
         super().ended(forward, code, now, answer, report)
 
     def act(self, action: api.Action, now: float) -> None:
@@ -66,16 +66,16 @@
         if isinstance(action, Full):
             flow = self.final(action.request, "flows.no_room")
             if flow is not None:
-                flow.client.no_room(action.retry_after)  # type: ignore[attr-defined]
+                flow.client.unavailable(action.retry_after)  # type: ignore[attr-defined]
         else:
             super().act(action, now)
 
 
-class Rights(Protocol):
+class EpochProvider(Protocol):
     """The right to act with keys, under the operator's word as it is known here."""
 
     def now(self) -> float:
         """The time (s) by which rights end."""
 
-    def epoch(self) -> Epoch | None:
+    def current_epoch(self) -> Epoch | None:
         """The right to act with keys now, or None."""
--- a/latchspoke/dataplane/explain.py
+++ b/latchspoke/dataplane/explain.py
@@ -14,15 +14,15 @@
 from barleyhub.line.dispatch import GUESS, Dispatcher
 from barleyhub.line.stock import Stock, Upstream, homes_of
 from latchspoke.configuration.routes import Route, Table, Tenant, plain_host
-from latchspoke.dataplane.view import avoided, server
+from latchspoke.dataplane.view import avoidance_reasons, server_view
 
 
-class AskError(ValueError):
+class ExplainRequestError(ValueError):
     """A question that can't be read; one line."""
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class ExplainRequest:
     """A request that might come. Either the tenant's name is told, or a key, which no answer repeats."""
 
     host: str
@@ -32,20 +32,20 @@
     caller: str = ""  # what a header or cookie would tell, where the route keeps callers
 
 
-def read_ask(body: object) -> Ask:
+def read_explain_request(body: object) -> ExplainRequest:
     """Raises AskError."""
     if not isinstance(body, dict):
-        raise AskError("an object with host and path is asked for")
+        raise ExplainRequestError("an object with host and path is asked for")
     fields = {name: body.get(name) or "" for name in ("host", "path", "tenant", "key", "caller")}
     for name, value in fields.items():
         if not isinstance(value, str):
-            raise AskError(f"{name} must be a text")
+            raise ExplainRequestError(f"{name} must be a text")
     if not fields["host"] or not fields["path"]:
-        raise AskError("host and path are asked for")
-    return Ask(**fields)
+        raise ExplainRequestError("host and path are asked for")
+    return ExplainRequest(**fields)
 
 
-class Middle(Random):
+class MidpointRandom(Random):
     """Draws the middle: scores without their random part."""
 
     def random(self) -> float:
@@ -53,8 +53,8 @@
 
 
 @contextmanager
-def undrawn(stock: Stock) -> Iterator[None]:
-    draw, stock.draw = stock.draw, Middle()
+def without_randomness(stock: Stock) -> Iterator[None]:
+    draw, stock.draw = stock.draw, MidpointRandom()
     try:
         yield
     finally:
@@ -62,17 +62,21 @@
 
 
 def explain(
-    table: Table, ask: Ask, now: float, stock: Stock | None = None, dispatcher: Dispatcher | None = None
+    table: Table,
+    ask: ExplainRequest,
+    now: float,
+    stock: Stock | None = None,
+    dispatcher: Dispatcher | None = None,
 ) -> dict[str, Any]:
     """``outcome`` says what would happen in a word, ``because`` in a line; the rest is what it rests on."""
     told: dict[str, Any] = {"version": f"{table.version:08x}", "host": ask.host, "path": ask.path}
     route = table.find(ask.host, ask.path)
     if route is None:
-        return told | no_route(table, ask)
-    told["route"] = route_told(route, table, ask)
+        return told | explain_no_route(table, ask)
+    told["route"] = explain_route(route, table, ask)
     tenant: Tenant | None = None
     if table.keyed and not route.open:
-        tenant = table.tenant(ask.key) if ask.key else named(table, ask.tenant)
+        tenant = table.tenant(ask.key) if ask.key else tenant_by_name(table, ask.tenant)
         if tenant is None:
             what = (
                 "the key" if ask.key else f"tenant {ask.tenant!r}" if ask.tenant else "no key, and the route"
@@ -84,30 +88,30 @@
             "priority": tenant.priority, "homes": sorted(tenant.homes),
         }  # fmt: skip
     if tenant is not None and dispatcher is not None and tenant.rate > 0:
-        told["quota"] = quota(dispatcher, tenant, now)
+        told["quota"] = explain_quota(dispatcher, tenant, now)
     homes = homes_of(route.homes, tenant.homes if tenant is not None else frozenset())
     told["homes"] = None if homes is None else sorted(homes)
     if stock is None:
         return told | {"outcome": "forwarded", "because": "by the configuration alone; no servers are known"}
-    with undrawn(stock):
+    with without_randomness(stock):
         told["servers"] = {
             service: candidates(stock, service, route, homes, now) for service, _ in route.split
         }
     if route.affinity is not None:
-        text = ask.caller or kept(route, ask.path, tenant)
+        text = ask.caller or caller_without_headers(route, ask.path, tenant)
         if text:
-            told["caller"] = whereabouts(text, route, stock, dispatcher, homes, now)
-    return told | verdict(told)
+            told["caller"] = explain_affinity(text, route, stock, dispatcher, homes, now)
+    return told | outcome_of(told)
 
 
-def kept(route: Route, path: str, tenant: Tenant | None) -> str:
+def caller_without_headers(route: Route, path: str, tenant: Tenant | None) -> str:
     """The caller, if the path or the tenant tells."""
     assert route.affinity is not None
     found = route.affinity.caller({}, path.encode(), tenant.name if tenant else "")
     return (found or b"").decode(errors="replace")
 
 
-def whereabouts(
+def explain_affinity(
     text: str, route: Route, stock: Stock, dispatcher: Dispatcher | None, homes: frozenset[str] | None,
     now: float,
 ) -> dict[str, Any]:  # fmt: skip
@@ -124,11 +128,11 @@
     return {"service": service, "id": ident} | told
 
 
-def named(table: Table, name: str) -> Tenant | None:
+def tenant_by_name(table: Table, name: str) -> Tenant | None:
     return next((tenant for tenant in table.tenants.values() if tenant.name == name), None)
 
 
-def no_route(table: Table, ask: Ask) -> dict[str, Any]:
+def explain_no_route(table: Table, ask: ExplainRequest) -> dict[str, Any]:
     here = [r.prefix for r in table.routes.values() if plain_host(r.host) == plain_host(ask.host)]
     if not here:
         return {"outcome": "404", "because": "no route has this host"}
@@ -137,7 +141,7 @@
     }  # fmt: skip
 
 
-def route_told(route: Route, table: Table, ask: Ask) -> dict[str, Any]:
+def explain_route(route: Route, table: Table, ask: ExplainRequest) -> dict[str, Any]:
     before, shares = 0.0, []
     for service, end in route.split:
         shares.append({"service": service, "share": round(end - before, 4)})
@@ -156,7 +160,7 @@
     }  # fmt: skip
 
 
-def quota(dispatcher: Dispatcher, tenant: Tenant, now: float) -> dict[str, Any]:
+def explain_quota(dispatcher: Dispatcher, tenant: Tenant, now: float) -> dict[str, Any]:
     account = dispatcher.accounts.get(tenant.name)
     if account is None:
         return {"known": False, "gate": 1.0, "fits": True}
@@ -173,17 +177,21 @@
     usual = stock.usual.get(route.name, GUESS * route.aim)
     found = []
     for upstream in stock.services.get(service, {}).values():
-        barred = bars(stock, upstream, homes, now)
-        told = server(stock, upstream, now) | {"barred": barred}
+        barred = exclusion_reasons(stock, upstream, homes, now)
+        told = server_view(stock, upstream, now) | {"barred": barred}
         wait = stock.headway.wait(service, upstream.region, now)
         told["expected_s"] = None if barred else round(stock.score(upstream, usual, now, wait), 4)
         found.append(told)
     return sorted(found, key=lambda each: (bool(each["barred"]), each["expected_s"] or 0.0, each["id"]))
 
 
-def bars(stock: Stock, upstream: Upstream, homes: frozenset[str] | None, now: float) -> list[str]:
+def exclusion_reasons(
+    stock: Stock, upstream: Upstream, homes: frozenset[str] | None, now: float
+) -> list[str]:
     """Why it can't be taken at all."""
-    hard = [code for code in avoided(stock, upstream, now) if code in ("gone", "draining", "evacuated")]
+    hard = [
+        code for code in avoidance_reasons(stock, upstream, now) if code in ("gone", "draining", "evacuated")
+    ]
     if homes is not None and upstream.region not in homes:
         hard.append("outside_homes")
     if stock.cold(upstream, now):
@@ -195,7 +203,7 @@
     return hard
 
 
-def verdict(told: dict[str, Any]) -> dict[str, Any]:
+def outcome_of(told: dict[str, Any]) -> dict[str, Any]:
     asked = told.get("quota")
     if asked is not None and not asked["fits"]:
         return {"outcome": "429", "because": "the tenant's room is used up"}
--- a/latchspoke/dataplane/upstream.py
+++ b/latchspoke/dataplane/upstream.py
@@ -16,53 +16,53 @@
 from barleyhub import interface as api
 from barleyhub.line.stock import Stock, Upstream
 from latchspoke.core import Forward
-from latchspoke.dataplane.core import LineCore
+from latchspoke.dataplane.core import DataPlaneCore
 from latchspoke.net.http import Connection, FramingError, ParserError, Shared, parse_error, read_decimal
 from latchspoke.transport.log import log
 
-WARY = 15.0  # s after a reset right behind a request on a kept connection: its server forgets idle ones
-WARY_IDLE = 0.3  # s that a connection may then have been idle, for a request that can't be repeated
-AT_ONCE = 0.15  # s; so soon after the request no server has worked on it and failed
-REST = 0.005  # s; an extra answer may follow one: so long its connection gets no further forward
-IDLE = 5.0  # s that a connection is kept idle, where the server names no time
-IDLE_PART = 0.6  # of the time that a server names
-KEPT = 16  # idle connections a server, at most
-CONNECT = 0.25  # s for a connection to come up, beside its way
-CONNECT_FAR = 0.2
-PART_OF_CAP = 0.8  # of the connections that a server takes are for all gateways together
-CAP_LEAST = 3
-USER_TIMEOUT = 4000  # ms
-HOP = frozenset(
+CAUTION_S = 15.0  # s after a reset right behind a request on a kept connection: its server forgets idle ones
+CAUTION_MAX_IDLE_S = 0.3  # s that a connection may then have been idle, for a request that can't be repeated
+PROMPT_RESET_S = 0.15  # s; so soon after the request no server has worked on it and failed
+REUSE_DELAY_S = 0.005  # s; an extra answer may follow one: so long its connection gets no further forward
+IDLE_TIMEOUT_S = 5.0  # s that a connection is kept idle, where the server names no time
+KEEP_ALIVE_FRACTION = 0.6  # of the time that a server names
+MAX_IDLE_CONNECTIONS = 16  # idle connections a server, at most
+CONNECT_TIMEOUT_S = 0.25  # s for a connection to come up, beside its way
+CROSS_REGION_CONNECT_EXTRA_S = 0.2
+CONNECTION_CAP_FRACTION = 0.8  # of the connections that a server takes are for all gateways together
+MIN_CONNECTION_CAP = 3
+USER_TIMEOUT_MS = 4000  # ms
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"te", b"trailer",
         b"upgrade", b"content-length",
     )
 )  # fmt: skip
-PLAIN = (b"", b"keep-alive", b"close")  # what of Connection names no other header
-MISROUTED = {"misrouted": 1.0}
-FORGOT = {"forgot": 1.0}  # an idle connection, let go as the request came
-NOTHING: dict[str, float] = {}
+PLAIN_CONNECTION_VALUES = (b"", b"keep-alive", b"close")  # what of Connection names no other header
+MISROUTED_REPORT = {"misrouted": 1.0}
+IDLE_RESET_REPORT = {"forgot": 1.0}  # an idle connection, let go as the request came
+EMPTY_REPORT: dict[str, float] = {}
 
 
-class Answer:
+class Response:
     """A server's whole answer, as it goes back: status, headers but those of one connection, body.
 
     ``attempt`` is the ``X-Attempt-Id`` that the server has put into it.
     """
 
-    __slots__ = ("attempt", "body", "headers", "status")
+    __slots__ = ("attempt_id", "body", "headers", "status")
 
     def __init__(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes, attempt: bytes) -> None:
-        self.status, self.headers, self.body, self.attempt = status, headers, body, attempt
+        self.status, self.headers, self.body, self.attempt_id = status, headers, body, attempt
 
 
 class Request:
     """What of a client's request is passed on: everything but what is of one connection, or is replaced."""
 
-    __slots__ = ("body", "head", "ident", "method", "tenant")
+    __slots__ = ("attempt_id", "body", "head", "method", "tenant")
 
     def __init__(self, method: bytes, ident: bytes, head: bytes, tenant: bytes, body: bytes) -> None:
-        self.method, self.ident, self.head, self.tenant, self.body = method, ident, head, tenant, body
+        self.method, self.attempt_id, self.head, self.tenant, self.body = method, ident, head, tenant, body
 
 
 class ServerConnection(Connection):
@@ -72,18 +72,18 @@
 
     def __init__(self, upstream_pools: UpstreamPools, upstream_pool: UpstreamPool, forward: Forward) -> None:
         super().__init__(upstream_pools.shared)
-        self.upstream_pools, self.upstream_pool = upstream_pools, upstream_pool
+        self.pools, self.pool = upstream_pools, upstream_pool
         self.forward: Forward | None = forward
         self.idle_since = self.written_at = 0.0
-        self.idle_limit = IDLE
-        self.keep = True
-        self.done: tuple[api.Code, Answer | None, dict[str, float]] | None = None
-        self.pairs: list[tuple[bytes, bytes]] = []
+        self.idle_limit = IDLE_TIMEOUT_S
+        self.keep_alive = True
+        self.result: tuple[api.Code, Response | None, dict[str, float]] | None = None
+        self.header_pairs: list[tuple[bytes, bytes]] = []
         self.parser = httptools.HttpResponseParser(self)
 
     def on_unopened(self) -> None:
         """It never came up."""
-        self.upstream_pool.closed(self)
+        self.pool.closed(self)
         self.finish(api.Code.UNREACHABLE)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -91,12 +91,12 @@
         super().connection_made(transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.forward is None:
             self.end("cancelled")
         else:
-            self.upstream_pools.write(self)
+            self.pools.write(self)
 
     def data_received(self, data: bytes) -> None:
         """Bytes have come."""
@@ -108,7 +108,7 @@
             self.parser.feed_data(data)
         except (*ParserError, httptools.HttpParserUpgrade) as e:
             fault = parse_error(e).reason
-        if self.done is not None:
+        if self.result is not None:
             # Only now: what else came in the same bytes must not meet the next forward.
             self.deliver(fault)
         elif fault:
@@ -120,17 +120,17 @@
 
     def on_message_begin(self) -> None:
         """A message begins."""
-        if self.done is not None:
+        if self.result is not None:
             raise FramingError(400, "unasked")
         super().on_message_begin()
-        self.pairs = []
+        self.header_pairs = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header."""
         name = name.lower()
         self.headers[name] = value
-        if name not in HOP:
-            self.pairs.append((name, value))
+        if name not in HOP_BY_HOP_HEADERS:
+            self.header_pairs.append((name, value))
 
     def on_headers_complete(self) -> None:
         """The head is whole."""
@@ -140,13 +140,13 @@
             request = forward.flow.message
             assert isinstance(request, Request)
             if request.method == b"HEAD":
-                self.keep = False
+                self.keep_alive = False
                 self.on_message_complete()
 
     def on_body(self, part: bytes) -> None:
         """A part of the body."""
         self.size += len(part)
-        if self.size > self.upstream_pools.most_body:
+        if self.size > self.pools.max_body_bytes:
             raise FramingError(413, "oversize")
         self.parts.append(part)
 
@@ -154,7 +154,7 @@
         """A message is whole."""
         self.started = False
         status = self.parser.get_status_code()
-        if status < 200 or self.done is not None:
+        if status < 200 or self.result is not None:
             return
         self.messages += 1
         forward, headers = self.forward, self.headers
@@ -162,38 +162,38 @@
         request = forward.flow.message
         assert isinstance(request, Request)
         told = headers.get(b"x-attempt-id")
-        if told is not None and told != request.ident:
+        if told is not None and told != request.attempt_id:
             # An extra answer to an earlier request: nobody's any more, and the right one may still come.
             self.shared.stats["answers.stray"] += 1
             log(
-                "stray-answer", server=self.upstream_pool.upstream.ident, status=status,
-                attempt=request.ident.decode("latin-1"), stamped=told.decode("latin-1"),
+                "stray-answer", server=self.pool.upstream.ident, status=status,
+                attempt=request.attempt_id.decode("latin-1"), stamped=told.decode("latin-1"),
             )  # fmt: skip
-            self.keep = False
+            self.keep_alive = False
             return
-        self.keep = self.keep and self.parser.should_keep_alive()
+        self.keep_alive = self.keep_alive and self.parser.should_keep_alive()
         if kept := headers.get(b"keep-alive"):
             self.read_keep_alive(kept)
-        body, pairs = self.body, self.pairs
+        body, pairs = self.body, self.header_pairs
         named = headers.get(b"connection", b"").lower()
-        if named not in PLAIN:
+        if named not in PLAIN_CONNECTION_VALUES:
             hop = {token.strip() for token in named.split(b",")}
             pairs = [pair for pair in pairs if pair[0] not in hop]
         framed = b"content-length" in headers or headers.get(b"transfer-encoding", b"").lower() == b"chunked"
         if status == 421:
-            self.done = api.Code.FULL, None, MISROUTED
+            self.result = api.Code.FULL, None, MISROUTED_REPORT
         elif b"x-not-executed" in headers and status >= 400:
-            self.done = api.Code.FULL, None, NOTHING
+            self.result = api.Code.FULL, None, EMPTY_REPORT
         elif told is None or not (framed or status in (204, 304) or request.method == b"HEAD"):
-            self.done = api.Code.RESET, None, NOTHING
+            self.result = api.Code.RESET, None, EMPTY_REPORT
         elif status >= 500:
-            self.done = api.Code.ERROR, Answer(status, pairs, body, told), NOTHING
+            self.result = api.Code.ERROR, Response(status, pairs, body, told), EMPTY_REPORT
         elif status < 300 and (b"x-server-seal" not in headers or b"content-encoding" in headers):
             self.shared.stats["answers.spoilt"] += 1
-            self.keep = False
-            self.done = api.Code.RESET, None, NOTHING
+            self.keep_alive = False
+            self.result = api.Code.RESET, None, EMPTY_REPORT
         else:
-            self.done = api.Code.OK, Answer(status, pairs, body, told), NOTHING
+            self.result = api.Code.OK, Response(status, pairs, body, told), EMPTY_REPORT
 
     def read_keep_alive(self, text: bytes) -> None:
         """How long its server keeps it idle, as a ``Keep-Alive`` header says."""
@@ -201,46 +201,46 @@
             name, _, value = item.strip().partition(b"=")
             seconds = read_decimal(value) if name.lower() == b"timeout" else None
             if seconds is not None:
-                self.idle_limit = seconds * IDLE_PART
+                self.idle_limit = seconds * KEEP_ALIVE_FRACTION
 
     def deliver(self, fault: str) -> None:
         """Hand the answer on; the connection goes back first, as a further attempt may follow."""
-        forward, done = self.forward, self.done
+        forward, done = self.forward, self.result
         assert forward is not None and done is not None
-        self.forward = self.done = forward.link = None
-        if fault or not self.keep:
+        self.forward = self.result = forward.link = None
+        if fault or not self.keep_alive:
             self.end(fault or "asked_close")
         else:
-            self.upstream_pool.keep(self)
+            self.pool.release(self)
         code, answer, report = done
         if forward.flow.closed:
             self.shared.stats["answers.late"] += 1
-        self.upstream_pools.core.ended(forward, code, self.shared.clock.now(), answer, report)
+        self.pools.core.ended(forward, code, self.shared.clock.now(), answer, report)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """It has ended."""
         unwritten = self.transport is not None and self.transport.get_write_buffer_size() > 0
         super().connection_lost(exc)
-        self.upstream_pool.closed(self)
+        self.pool.closed(self)
         now = self.shared.clock.now()
-        report = NOTHING
+        report = EMPTY_REPORT
         if (
             self.forward is not None
             and self.messages
             and not self.started
-            and now - self.written_at < AT_ONCE
+            and now - self.written_at < PROMPT_RESET_S
         ):
-            self.upstream_pools.wary[self.upstream_pool.upstream.service] = now + WARY
+            self.pools.cautious_until[self.pool.upstream.service] = now + CAUTION_S
             self.shared.stats["servers.forgot"] += 1
-            report = FORGOT
+            report = IDLE_RESET_REPORT
         self.finish(api.Code.UNREACHABLE if unwritten and self.messages == 0 else api.Code.RESET, report)
 
-    def finish(self, code: api.Code, report: dict[str, float] = NOTHING) -> None:
+    def finish(self, code: api.Code, report: dict[str, float] = EMPTY_REPORT) -> None:
         """The forward on it is over without an answer."""
         forward, self.forward = self.forward, None
         if forward is not None:
             forward.link = None
-            self.upstream_pools.core.ended(forward, code, self.shared.clock.now(), None, report)
+            self.pools.core.ended(forward, code, self.shared.clock.now(), None, report)
 
 
 class UpstreamPool:
@@ -251,11 +251,11 @@
         self.idle: list[ServerConnection] = []
         self.open = 0
 
-    def take(self, now: float, most: float = math.inf) -> ServerConnection | None:
+    def acquire(self, now: float, most: float = math.inf) -> ServerConnection | None:
         """The one used last that has rested, if any; ``most``: s that it may have been idle."""
         for place in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[place]
-            if now - connection.idle_since < REST:
+            if now - connection.idle_since < REUSE_DELAY_S:
                 continue
             if now - connection.idle_since > most:
                 break  # those before it have been idle for longer
@@ -267,9 +267,9 @@
             connection.end("idle")
         return None
 
-    def keep(self, connection: ServerConnection) -> None:
+    def release(self, connection: ServerConnection) -> None:
         """It rests until its next forward."""
-        if len(self.idle) < KEPT:
+        if len(self.idle) < MAX_IDLE_CONNECTIONS:
             connection.idle_since = connection.shared.clock.now()
             self.idle.append(connection)
         else:
@@ -296,40 +296,48 @@
 class UpstreamPools:
     """All servers' connections; carries forwards to them."""
 
-    core: LineCore  # comes once it is made, as it needs this port
+    core: DataPlaneCore  # comes once it is made, as it needs this port
 
     def __init__(self, shared: Shared, stock: Stock, most_body: int) -> None:
-        self.shared, self.stock, self.most_body = shared, stock, most_body
-        self.upstream_pools_by_life: dict[str, UpstreamPool] = {}
-        self.wary: dict[str, float] = {}  # services whose servers forget idle connections, and until when
-        self.caps: dict[str, int] = {}  # connections that a server of a service takes, from all callers
+        self.shared, self.balancer, self.max_body_bytes = shared, stock, most_body
+        self.pools_by_instance: dict[str, UpstreamPool] = {}
+        self.cautious_until: dict[
+            str, float
+        ] = {}  # services whose servers forget idle connections, and until when
+        self.connection_caps: dict[
+            str, int
+        ] = {}  # connections that a server of a service takes, from all callers
         self.free_client: Any = lambda: False
 
     def forward(self, forward: Forward) -> None:
         """Send it on a connection that rests, or on a new one."""
         now = self.shared.clock.now()
-        upstream = self.stock.upstreams.get(forward.target)
+        upstream = self.balancer.upstreams.get(forward.target)
         if upstream is None or upstream.state:
             self.core.ended(forward, api.Code.MOOT, now)
             return
-        upstream_pool = self.upstream_pools_by_life.get(upstream.ident)
+        upstream_pool = self.pools_by_instance.get(upstream.ident)
         if upstream_pool is None or upstream_pool.upstream is not upstream:
             if upstream_pool is not None:  # it was taken for gone, and came back
                 upstream_pool.close_idle("server_gone")
-            upstream_pool = self.upstream_pools_by_life[upstream.ident] = UpstreamPool(upstream)
+            upstream_pool = self.pools_by_instance[upstream.ident] = UpstreamPool(upstream)
         route = getattr(forward.flow.request, "route", None)
-        wary = now < self.wary.get(upstream.service, 0.0) and not (route is not None and route.repeatable)
-        connection = upstream_pool.take(now, WARY_IDLE) if wary else upstream_pool.take(now)
+        wary = now < self.cautious_until.get(upstream.service, 0.0) and not (
+            route is not None and route.repeatable
+        )
+        connection = upstream_pool.acquire(now, CAUTION_MAX_IDLE_S) if wary else upstream_pool.acquire(now)
         if connection is not None:
             connection.forward = forward
             self.write(connection)
             return
-        cap = self.caps.get(upstream.service, 0)
-        if cap and upstream_pool.open >= max(int(cap * PART_OF_CAP / len(self.stock.gateways)), CAP_LEAST):
+        cap = self.connection_caps.get(upstream.service, 0)
+        if cap and upstream_pool.open >= max(
+            int(cap * CONNECTION_CAP_FRACTION / len(self.balancer.gateways)), MIN_CONNECTION_CAP
+        ):
             self.shared.stats["servers.no_connection"] += 1
             self.core.ended(forward, api.Code.MOOT, now)
             return
-        if self.shared.sockets.left <= 0 and not self.free_one():
+        if self.shared.sockets.left <= 0 and not self.close_longest_idle():
             self.shared.stats["servers.no_socket"] += 1
             self.core.ended(forward, api.Code.MOOT, now)
             return
@@ -337,25 +345,25 @@
         upstream_pool.open += 1
         connection = ServerConnection(self, upstream_pool, forward)
         forward.link = connection
-        far = CONNECT_FAR if upstream.region != self.stock.region else 0.0
-        connection.dial((upstream.host, upstream.port), CONNECT + far)
+        far = CROSS_REGION_CONNECT_EXTRA_S if upstream.region != self.balancer.region else 0.0
+        connection.dial((upstream.host, upstream.port), CONNECT_TIMEOUT_S + far)
 
     def write(self, connection: ServerConnection) -> None:
         """The last look before the first byte: the server may leave, or the right have ended meanwhile."""
         forward, now = connection.forward, self.shared.clock.now()
         assert forward is not None and connection.transport is not None
-        upstream = connection.upstream_pool.upstream
-        gone = bool(upstream.state) or upstream.zone in self.stock.evacuated
+        upstream = connection.pool.upstream
+        gone = bool(upstream.state) or upstream.zone in self.balancer.evacuated
         if gone or self.core.lapsed(forward.flow) or forward.until <= now:
             connection.forward = forward.link = None
             if gone:
                 connection.end("server_gone")
             else:
-                connection.upstream_pool.keep(connection)
+                connection.pool.release(connection)
             self.core.ended(forward, api.Code.MOOT, now)
             return
         forward.link = connection
-        connection.pairs, connection.written_at = [], now
+        connection.header_pairs, connection.written_at = [], now
         request = forward.flow.message
         assert isinstance(request, Request)
         left = max(int((forward.until - now) * 1000), 1)
@@ -379,17 +387,17 @@
 
     def sweep(self, now: float) -> None:
         """Close what has stood idle too long, and forget servers that are gone."""
-        for ident, upstream_pool in list(self.upstream_pools_by_life.items()):
+        for ident, upstream_pool in list(self.pools_by_instance.items()):
             upstream_pool.sweep(now)
             if upstream_pool.upstream.state:
                 upstream_pool.close_idle("server_gone")
                 if not upstream_pool.open:
-                    del self.upstream_pools_by_life[ident]
+                    del self.pools_by_instance[ident]
 
-    def free_one(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest, of all servers."""
         heads = [
-            upstream_pool.idle for upstream_pool in self.upstream_pools_by_life.values() if upstream_pool.idle
+            upstream_pool.idle for upstream_pool in self.pools_by_instance.values() if upstream_pool.idle
         ]
         if not heads:
             return False
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -15,17 +15,17 @@
 from barleyhub.line.stock import Stock, Upstream
 from latchspoke.outliers.show import evidence
 from latchspoke.reach.graph import standing
-from latchspoke.transport.metrics import Family, page
+from latchspoke.transport.metrics import MetricFamily, render
 
 if TYPE_CHECKING:
     from latchspoke.dataplane.node import Node
-    from latchspoke.dataplane.travel import Travel
+    from latchspoke.dataplane.session_affinity import SessionAffinity
 
 STATES = ("ready", "draining", "gone")
-REFUSALS = 30  # of the last ones are shown
+MAX_REFUSALS = 30  # of the last ones are shown
 
 
-def left(until: float, now: float) -> float:
+def remaining(until: float, now: float) -> float:
     """Seconds until then; 0 where it is past or never was."""
     return round(max(until - now, 0.0), 3) if math.isfinite(until) else 0.0
 
@@ -34,12 +34,12 @@
     return round(now - at, 3) if math.isfinite(at) else None
 
 
-def avoided(stock: Stock, upstream: Upstream, now: float) -> list[str]:
+def avoidance_reasons(stock: Stock, upstream: Upstream, now: float) -> list[str]:
     """Why it gets nothing, or less than its part: reason codes, the hardest first."""
     return list(standing(stock, upstream, now))
 
 
-def server(stock: Stock, upstream: Upstream, now: float) -> dict[str, Any]:
+def server_view(stock: Stock, upstream: Upstream, now: float) -> dict[str, Any]:
     """One life of a server, with the evidence that this gateway has."""
     return {
         "id": upstream.ident,
@@ -49,10 +49,10 @@
         "region": upstream.region,
         "slots": upstream.slots,
         "state": STATES[int(upstream.state)],
-        "avoided": avoided(stock, upstream, now),
+        "avoided": avoidance_reasons(stock, upstream, now),
         "silent": upstream.silent,
-        "cold_s": left(upstream.cold_until, now),
-        "resting_s": left(upstream.rest_until, now),
+        "cold_s": remaining(upstream.cold_until, now),
+        "resting_s": remaining(upstream.rest_until, now),
         "out": upstream.out,
         "errors": round(upstream.own.share(now), 3),
         "pace": round(upstream.own.pace, 3),
@@ -60,15 +60,16 @@
     }
 
 
-def told(node: Node, now: float) -> dict[str, dict[str, Any]]:
+def evidence_view(node: Node, now: float) -> dict[str, dict[str, Any]]:
     """By server: the evidence of others, and the share of failures that it makes here (0: none)."""
     return {
-        ident: evidence(node.examiner.seen(ident, now)) | {"share": round(node.stock.told.get(ident, 0.0), 3)}
+        ident: evidence(node.examiner.seen(ident, now))
+        | {"share": round(node.balancer.told.get(ident, 0.0), 3)}
         for ident in sorted(node.examiner.told)
     }
 
 
-def quotas(dispatcher: Dispatcher, now: float) -> dict[str, dict[str, Any]]:
+def quota_views(dispatcher: Dispatcher, now: float) -> dict[str, dict[str, Any]]:
     """Tenants with a limit that came through here lately."""
     return {
         name: {
@@ -85,7 +86,7 @@
     }
 
 
-def budgets(dispatcher: Dispatcher) -> dict[str, dict[str, float]]:
+def budget_views(dispatcher: Dispatcher) -> dict[str, dict[str, float]]:
     """Further tries that this gateway may still pay for, by service."""
     return {
         service: {"level": round(tries.level, 3), "most": round(tries.most, 3)}
@@ -93,25 +94,25 @@
     }
 
 
-def refusals(dispatcher: Dispatcher, now: float) -> list[dict[str, Any]]:
+def refusal_views(dispatcher: Dispatcher, now: float) -> list[dict[str, Any]]:
     """The last ones, the newest first."""
     return [
         {"s_ago": round(now - at, 3), "reason": reason, "route": route, "tenant": tenant}
-        for at, reason, route, tenant in list(dispatcher.refusals)[: -REFUSALS - 1 : -1]
+        for at, reason, route, tenant in list(dispatcher.refusals)[: -MAX_REFUSALS - 1 : -1]
     ]
 
 
 def status(node: Node) -> dict[str, Any]:
     """The whole view."""
-    now, settings, orders, lease = node.clock.now(), node.settings, node.board.orders, node.lease
-    source = node.feed.source if node.feed.wire is not None else None
+    now, settings, orders, lease = node.clock.now(), node.settings, node.published_state.orders, node.lease
+    source = node.subscription.source if node.subscription.connection is not None else None
     table = node.downstream.table
     return {
         "name": settings.name,
         "role": "edge",
         "zone": settings.zone,
         "region": settings.region,
-        "life": node.life,
+        "life": node.instance_id,
         "ready": node.ready,
         "stopping": node.downstream.stopping,
         "version": f"{orders.version:08x}",
@@ -120,7 +121,7 @@
         "evacuated": sorted(orders.evacuated),
         "lease": {
             "held": now < lease.until,
-            "left_s": left(lease.until, now),
+            "left_s": remaining(lease.until, now),
             "proven_s_ago": age(lease.proven_at, now),
         },
         "source": None
@@ -130,23 +131,23 @@
             "address": f"{source.address[0]}:{source.address[1]}",
             "gateway": source.gateway,
         },
-        "gateways": list(node.stock.gateways),
+        "gateways": list(node.balancer.gateways),
         "clients": len(node.downstream.clients),
-        "in_hand": node.downstream.busy,
-        "servers": [server(node.stock, w, now) for w in node.stock.upstreams.values()],
-        "evidence": told(node, now),
-        "usual_s": {route: round(s, 4) for route, s in sorted(node.stock.usual.items())},
-        "quotas": quotas(node.dispatcher, now),
-        "budgets": budgets(node.dispatcher),
-        "refusals": refusals(node.dispatcher, now),
+        "in_hand": node.downstream.in_flight,
+        "servers": [server_view(node.balancer, w, now) for w in node.balancer.upstreams.values()],
+        "evidence": evidence_view(node, now),
+        "usual_s": {route: round(s, 4) for route, s in sorted(node.balancer.usual.items())},
+        "quotas": quota_views(node.dispatcher, now),
+        "budgets": budget_views(node.dispatcher),
+        "refusals": refusal_views(node.dispatcher, now),
         "counters": dict(sorted(node.stats.items())),
-    } | ({} if node.travel is None else {"travel": node.travel.sizes()})
+    } | ({} if node.session_affinity is None else {"travel": node.session_affinity.sizes()})
 
 
 def metrics(seen: dict[str, Any]) -> str:
     """The text format of a view."""
-    servers = Family("latchspoke_servers", "Servers that this gateway knows, by service and state.")
-    shunned = Family("latchspoke_servers_avoided", "Servers that get less or nothing, by reason code.")
+    servers = MetricFamily("latchspoke_servers", "Servers that this gateway knows, by service and state.")
+    shunned = MetricFamily("latchspoke_servers_avoided", "Servers that get less or nothing, by reason code.")
     states: dict[tuple[str, str], int] = {}
     reasons: dict[str, int] = {}
     for each in seen["servers"]:
@@ -158,32 +159,36 @@
         servers.add(count, service=service, state=state)
     for reason, count in sorted(reasons.items()):
         shunned.add(count, reason=reason)
-    room = Family("latchspoke_quota_room", "Units left to a tenant, as this gateway knows.")
-    gate = Family("latchspoke_quota_gate", "Share of a tenant's requests that the gate lets pass.")
+    room = MetricFamily("latchspoke_quota_room", "Units left to a tenant, as this gateway knows.")
+    gate = MetricFamily("latchspoke_quota_gate", "Share of a tenant's requests that the gate lets pass.")
     for tenant, quota in seen["quotas"].items():
         room.add(quota["room"], tenant=tenant)
         gate.add(quota["gate"], tenant=tenant)
-    tries = Family("latchspoke_tries_left", "Further tries to a service that this gateway may pay for.")
+    tries = MetricFamily("latchspoke_tries_left", "Further tries to a service that this gateway may pay for.")
     for service, budget in seen["budgets"].items():
         tries.add(budget["level"], service=service)
-    events = Family("latchspoke_events_total", "Counted events; the README names them.", "counter")
+    events = MetricFamily("latchspoke_events_total", "Counted events; the README names them.", "counter")
     for event, count in seen["counters"].items():
         events.add(count, event=event)
     plain = [
-        Family("latchspoke_ready", "1 while this gateway is ready.").add(seen["ready"]),
-        Family("latchspoke_config_version", "The configuration in force.").add(int(seen["version"], 16)),
-        Family("latchspoke_config_index", "Place of the operator's last word.").add(seen["index"]),
-        Family("latchspoke_lease_left_seconds", "How long it may act with keys.").add(
+        MetricFamily("latchspoke_ready", "1 while this gateway is ready.").add(seen["ready"]),
+        MetricFamily("latchspoke_config_version", "The configuration in force.").add(
+            int(seen["version"], 16)
+        ),
+        MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(seen["index"]),
+        MetricFamily("latchspoke_lease_left_seconds", "How long it may act with keys.").add(
             seen["lease"]["left_s"]
         ),
-        Family("latchspoke_gateways", "Live gateways that this one knows.").add(len(seen["gateways"])),
-        Family("latchspoke_clients", "Open connections of clients.").add(seen["clients"]),
-        Family("latchspoke_requests_in_hand", "Requests not yet answered.").add(seen["in_hand"]),
+        MetricFamily("latchspoke_gateways", "Live gateways that this one knows.").add(len(seen["gateways"])),
+        MetricFamily("latchspoke_clients", "Open connections of clients.").add(seen["clients"]),
+        MetricFamily("latchspoke_requests_in_hand", "Requests not yet answered.").add(seen["in_hand"]),
     ]
-    return page([*plain, servers, shunned, room, gate, tries, events])
+    return render([*plain, servers, shunned, room, gate, tries, events])
 
 
-def caller(travel: Travel, body: bytes) -> tuple[int, Any] | Awaitable[tuple[int, Any]]:
+def handle_caller_request(
+    travel: SessionAffinity, body: bytes
+) -> tuple[int, Any] | Awaitable[tuple[int, Any]]:
     """A caller's record, or another server for it: ``route``, ``tenant``, ``caller`` and perhaps ``to``."""
     try:
         asked: dict[str, str] = msgspec.json.decode(body, type=dict[str, str])
@@ -191,28 +196,28 @@
     except (KeyError, msgspec.DecodeError) as e:
         return 400, {"errorText": f"route and caller are asked for, as texts: {e}"}
     if asked.get("to"):
-        return travel.move(route, tenant, who, asked["to"])
-    return 200, travel.whereabouts(route, tenant, who)
+        return travel.move_caller(route, tenant, who, asked["to"])
+    return 200, travel.record_view(route, tenant, who)
 
 
-def answer(node: Node, path: str, body: bytes) -> tuple[int, Any]:
+def handle_request(node: Node, path: str, body: bytes) -> tuple[int, Any]:
     """What is asked on the readiness address beside readiness."""
     if path == "/status":
         return 200, status(node)
     if path == "/metrics":
         return 200, metrics(status(node))
-    from latchspoke.dataplane.explain import AskError, explain, read_ask
+    from latchspoke.dataplane.explain import ExplainRequestError, explain, read_explain_request
 
     try:
-        ask = read_ask(msgspec.json.decode(body))
-    except (AskError, msgspec.DecodeError) as e:
+        ask = read_explain_request(msgspec.json.decode(body))
+    except (ExplainRequestError, msgspec.DecodeError) as e:
         return 400, {"errorText": str(e)}
     if node.downstream.table is None:
         return 503, {"errorText": "there is no configuration yet"}
     now = node.clock.now()
-    found = explain(node.downstream.table, ask, now, node.stock, node.dispatcher)
-    others = told(node, now)
-    for each in (server for those in found.get("servers", {}).values() for server in those):
+    found = explain(node.downstream.table, ask, now, node.balancer, node.dispatcher)
+    others = evidence_view(node, now)
+    for each in (server_view for those in found.get("servers", {}).values() for server_view in those):
         if each["id"] in others:
             each["evidence"] = others[each["id"]]
     if not node.ready:
--- a/latchspoke/distribution/teller.py
+++ b/latchspoke/distribution/teller.py
@@ -6,16 +6,16 @@
 
 from latchspoke.distribution.board import Board, Reader
 from latchspoke.net.clock import Clock
-from latchspoke.transport.wire import Message, Wire
+from latchspoke.transport.connection import Message, MessageConnection
 
 
 class Teller:
     """Hears those who follow. Proofs come from ``prove``."""
 
-    def __init__(self, board: Board, clock: Clock, prove: Callable[[Wire, int], None]) -> None:
+    def __init__(self, board: Board, clock: Clock, prove: Callable[[MessageConnection, int], None]) -> None:
         self.board, self.clock, self.prove = board, clock, prove
 
-    def heard(self, wire: Wire, message: Message) -> bool:
+    def heard(self, wire: MessageConnection, message: Message) -> bool:
         """Whether it was for this."""
         reader = wire.tag if isinstance(wire.tag, Reader) else None
         match message.get("k"):
@@ -41,7 +41,7 @@
                 return False
         return True
 
-    def ended(self, wire: Wire) -> None:
+    def ended(self, wire: MessageConnection) -> None:
         """A connection is over."""
         if isinstance(wire.tag, Reader):
             self.board.leave(wire.tag)
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -18,9 +18,9 @@
 from latchspoke.configstore.orders import Orders
 from latchspoke.configuration.routes import Route
 from latchspoke.controlplane import node as controlplane
-from latchspoke.dataplane import downstream, exchange, feed, relay, travel, upstream
+from latchspoke.dataplane import downstream, exchange, relay, session_affinity, subscription, upstream
 from latchspoke.dataplane import node as dataplane
-from latchspoke.dataplane.core import LineCore
+from latchspoke.dataplane.core import DataPlaneCore
 from latchspoke.distribution.board import Lease
 from latchspoke.lab.system.machines import Fleet, SimLedger
 from latchspoke.lab.system.records import Callers, Trouble
@@ -52,7 +52,7 @@
 
 def no_relays() -> Any:
     """Gateways forward nothing between control machines, which would cover what else is taken out."""
-    return on(relay.Relay, "heard", lambda self, wire, message: None)
+    return on(relay.Relay, "handle_message", lambda self, wire, message: None)
 
 
 def t(at: float, kind: str, **fields: Any) -> Trouble:
@@ -140,14 +140,16 @@
 
 def spoilt(old: Any) -> Any:
     def write(self: Any, answer: Any) -> None:
-        old(self, upstream.Answer(answer.status, answer.headers, answer.body[:-1] + b"?", answer.attempt))
+        old(
+            self, upstream.Response(answer.status, answer.headers, answer.body[:-1] + b"?", answer.attempt_id)
+        )
 
     return write
 
 
 def raises(old: Any) -> Any:
     def sweep(self: Any, now: float) -> None:
-        if self.downstream.number.__reduce__()[1][0] > 40:
+        if self.downstream.request_ids.__reduce__()[1][0] > 40:
             raise RuntimeError("a fault put in")
         old(self, now)
 
@@ -191,13 +193,13 @@
 
 def first_source(self: Any, now: float) -> Any:
     """As before failures were kept by address, and whoever lies beside one that failed came later."""
-    if self.source is not None and self.source.address in self.failed:
-        self.failed["", self.source.name] = self.failed.pop(self.source.address)
+    if self.source is not None and self.source.address in self.failed_at:
+        self.failed_at["", self.source.name] = self.failed_at.pop(self.source.address)
 
     def order(source: Any) -> tuple[float, bool, int, float]:
-        failed = self.failed.get(("", source.name), -math.inf)
+        failed = self.failed_at.get(("", source.name), -math.inf)
         near = 0 if source.zone == self.zone else 1 if source.region == self.region else 2
-        return failed if now - failed < 5.0 else -math.inf, source.gateway, near, self.draw.random()
+        return failed if now - failed < 5.0 else -math.inf, source.gateway, near, self.rng.random()
 
     return min(self.sources(), key=order, default=None)
 
@@ -210,14 +212,14 @@
 
 
 def refuses(self: Any, failure: object) -> None:
-    self.plain(503, 0.1)
+    self.write_empty_response(503, 0.1)
 
 
 def leaves_failures(old: Any) -> Any:
     """A failure stays on its client's connection, whatever request is under way there by then."""
 
     def ended(self: Any, forward: Any, code: Any, now: float, answer: Any = None, report: Any = None) -> None:
-        bearer = getattr(forward.flow.client, "bearer", None)
+        bearer = getattr(forward.flow.client, "connection", None)
         if bearer is not None and answer is not None and code is Code.ERROR:
             bearer.left = answer
         old(self, forward, code, now, answer, report)
@@ -227,12 +229,12 @@
 
 def hands_on_what_is_left(old: Any) -> Any:
     def failed(self: Any, failure: object) -> None:
-        left = getattr(self.bearer, "left", None)
+        left = getattr(self.connection, "left", None)
         if left is None:
             old(self, failure)
             return
-        self.bearer.left = None
-        self.attempt = left.attempt  # the last look at whose answer it is is taken out as well
+        self.connection.left = None
+        self.attempt_id = left.attempt_id  # the last look at whose answer it is is taken out as well
         old(self, left)
 
     return failed
@@ -257,7 +259,7 @@
     ),
     "drain": Guard(
         "DRAIN", (t(1.0, "shrink", count=2, where="meters"), t(1.5, "shrink", count=2, where="orders")),
-        lambda: [around(dataplane.Node, "take_server", ready_only)],
+        lambda: [around(dataplane.Node, "apply_server", ready_only)],
     ),
     "majority-copies": Guard(
         "DRAIN",
@@ -274,37 +276,39 @@
     ),
     "once-only": Guard("TWICE", LOSSES, lambda: [around(dataplane, "compile_table", all_repeatable)]),
     "fate": Guard(
-        "EXCHANGE", LOSSES, lambda: [on(travel, "state_of", lambda text: State.NOT_RUN)],
+        "EXCHANGE", LOSSES, lambda: [on(session_affinity, "state_of", lambda text: State.NOT_RUN)],
         callers=Callers(20, 0.3),
     ),
     "promise": Guard(
         "REFUSED", LOSSES, lambda: [on(exchange.ClientExchange, "failed", refuses)]
     ),
-    "whole-answer": Guard("MIXED", (), lambda: [around(exchange.ClientExchange, "write_answer", spoilt)]),
+    "whole-answer": Guard("MIXED", (), lambda: [around(exchange.ClientExchange, "write_response", spoilt)]),
     "own-failure": Guard(
         "MIXED",
         tuple(t(0.5, kind, lasts=9.0, count=4, x=x, how=how, where=where)
               for where in ("meters", "orders")
               for kind, x, how in (("grey", 0.5, "sick"), ("lost_answers", 0.3, ""))),
-        lambda: [around(LineCore, "ended", leaves_failures),
+        lambda: [around(DataPlaneCore, "ended", leaves_failures),
                  around(exchange.ClientExchange, "failed", hands_on_what_is_left)],
     ),
     "homes": Guard("HOME", (), lambda: [on(dispatch, "homes_of", lambda route, tenant: None)]),
     "route": Guard("ROUTE", (), lambda: [around(Route, "service", elsewhere)]),
     "hidden-key": Guard(
-        "UNASKED", (), lambda: [on(downstream, "REPLACED", downstream.REPLACED - {b"authorization"})]
+        "UNASKED", (),
+        lambda: [on(downstream, "REPLACED_HEADERS", downstream.REPLACED_HEADERS - {b"authorization"})],
     ),
-    "new-versions": Guard("CONFIG", CHANGES, lambda: [around(dataplane.Node, "take_orders", only_first)]),
+    "new-versions": Guard("CONFIG", CHANGES, lambda: [around(dataplane.Node, "apply_orders", only_first)]),
     "never-back": Guard(
         "CONFIG back", (t(1.0, "change", how="move"),),
-        lambda: [around(dataplane.Node, "take_orders", goes_back)],
+        lambda: [around(dataplane.Node, "apply_orders", goes_back)],
     ),
     "second-source": Guard(
         "CONFIG",
         (t(1.0, "core_cut", how="halves", lasts=11.0), t(1.5, "change", how="move"),
          *(t(at, "many_routes", count=2) for at in (1.2, 2.2, 3.2, 4.2, 5.2, 6.2))),
-        lambda: [on(feed.Feed, "choose", first_source), on(dataplane, "FIRST", 2.5), on(feed, "LEAST", 0.8),
-                 on(downstream.Downstream, "deny", downstream.Downstream.turn_away), no_relays()],
+        lambda: [on(subscription.Subscription, "choose_source", first_source),
+                 on(dataplane, "FIRST_PROOF_DIVISOR", 2.5), on(subscription, "MIN_CHECK_INTERVAL_S", 0.8),
+                 on(downstream.Downstream, "deny", downstream.Downstream.reject_request), no_relays()],
         cores=5, seed=4,
     ),
     "check": Guard(
@@ -336,7 +340,7 @@
     ),
     "grace": Guard(
         "LOST", (t(2.0, "term", how="edge", count=2, x=1.0),),
-        lambda: [on(dataplane.Node, "stop", lambda self: self.end())],
+        lambda: [on(dataplane.Node, "stop", lambda self: self.shut_down())],
     ),
     "restart": Guard(
         "RECOVER", (t(3.0, "end_kill", lasts=1.0),), lambda: [around(Fleet, "release", stays_down)]
--- a/latchspoke/lab/system/machines.py
+++ b/latchspoke/lab/system/machines.py
@@ -296,7 +296,7 @@
         except Exception as e:
             self.world.faults.append((self.world.now, machine.name, f"it does not start: {e!r}"))
         else:
-            await node.done.wait()
+            await node.stopped.wait()
             await asyncio.sleep(0.02)
         self.ended(machine, loop)
 
--- a/latchspoke/membership/post.py
+++ b/latchspoke/membership/post.py
@@ -10,7 +10,7 @@
 from latchspoke.membership.packing import pack, unpack
 from latchspoke.membership.watch import Membership, News
 from latchspoke.membership.words import Address
-from latchspoke.transport.netstring import FrameError, Frames, frame
+from latchspoke.transport.netstring import FrameDecoder, FrameError, encode_frame
 
 MOST = 4096  # bytes of a datagram that is read at all
 CAST = "cast"  # the kind of what travels beside the membership's own messages
@@ -68,7 +68,7 @@
 
     def cast(self, message: dict[str, Any], addresses: Iterable[Address]) -> None:
         """Beside the membership's own messages: once to each, and it may be lost."""
-        data = frame(message | {"k": CAST})
+        data = encode_frame(message | {"k": CAST})
         for address in addresses:
             self.sent += 1
             self.sent_bytes += len(data)
@@ -78,7 +78,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         """A datagram has come; what is not ours is counted and dropped."""
         self.received += 1
-        frames = Frames(MOST)
+        frames = FrameDecoder(MOST)
         try:
             found = frames.feed(data)
         except FrameError:
@@ -108,7 +108,7 @@
         for news in output.news:
             self.note(news)
         for address, message in output.messages:
-            data = frame(pack(message) if address in self.packs else message)
+            data = encode_frame(pack(message) if address in self.packs else message)
             self.sent += 1
             self.sent_bytes += len(data)
             if self.transport:
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -26,19 +26,22 @@
 from latchspoke.registry.registry import BeatError, Registry
 from latchspoke.settings import VARIABLE, Settings, SettingsError, load
 from latchspoke.settings.watch import Stamp, Watch, stamp_of
+from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.log import log, open_log
-from latchspoke.transport.wire import Message, Wire
 
-EDGE_PORT, CORE_PORT = 0, 1  # of the inner ports: places for the data plane and for the control plane
-LOG_AFTER = 1.0  # s after the start
-LAST_BYTES = 0.02  # s for what was written last
+GATEWAY_PORT_OFFSET, CONTROL_PORT_OFFSET = (
+    0,
+    1,
+)  # of the inner ports: places for the data plane and for the control plane
+LOG_OPEN_DELAY_S = 1.0  # s after the start
+FLUSH_DELAY_S = 0.02  # s for what was written last
 
 
 class NodeProcess:
     """One process: what it is told by its settings and by the membership, and those who follow its board."""
 
-    PORT: int  # its place among the inner ports
-    post: Post  # ``fit`` makes it, with the program's own meta
+    PORT_OFFSET: int  # its place among the inner ports
+    membership_transport: Post  # ``fit`` makes it, with the program's own meta
 
     def __init__(
         self,
@@ -50,34 +53,34 @@
     ) -> None:
         """``clock`` and ``draw`` are given where time is virtual."""
         s = self.settings = settings
-        self.loop, self.watch = loop, Watch(path, self.taken)
-        self.clock, self.draw = clock or Clock(loop), draw or random.Random()
-        self.life = f"{self.draw.getrandbits(32):08x}"
-        self.inner = s.ip, s.ports[0] + self.PORT
-        self.link = f"{s.ip}:{s.ports[0] + self.PORT}"
+        self.loop, self.settings_watch = loop, Watch(path, self.apply_settings)
+        self.clock, self.rng = clock or Clock(loop), draw or random.Random()
+        self.instance_id = f"{self.rng.getrandbits(32):08x}"
+        self.internal_address = s.ip, s.ports[0] + self.PORT_OFFSET
+        self.internal_endpoint = f"{s.ip}:{s.ports[0] + self.PORT_OFFSET}"
         self.registry = Registry(s.beat)
-        self.board = Board(self.registry, difference=diff, versions=Versions())  # type: ignore[arg-type]
-        self.teller = Teller(self.board, self.clock, self.prove)
-        self.servers: list[asyncio.Server] = []
-        self.done = asyncio.Event()
+        self.published_state = Board(self.registry, difference=diff, versions=Versions())  # type: ignore[arg-type]
+        self.publisher = Teller(self.published_state, self.clock, self.handle_proof_request)
+        self.listeners: list[asyncio.Server] = []
+        self.stopped = asyncio.Event()
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.fit()
+        self.build()
 
     # What the programs say for themselves.
 
-    def fit(self) -> None:
+    def build(self) -> None:
         """Puts the program's own parts together."""
         raise NotImplementedError
 
-    def prove(self, wire: Wire, tag: int) -> None:
+    def handle_proof_request(self, wire: MessageConnection, tag: int) -> None:
         """Who follows asks whether what it knows is the newest."""
         raise NotImplementedError
 
-    def news(self, news: News) -> None:
+    def membership_changed(self, news: News) -> None:
         """Of the membership."""
         raise NotImplementedError
 
-    def heard(self, wire: Wire, message: Message) -> None:
+    def handle_message(self, wire: MessageConnection, message: Message) -> None:
         """A message on a connection that another process has opened."""
         raise NotImplementedError
 
@@ -91,40 +94,48 @@
 
     # What they share.
 
-    def member(self, meta: dict[str, Any]) -> Post:
+    def create_membership_transport(self, meta: dict[str, Any]) -> Post:
         """The membership, with this process as its member."""
         s = self.settings
-        me = Member(s.name, *self.inner, meta, 0, self.life)
+        me = Member(s.name, *self.internal_address, meta, 0, self.instance_id)
         return Post(
-            Membership(me, self.seeds(), Timing(), self.draw, self.clock.now()), self.news, self.clock.now
+            Membership(me, self.seed_addresses(), Timing(), self.rng, self.clock.now()),
+            self.membership_changed,
+            self.clock.now,
         )
 
-    def seeds(self) -> list[tuple[str, int]]:
+    def seed_addresses(self) -> list[tuple[str, int]]:
         """Where the control machines of the settings file take the membership's messages."""
-        return [(host, self.settings.ports[0] + CORE_PORT) for host, _ in self.settings.seeds]
+        return [(host, self.settings.ports[0] + CONTROL_PORT_OFFSET) for host, _ in self.settings.seeds]
 
-    async def listen(self, post: Post) -> None:
+    async def listen_internal(self, post: Post) -> None:
         """The inner port, both for the membership and for connections. Raises OSError."""
-        await post.start(*self.inner)
+        await post.start(*self.internal_address)
         create = self.loop.create_server
-        self.servers.append(await create(lambda: Wire(self.accepted, self.left), *self.inner, backlog=256))
+        self.listeners.append(
+            await create(
+                lambda: MessageConnection(self.inbound_message, self.inbound_closed),
+                *self.internal_address,
+                backlog=256,
+            )
+        )
 
-    def serves(self, **fields: Any) -> None:
+    def serving_started(self, **fields: Any) -> None:
         """All is open: the log may be loaded when it disturbs nobody."""
         s = self.settings
-        self.clock.schedule(self.clock.now() + LOG_AFTER, lambda now: open_log(node=s.name))
+        self.clock.schedule(self.clock.now() + LOG_OPEN_DELAY_S, lambda now: open_log(node=s.name))
         log("serves", **fields, zone=s.zone)
 
-    def accepted(self, wire: Wire, message: Message) -> None:
+    def inbound_message(self, wire: MessageConnection, message: Message) -> None:
         """A message on a connection that another process has opened; a wrong one ends the connection."""
         try:
-            self.heard(wire, message)
+            self.handle_message(wire, message)
         except (BeatError, KeyError, TypeError, ValueError) as e:
             wire.end(f"a message that can't be read: {e!r}")
 
-    def left(self, wire: Wire, reason: str) -> None:
+    def inbound_closed(self, wire: MessageConnection, reason: str) -> None:
         """A connection that another process had opened has ended."""
-        self.teller.ended(wire)
+        self.publisher.ended(wire)
 
     def spawn(self, work: Any) -> None:
         """Run a coroutine as a task that is kept until it ends."""
@@ -134,19 +145,19 @@
 
     def reload(self) -> None:
         """SIGHUP. A file that can't be used changes nothing."""
-        self.watch.read()
+        self.settings_watch.read()
 
-    def taken(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, perhaps."""
         self.settings = settings
-        self.post.reseed(self.seeds())
+        self.membership_transport.reseed(self.seed_addresses())
 
 
 async def run(kind: type[NodeProcess], settings: Settings, path: str, seen: Stamp | None) -> None:
     """From start to SIGTERM; ``seen``: the settings file as it was before it was read."""
     loop = asyncio.get_running_loop()
     node = kind(settings, loop, path)
-    node.watch.seen = seen
+    node.settings_watch.seen = seen
     asked_to_stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     for number in ENDING:
@@ -158,8 +169,8 @@
         node.stop()  # in order: clients may have come meanwhile
     gc.collect()
     gc.freeze()
-    await node.done.wait()
-    await asyncio.sleep(LAST_BYTES)
+    await node.stopped.wait()
+    await asyncio.sleep(FLUSH_DELAY_S)
     ignore_from_now_on(loop)
 
 
--- a/latchspoke/reach/show.py
+++ b/latchspoke/reach/show.py
@@ -40,7 +40,7 @@
 
 def reach(node: Node, since: float, service: str = "", server: str = "") -> dict[str, Any]:
     """Servers that requests from here reached in the last ``since`` s, and those that got less."""
-    graph, now, settings = node.graph, node.clock.now(), node.settings
+    graph, now, settings = node.reach_graph, node.clock.now(), node.settings
     covers, counts = graph.counted(since, now)
     routes: dict[str, dict[str, Any]] = {}
     for (ident, route), each in counts.items():
@@ -58,7 +58,7 @@
         standing = graph.standings.get(ident)
         if not asked_for(ident, standing) or (standing is None and ident not in routes):
             continue
-        upstream = node.stock.upstreams.get(ident)
+        upstream = node.balancer.upstreams.get(ident)
         row: dict[str, Any] = {"id": ident, "routes": routes.get(ident, {})}
         if standing is not None:
             row |= {
@@ -70,8 +70,9 @@
             row |= {"out": upstream.out, "slots": upstream.slots}
         rows.append(row)
     return {
-        "name": settings.name, "zone": settings.zone, "region": settings.region, "life": node.life,
-        "ready": node.ready, "version": f"{node.board.orders.version:08x}", "covers_s": round(covers, 2),
+        "name": settings.name, "zone": settings.zone, "region": settings.region, "life": node.instance_id,
+        "ready": node.ready, "version": f"{node.published_state.orders.version:08x}",
+        "covers_s": round(covers, 2),
         "servers": rows,
         "changes": [
             change(each, now)
--- a/latchspoke/session_records/drill.py
+++ b/latchspoke/session_records/drill.py
@@ -20,7 +20,7 @@
 from latchspoke.session_records.desk import LEAST, Ask, Desk, Go, Later, Pass, Step, Tell, Terms
 from latchspoke.session_records.office import Held, Letter, Message, Office, Out, read
 from latchspoke.session_records.verdict import State
-from latchspoke.transport.netstring import frame
+from latchspoke.transport.netstring import encode_frame
 
 LEASE, PROOF = 4.5, 0.8  # s; of the right to act, and between its proofs
 SETTLE = 6.0
@@ -311,7 +311,7 @@
         other = self.sites.get(to)
         if other is None:
             return
-        size = len(frame(message))
+        size = len(encode_frame(message))
         self.bytes[str(message["w"])] += size
         self.letters[str(message["w"])] += 1
         if frozenset((site.name, to)) in self.cuts:
--- a/latchspoke/session_records/office.py
+++ b/latchspoke/session_records/office.py
@@ -23,7 +23,7 @@
 from msgspec.structs import replace
 
 from latchspoke.session_records.bill import PAST, Bill, Era, Fate, Peer
-from latchspoke.transport.questions import first_number
+from latchspoke.transport.request_ids import first_request_id
 
 Message = dict[str, Any]
 
@@ -137,7 +137,7 @@
         self.words: dict[
             int, tuple[Message, float]
         ] = {}  # own fates, until confirmed, and until when they matter
-        self.numbers, self.turns = itertools.count(first_number(life) + 1), itertools.count(1)
+        self.numbers, self.turns = itertools.count(first_request_id(life) + 1), itertools.count(1)
         self.swept = now
         self.out: list[Out] = []
         self.now = now
--- a/latchspoke/transport/log.py
+++ b/latchspoke/transport/log.py
@@ -13,25 +13,25 @@
 from typing import Any
 
 # Levels of events; all others are told as "info".
-LEVELS = {
+EVENT_LEVELS = {
     "proof-failed": "error", "register-failed": "error", "disk-refuses": "error",
     "settings-refused": "warning", "configuration-refused": "warning", "feed-gap": "warning",
     "feed-ended": "warning", "not-ready": "warning", "lost-majority": "warning", "old-disk": "warning",
 }  # fmt: skip
-WAITING: deque[tuple[float, str, dict[str, Any]]] = deque(maxlen=200)
+BUFFERED_EVENTS: deque[tuple[float, str, dict[str, Any]]] = deque(maxlen=200)
 LOGGER: list[Any] = []
 
 
 def log(event: str, **fields: Any) -> None:
     """One event. Keys of tenants must never be among the fields."""
-    fields["level"] = LEVELS.get(event, "info")
+    fields["level"] = EVENT_LEVELS.get(event, "info")
     if LOGGER:
         LOGGER[0].info(event, **fields)
     else:
-        WAITING.append((time.time(), event, fields))
+        BUFFERED_EVENTS.append((time.time(), event, fields))
 
 
-def without_helpers() -> ModuleType:
+def import_structlog() -> ModuleType:
     """``structlog`` without what it prints tracebacks in colours with, which the command line has brought.
 
     ``rich`` takes 40 ms of a processor to load and 4 MB, at a moment when the process serves already; a line
@@ -49,7 +49,7 @@
 
 def open_log(**always: Any) -> None:
     """From now on lines go out at once; those that waited go first, with the time (s) they waited."""
-    structlog = without_helpers()
+    structlog = import_structlog()
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="%Y-%m-%dT%H:%M:%S.%f", utc=True),
@@ -62,6 +62,6 @@
     )
     LOGGER.append(structlog.get_logger().bind(**always))
     now = time.time()
-    while WAITING:
-        at, event, fields = WAITING.popleft()
+    while BUFFERED_EVENTS:
+        at, event, fields = BUFFERED_EVENTS.popleft()
         LOGGER[0].info(event, waited=round(now - at, 3), **fields)
--- a/latchspoke/transport/metrics.py
+++ b/latchspoke/transport/metrics.py
@@ -8,42 +8,47 @@
 from typing import Literal
 
 Labels = Mapping[str, str]
-ESCAPES = str.maketrans({"\\": r"\\", '"': r"\"", "\n": r"\n"})
+LABEL_ESCAPES = str.maketrans({"\\": r"\\", '"': r"\"", "\n": r"\n"})
 
 
 @dataclass(slots=True)
-class Family:
+class MetricFamily:
     """One metric with its samples; ``kind`` as the format names it."""
 
     name: str
-    text: str
+    help_text: str
     kind: Literal["gauge", "counter"] = "gauge"
     samples: list[tuple[Labels, float]] = field(default_factory=list)
 
-    def add(self, value: float, **labels: str) -> Family:
+    def add(self, value: float, **labels: str) -> MetricFamily:
         """One more value, under these labels."""
         self.samples.append((labels, float(value)))
         return self
 
 
-def page(families: Iterable[Family]) -> str:
+def render(families: Iterable[MetricFamily]) -> str:
     """The whole text; a family without samples is left out."""
     lines: list[str] = []
     for family in families:
         if family.samples:
-            lines += [f"# HELP {family.name} {family.text}", f"# TYPE {family.name} {family.kind}"]
-            lines += [f"{family.name}{written(labels)} {figure(value)}" for labels, value in family.samples]
+            lines += [f"# HELP {family.name} {family.help_text}", f"# TYPE {family.name} {family.kind}"]
+            lines += [
+                f"{family.name}{format_labels(labels)} {format_value(value)}"
+                for labels, value in family.samples
+            ]
     return "\n".join(lines) + "\n"
 
 
-def written(labels: Labels) -> str:
+def format_labels(labels: Labels) -> str:
     """Labels as they stand behind a name."""
     if not labels:
         return ""
-    return "{" + ",".join(f'{name}="{value.translate(ESCAPES)}"' for name, value in labels.items()) + "}"
+    return (
+        "{" + ",".join(f'{name}="{value.translate(LABEL_ESCAPES)}"' for name, value in labels.items()) + "}"
+    )
 
 
-def figure(value: float) -> str:
+def format_value(value: float) -> str:
     """A value as text."""
     if math.isinf(value):
         return "+Inf" if value > 0 else "-Inf"
--- a/latchspoke/transport/netstring.py
+++ b/latchspoke/transport/netstring.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-MOST = 64 * 1024 * 1024  # bytes of one frame
-DIGITS = len(str(MOST))
+MAX_FRAME_BYTES = 64 * 1024 * 1024  # bytes of one frame
+MAX_LENGTH_DIGITS = len(str(MAX_FRAME_BYTES))
 
 ENCODE = msgspec.json.Encoder().encode
 DECODE = msgspec.json.Decoder().decode
@@ -17,17 +17,17 @@
     """What came in is no netstring of JSON; one line."""
 
 
-def frame(message: object) -> bytes:
+def encode_frame(message: object) -> bytes:
     """One message as bytes. ``message``: anything msgspec writes as JSON."""
     body = ENCODE(message)
     return b"%d:%b," % (len(body), body)
 
 
-class Frames:
+class FrameDecoder:
     """Cuts a stream of bytes into messages, wherever the pieces end."""
 
-    def __init__(self, most: int = MOST) -> None:
-        self.most = most
+    def __init__(self, most: int = MAX_FRAME_BYTES) -> None:
+        self.max_frame_bytes = most
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Any]:
@@ -36,13 +36,13 @@
         found: list[Any] = []
         start = 0
         while True:
-            colon = self.buffer.find(b":", start, start + DIGITS + 1)
+            colon = self.buffer.find(b":", start, start + MAX_LENGTH_DIGITS + 1)
             if colon < 0:
-                if len(self.buffer) - start > DIGITS:
+                if len(self.buffer) - start > MAX_LENGTH_DIGITS:
                     raise FrameError("a frame has no length")
                 break
             digits = bytes(self.buffer[start:colon])
-            if not digits.isdigit() or int(digits) > self.most:
+            if not digits.isdigit() or int(digits) > self.max_frame_bytes:
                 raise FrameError(f"a frame's length is {digits[:20]!r}")
             end = colon + 1 + int(digits)
             if end >= len(self.buffer):
--- a/tests/affinity/test_telling.py
+++ b/tests/affinity/test_telling.py
@@ -14,7 +14,7 @@
 from barleyhub.line.dispatch import Dispatcher
 from barleyhub.line.stock import State, Stock, Upstream
 from latchspoke.configuration import compile_table
-from latchspoke.dataplane.explain import Ask, explain
+from latchspoke.dataplane.explain import ExplainRequest, explain
 from latchspoke.pool.command import pool_app
 
 ACTION = {"service": "s", "affinity": {"callerFrom": ["header:X-Member", "path:2"], "exchangeS": 9}}
@@ -35,7 +35,7 @@
     table = compile_table(cast(Any, DOC))
 
     def told(**ask: str) -> dict[str, Any]:
-        return explain(table, Ask("h", "/a/bob", **ask), 1.0, stock, gate)
+        return explain(table, ExplainRequest("h", "/a/bob", **ask), 1.0, stock, gate)
 
     first = told()
     assert first["caller"]["caller"] == "bob" and first["caller"]["id"] in first["because"]
@@ -47,7 +47,7 @@
     upstream.rest_until = 0.0
     gate.berths.pins["s", key_of(b"bob")] = "i3", 4.0
     assert told()["caller"]["id"] == "i3" and "exchange is open" in told()["because"]
-    assert "caller" not in explain(table, Ask("h", "/a/"), 1.0, stock, gate)
+    assert "caller" not in explain(table, ExplainRequest("h", "/a/"), 1.0, stock, gate)
 
 
 SERVERS = [
--- a/tests/controlplane/test_fanout.py
+++ b/tests/controlplane/test_fanout.py
@@ -64,7 +64,7 @@
 class Wire:
     def __init__(self) -> None:
         self.sent: list[Any] = []
-        self.over = False
+        self.closed = False
 
     def send(self, message: Any) -> bool:
         self.sent.append(message)
@@ -100,13 +100,13 @@
     asked: list[Any] = []
     box.node.peers.send = lambda name, message: asked.append((name, message))  # type: ignore[method-assign]
     wire = SimpleNamespace(tag="10.2.0.11:7601", send=lambda message: True)
-    box.node.heard(cast(Any, wire), {"k": "beats", "b": [["s-1", 4, 0.2]]})
+    box.node.handle_message(cast(Any, wire), {"k": "beats", "b": [["s-1", 4, 0.2]]})
     assert asked == [("10.2.0.11:7601", {"k": "want", "i": ["s-1"]})]
     known = {"i": "s-1", "t": 0, "q": 4, "s": "svc", "a": "10.9.0.1:8080", "z": "waw-a", "n": 2, "g": 0.1}
-    box.node.heard(cast(Any, wire), roster([known], packs=True))
+    box.node.handle_message(cast(Any, wire), roster([known], packs=True))
     assert box.node.registry.entries["s-1"].address == "10.9.0.1:8080"
     asked.clear()
-    box.node.heard(cast(Any, wire), {"k": "want", "i": ["s-1", "s-2"]})
+    box.node.handle_message(cast(Any, wire), {"k": "want", "i": ["s-1", "s-2"]})
     name, answer = asked[0]
     assert name == "10.2.0.11:7601" and [each["i"] for each in unpack_entries(answer)] == ["s-1"]
 
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -18,7 +18,7 @@
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import VirtualClock
 from latchspoke.membership.words import Member
-from latchspoke.transport.door import PRESENT
+from latchspoke.transport.http_server import LOCAL_CALLER
 from tests.configuration.drawn import page
 from tests.settings.test_node import settings
 
@@ -96,7 +96,9 @@
         sent: list[dict[str, Any]] = []
         return SimpleNamespace(tag=None, sent=sent, send=sent.append, end=sent.append)
 
-    def call(self, name: str, body: object = None, of: str = "", caller: Any = PRESENT) -> tuple[int, Any]:
+    def call(
+        self, name: str, body: object = None, of: str = "", caller: Any = LOCAL_CALLER
+    ) -> tuple[int, Any]:
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         given = self.node.control("POST", f"/rpc?call={name}&of={of}", data, caller)
         if isinstance(given, tuple):
@@ -196,7 +198,7 @@
     box.node.peer_joined(wire)
     assert [message["k"] for message in wire.sent] == ["roster"], "it has seen nothing that it could tell"
     if told is not None:
-        box.node.heard(box.wire(), {"k": "moved", **told})
+        box.node.handle_message(box.wire(), {"k": "moved", **told})
     command = evacuation(box, "begin", 0.5, 2 if stands else 1)[1]
     assert command == {"do": "evacuate"} | ({"stand": 1} if stands else {})
     if stands:
@@ -259,9 +261,11 @@
 ) -> None:
     """FAILBACK, DRAIN: one may follow a control machine that was cut off or lost power a moment ago."""
     told: list[Any] = []
-    monkeypatch.setattr(box.node.post, "cast", lambda message, to: told.append((message["e"], list(to))))
+    monkeypatch.setattr(
+        box.node.membership_transport, "cast", lambda message, to: told.append((message["e"], list(to)))
+    )
     meta = {"role": "edge", "zone": "waw-a", "link": "10.1.0.21:7600", "ready": True}
-    alive = box.node.post.membership.alive
+    alive = box.node.membership_transport.membership.alive
     alive["g"] = Member("g", "10.1.0.21", 7600, meta, 0, "life")
     body = {"service": "p", "address": "10.9.0.1:80", "zone": "waw-a", "capacitySlots": 2}
     for number, cold in enumerate((3.0, 0.0, 0.0, 2.5, 1.0), 1):
@@ -279,12 +283,12 @@
     box.replica.commit(7, page())
     box.node.tell_orders()
     wire = box.wire()
-    box.node.accepted(wire, {"k": "hello", "name": "g"})
+    box.node.inbound_message(wire, {"k": "hello", "name": "g"})
     box.replica.verdict = Verdict(TAKEN, index=1)
     begun = box.loop.now
     box.call("configuration.replace", page())
     assert box.loop.now - begun == pytest.approx(node.TOLD, abs=0.02)
-    box.node.accepted(wire, {"k": "ack", "n": 1, "index": 1})
+    box.node.inbound_message(wire, {"k": "ack", "n": 1, "index": 1})
     begun = box.loop.now
     box.call("configuration.replace", page())
     assert box.loop.now - begun < 0.01
@@ -341,7 +345,7 @@
 
     def commit() -> None:
         box.replica.meanwhile = lambda: None
-        box.node.accepted(wire, {"k": "prove", "t": 2})
+        box.node.inbound_message(wire, {"k": "prove", "t": 2})
 
     def asks() -> None:
         asked.append(box.node.clock.now())
@@ -349,7 +353,7 @@
 
     asked: list[float] = []
     box.replica.meanwhile = asks
-    box.node.accepted(wire, {"k": "prove", "t": 1})
+    box.node.inbound_message(wire, {"k": "prove", "t": 1})
     box.run(asyncio.sleep(2.0))
     first, second = wire.sent
     assert first == {"k": "proven", "t": 1, "index": 1}
@@ -357,7 +361,7 @@
     assert asked[0] - second["age"] <= begun, "not from after the round began"
     assert box.replica.confirms == 1, "one round serves both"
     box.replica.reached = False
-    box.node.accepted(wire, {"k": "prove", "t": 3})
+    box.node.inbound_message(wire, {"k": "prove", "t": 3})
     box.run(asyncio.sleep(2.0))
     assert wire.sent[-1] == {"k": "proven", "t": 3}, "nothing is proven without a majority"
 
@@ -410,7 +414,7 @@
         box.replica.begun.append("port")
         raise OSError("far enough")
 
-    monkeypatch.setattr(box.node, "listen", listen)
+    monkeypatch.setattr(box.node, "listen_internal", listen)
     with pytest.raises(OSError, match="far enough"):
         box.run(box.node.start())
     assert box.replica.begun == ["register", "port"]
@@ -420,11 +424,11 @@
     box.loop.set_exception_handler(lambda loop, context: None)
     box.replica.fails = True
     first = box.wire()
-    box.node.prove(first, 1)
+    box.node.handle_proof_request(first, 1)
     box.run(asyncio.sleep(1.0))
     assert first.sent == [{"k": "proven", "t": 1}]
     box.replica.fails = False
     second = box.wire()
-    box.node.prove(second, 2)
+    box.node.handle_proof_request(second, 2)
     box.run(asyncio.sleep(1.0))
     assert [told.get("index") for told in second.sent] == [0]
--- a/tests/controlplane/test_relays.py
+++ b/tests/controlplane/test_relays.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
-        self.over = False
+        self.closed = False
 
     def write(self, data: Any) -> bool:
         self.sent.append(data)
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -90,7 +90,7 @@
 @pytest.fixture
 def view() -> Iterator[dict[str, Any]]:
     loop = asyncio.new_event_loop()
-    yield gateway(loop).readiness("GET", "/status", b"")[1]
+    yield gateway(loop).handle_query("GET", "/status", b"")[1]
     loop.close()
 
 
@@ -382,14 +382,14 @@
     node = gateway(loop)
     node.sweep(node.clock.now())
     for number in range(6):
-        node.graph.note("b1", "r-read", Code.ERROR if number else Code.OK, 0.2, False, node.clock.now())
-    assert node.readiness("GET", "/reach?since=0", b"")[0] == 400
-    assert node.readiness("GET", "/reach?sinse=1", b"")[1] == {
+        node.reach_graph.note("b1", "r-read", Code.ERROR if number else Code.OK, 0.2, False, node.clock.now())
+    assert node.handle_query("GET", "/reach?since=0", b"")[0] == 400
+    assert node.handle_query("GET", "/reach?sinse=1", b"")[1] == {
         "errorText": "'sinse' is none of since, service, server"
     }
-    machines.tell("/reach?since=60", node.readiness("GET", "/reach?since=60", b""))
-    machines.tell("/reach?since=60&server=b1", node.readiness("GET", "/reach?since=60&server=b1", b""))
-    machines.tell("/reach?since=60&server=x", node.readiness("GET", "/reach?since=60&server=x", b""))
+    machines.tell("/reach?since=60", node.handle_query("GET", "/reach?since=60", b""))
+    machines.tell("/reach?since=60&server=b1", node.handle_query("GET", "/reach?since=60&server=b1", b""))
+    machines.tell("/reach?since=60&server=x", node.handle_query("GET", "/reach?since=60&server=x", b""))
     loop.close()
     code, text = run("reach", "--changes", "--strict")
     assert code == app.FINDINGS and "1 gateways tell of the last" in text
--- a/tests/ctl/test_views.py
+++ b/tests/ctl/test_views.py
@@ -17,7 +17,7 @@
 from latchspoke.configuration import compile_table
 from latchspoke.ctl import pages
 from latchspoke.dataplane import view
-from latchspoke.dataplane.explain import Ask, explain
+from latchspoke.dataplane.explain import ExplainRequest, explain
 from latchspoke.dataplane.node import Node
 from tests.ctl.world import CONFIGURATION, KEY, control, gateway
 
@@ -30,14 +30,14 @@
 
 
 def ask(node: Node, **fields: str) -> dict[str, Any]:
-    status, told = node.readiness("POST", "/explain", json.dumps(fields).encode())
+    status, told = node.handle_query("POST", "/explain", json.dumps(fields).encode())
     assert status == 200, told
     assert KEY not in json.dumps(told)
     return dict(told)
 
 
 def test_a_gateway_tells_versions_servers_and_why_they_are_avoided(node: Node) -> None:
-    status, seen = node.readiness("GET", "/status?x=1", b"")
+    status, seen = node.handle_query("GET", "/status?x=1", b"")
     assert status == 200 and KEY not in json.dumps(seen)
     assert msgspec.json.decode(msgspec.json.encode(seen)) == seen
     assert (seen["version"], seen["acts_by"], seen["index"]) == ("00000007", "00000007", 12)
@@ -51,7 +51,7 @@
     table = node.downstream.table
     assert table is not None
     tenant, route = table.tenant(KEY), table.routes["r-read"]
-    node.draw.seed(1)
+    node.rng.seed(1)
     assert tenant is not None
     account = node.dispatcher.account(tenant, node.clock.now())
     account.learn(20.0, 0.0, 0.0, (0.0, 0.0), node.clock.now())
@@ -88,15 +88,18 @@
     assert "no server of till may be taken" in split["because"]
     assert ask(node, host="a.example", path="/read/", key="nobody's")["outcome"] == "401"
     assert ask(node, host="b.example", path="/read/")["because"] == "no route has this host"
-    status, fault = node.readiness("POST", "/explain", b'{"host":"a.example"}')
+    status, fault = node.handle_query("POST", "/explain", b'{"host":"a.example"}')
     assert (status, fault["errorText"]) == (400, "host and path are asked for")
 
 
 def test_a_request_is_explained_by_a_configuration_alone() -> None:
     table = compile_table(CONFIGURATION)  # type: ignore[arg-type]
-    told = explain(table, Ask("a.example", "/read/1", "mill"), 0.0)
+    told = explain(table, ExplainRequest("a.example", "/read/1", "mill"), 0.0)
     assert told["outcome"] == "forwarded" and "servers" not in told
-    assert explain(table, Ask("a.example", "/read/1"), 0.0)["because"] == "no key, and the route needs one"
+    assert (
+        explain(table, ExplainRequest("a.example", "/read/1"), 0.0)["because"]
+        == "no key, and the route needs one"
+    )
 
 
 def test_a_control_machine_tells_the_fleet(tmp_path: Path) -> None:
@@ -122,7 +125,7 @@
     page = Path("docs/operating-system.md").read_text()
     sources = {
         "latchspoke/ctl/pages.py": r'finding\(\s*"(\w+)"',
-        "latchspoke/dataplane/downstream.py": r'turn_away\([^)]*?\d, "(\w+)"',
+        "latchspoke/dataplane/downstream.py": r'reject_request\([^)]*?\d, "(\w+)"',
         "latchspoke/reach/graph.py": r'found.append\("(\w+)"\)',
         "latchspoke/reach/fleet.py": r'found.append\(\s*\("(\w+)"',
         "latchspoke/dataplane/explain.py": r'append\("(\w+)"\)',
--- a/tests/dataplane/player.py
+++ b/tests/dataplane/player.py
@@ -37,8 +37,8 @@
 from latchspoke.membership.watch import Member, News
 from latchspoke.net import http
 from latchspoke.settings import parse
-from latchspoke.transport.netstring import frame
-from latchspoke.transport.wire import Message, Wire
+from latchspoke.transport.connection import Message, MessageConnection
+from latchspoke.transport.netstring import encode_frame
 from tests.player import FakeTransport, Stage, play_steps, steps
 
 FOLDER = Path(__file__).parent / "exchanges"
@@ -80,12 +80,12 @@
         settings = parse(json.dumps({**SETTINGS, "bounds": [*SETTINGS["bounds"], *bounds]}), "local.yaml")
         with patch.object(node, "Dialer", lambda loop: self):
             self.node = node.Node(settings, self.clock.loop, "local.yaml", cast(Any, self.clock))
-        self.node.draw.seed(7)
-        self.node.entrance = cast(Any, self)
+        self.node.rng.seed(7)
+        self.node.front_listener = cast(Any, self)
         self.sockets = ()  # of the entrance: nobody has come up there unseen
         self.node.sweep(self.clock.now())
-        self.node.step(self.clock.now())
-        self.wire = Wire(self.node.feed.heard, lambda wire, reason: None)
+        self.node.send_reports(self.clock.now())
+        self.wire = MessageConnection(self.node.subscription.handle_message, lambda wire, reason: None)
         self.wire.connection_made(cast(Any, FakeTransport(cast(Any, self.wire))))
         self.index = self.number = self.sequence = 0
         self.document = {"version": "00000000", **CONFIGURATION}
@@ -110,15 +110,15 @@
         return self.node.stats
 
     def ended(self) -> bool:
-        return self.node.done.is_set()
+        return self.node.stopped.is_set()
 
     # Steps.
 
     def tell(self, message: Message) -> None:
         """A numbered change from the control plane."""
         self.number += 1
-        self.wire.data_received(frame(message | {"n": self.number}))
-        assert not self.wire.over, self.wire.reason
+        self.wire.data_received(encode_frame(message | {"n": self.number}))
+        assert not self.wire.closed, self.wire.reason
 
     def order(self) -> None:
         self.index += 1
@@ -136,9 +136,11 @@
                 self.evacuated = [] if rest == "none" else rest.split(",")
                 self.order()
             case "proof":
-                self.node.feed.asked[999] = self.clock.now() - float(rest)
-                self.node.feed.heard(self.wire, {"k": "proven", "t": 999, "index": self.index})
-                self.node.settle()
+                self.node.subscription.pending_proofs[999] = self.clock.now() - float(rest)
+                self.node.subscription.handle_message(
+                    self.wire, {"k": "proven", "t": 999, "index": self.index}
+                )
+                self.node.update_readiness()
             case "server":
                 self.server(*rest.split())
             case "gateways":
@@ -153,7 +155,7 @@
                 self.node.stop()
             case "unproven":
                 self.node.lease.proven_at = -math.inf
-                self.node.settle()
+                self.node.update_readiness()
             case "alone" | "met":
                 self.met(head == "met")
             case "running":
@@ -163,12 +165,12 @@
         return True
 
     def met(self, met: bool) -> None:
-        alive = self.node.post.membership.alive
+        alive = self.node.membership_transport.membership.alive
         if met:
             alive[CORE.name] = CORE
         else:
             del alive[CORE.name]
-        self.node.news(News("joined" if met else "gone", CORE))
+        self.node.membership_changed(News("joined" if met else "gone", CORE))
 
     def server(self, name: str, *fields: str) -> None:
         told = dict(field.split("=") for field in fields)
@@ -192,7 +194,7 @@
                 key = "" if route == "open" else r"Authorization: Token k1\r\n"
                 self.bytes(name, ">", request(route, ident, r"X-Deadline-Remaining: 3000\r\n" + key))
             case "sent", route, ident:
-                server = cast(Any, self.links[name].connection).upstream_pool.upstream.ident
+                server = cast(Any, self.links[name].connection).pool.upstream.ident
                 held = "" if route == "open" else r"X-Tenant-Name: acme\r\n"
                 added = rf"X-Deadline-Remaining: *\r\nX-Expected-Instance: {server}\r\n{held}"
                 self.bytes(name, "<", request(route, ident, added))
--- a/tests/dataplane/test_relay.py
+++ b/tests/dataplane/test_relay.py
@@ -8,7 +8,7 @@
 from latchspoke.dataplane.relay import Relay
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import VirtualClock
-from latchspoke.transport.wire import Message, Wire
+from latchspoke.transport.connection import Message, MessageConnection
 
 TARGET = "10.1.0.11:7601"
 
@@ -16,8 +16,8 @@
 class Source:
     """A control machine's connection to the gateway."""
 
-    over = False
-    heard = None
+    closed = False
+    on_message = None
 
     def send(self, message: Any) -> bool:
         return True
@@ -28,20 +28,22 @@
     loop, failures = VirtualLoop(Network(1)), list[dict[str, Any]]()
     loop.set_exception_handler(lambda loop, context: failures.append(context))
     got: list[Message] = []
-    wires: list[Wire] = []
+    wires: list[MessageConnection] = []
 
     async def story() -> None:
-        def accepted() -> Wire:
-            wires.append(Wire(lambda wire, message: got.append(message), lambda wire, reason: None))
+        def accepted() -> MessageConnection:
+            wires.append(
+                MessageConnection(lambda wire, message: got.append(message), lambda wire, reason: None)
+            )
             return wires[-1]
 
         await loop.create_server(accepted, "10.1.0.11", 7601)
         relay = Relay(VirtualClock(loop), lambda link: True)
         source: Any = Source()
         for number in range(3):
-            relay.heard(source, {"k": "relay", "from": "10.2.0.11:7601", "to": TARGET, "m": number})
+            relay.handle_message(source, {"k": "relay", "from": "10.2.0.11:7601", "to": TARGET, "m": number})
         await asyncio.sleep(1.0)
-        relay.heard(source, {"k": "relay", "from": "10.2.0.11:7601", "to": TARGET, "m": 3})
+        relay.handle_message(source, {"k": "relay", "from": "10.2.0.11:7601", "to": TARGET, "m": 3})
         await asyncio.sleep(1.0)
         relay.stop()
         await asyncio.sleep(0.1)
--- a/tests/dataplane/test_travel.py
+++ b/tests/dataplane/test_session_affinity.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from latchspoke.dataplane.travel import Travel
+from latchspoke.dataplane.session_affinity import SessionAffinity
 from latchspoke.membership.words import Member
 from tests.dataplane import player
 from tests.dataplane.player import Player
@@ -41,11 +41,11 @@
             for server in ("s1", "s2", "s3"):
                 one.step(f"server {server}")
             one.step(f"orders {rules(**travels)}")
-            assert one.node.travel is not None
-            with patch.object(Travel, "post"):
-                one.node.travel.live(self.members(), one.clock.now())
-            one.node.travel.post = self.poster(name)  # type: ignore[method-assign]
-            one.node.live = lambda: None  # type: ignore[method-assign]
+            assert one.node.session_affinity is not None
+            with patch.object(SessionAffinity, "send"):
+                one.node.session_affinity.update_gateways(self.members(), one.clock.now())
+            one.node.session_affinity.send = self.poster(name)  # type: ignore[method-assign]
+            one.node.update_gateways = lambda: None  # type: ignore[method-assign]
         for _ in range(8):
             self.time(1.0)
 
@@ -66,9 +66,9 @@
     def carry(self) -> None:
         while self.mail:
             sender, to, data = self.mail.pop(0)
-            travel = self.all[to].node.travel
+            travel = self.all[to].node.session_affinity
             assert travel is not None
-            travel.heard({"k": "w", "f": sender, "m": msgspec.json.decode(data)})
+            travel.handle_message({"k": "w", "f": sender, "m": msgspec.json.decode(data)})
 
     def time(self, lasts: float) -> None:
         for one in self.all.values():
@@ -116,9 +116,9 @@
 
 
 def where(sites: Sites, name: str) -> dict[str, Any]:
-    travel = sites.all[name].node.travel
+    travel = sites.all[name].node.session_affinity
     assert travel is not None
-    return travel.whereabouts("book", "acme", "acme")
+    return travel.record_view("book", "acme", "acme")
 
 
 def third(sites: Sites) -> str:
@@ -236,12 +236,12 @@
 def test_an_operator_sees_and_moves_a_caller(sites: Sites) -> None:
     address = sites.served("edge-1", "b001")
     other = next(n for n in ("s1", "s2", "s3") if n[-1] != address[-1])
-    travel = sites.all["edge-2"].node.travel
+    travel = sites.all["edge-2"].node.session_affinity
     assert travel is not None
 
     async def move(to: str) -> tuple[int, dict[str, Any]]:
         assert travel is not None
-        task = asyncio.ensure_future(travel.move("book", "acme", "acme", to))
+        task = asyncio.ensure_future(travel.move_caller("book", "acme", "acme", to))
         for _ in range(10):
             await asyncio.sleep(0)
             sites.carry()
@@ -258,5 +258,5 @@
 
 def test_a_route_that_does_not_ask_loads_and_changes_nothing() -> None:
     one = Player()
-    assert one.node.travel is None
-    assert not isinstance(one.node.core.gateway, Travel) and one.node.core.ports is one.node.ports
+    assert one.node.session_affinity is None
+    assert not isinstance(one.node.core.gateway, SessionAffinity) and one.node.core.ports is one.node.ports
--- a/tests/dataplane/test_feed.py
+++ b/tests/dataplane/test_subscription.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from latchspoke.dataplane.feed import FIRST, Feed, Source
+from latchspoke.dataplane.subscription import FIRST_PROOF_DIVISOR, Source, Subscription
 from latchspoke.distribution.board import Board, Follower, Lease
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import VirtualClock
 from latchspoke.registry.registry import Registry
-from latchspoke.transport.wire import Wire
+from latchspoke.transport.connection import MessageConnection
 
 CONTACT = 4.0  # s; the bound by which a gateway in touch is to know what was acknowledged
 NEAR = Source("core-gdn", ("10.3.0.1", 1), "gdn-a", "gdn")
@@ -31,14 +31,14 @@
         self.loop = VirtualLoop(Network(seed, delay=0.02))
         self.sources, self.cut_at = sources, math.inf
         self.proven: list[tuple[float, str]] = []
-        self.feed = Feed(
+        self.feed = Subscription(
             "edge", "gdn-a", "gdn", VirtualClock(self.loop), random.Random(seed),
             Follower(Board(Registry(1.5)), lambda old, new: new), Lease(4.5), lambda: self.sources,
-            lambda ordered, entries: None, patience=CONTACT / FIRST,
+            lambda ordered, entries: None, first_proof_timeout=CONTACT / FIRST_PROOF_DIVISOR,
         )  # fmt: skip
 
     async def listen(self, source: Source) -> None:
-        def heard(wire: Wire, message: dict[str, Any]) -> None:
+        def heard(wire: MessageConnection, message: dict[str, Any]) -> None:
             if message["k"] != "prove":
                 return
             apart = self.loop.time() >= self.cut_at and source.address in CUT_OFF
@@ -47,7 +47,9 @@
             if source.address != SILENT or not apart:
                 wire.send({"k": "proven", "t": message["t"]} | ({} if apart else {"index": 0}))
 
-        await self.loop.create_server(lambda: Wire(heard, lambda wire, why: None), *source.address)
+        await self.loop.create_server(
+            lambda: MessageConnection(heard, lambda wire, why: None), *source.address
+        )
 
     async def day(self, before: float, after: float) -> None:
         for source in {source.address: source for source in (*self.sources, NEAR, BESIDE, FAR)}.values():
@@ -83,15 +85,15 @@
     )
     gateway = Gateway(1, [NEAR, again, BESIDE, FAR, gate])
     now = gateway.feed.clock.now()
-    gateway.feed.failed[NEAR.address] = now - 1
+    gateway.feed.failed_at[NEAR.address] = now - 1
     left, order = list(gateway.sources), []
     while left:
         gateway.sources = left
-        chosen = gateway.feed.choose(now)
+        chosen = gateway.feed.choose_source(now)
         assert chosen is not None
         order.append(chosen.name)
         left = [source for source in left if source is not chosen]
-        gateway.feed.failed.setdefault(NEAR.address, now - 1)
+        gateway.feed.failed_at.setdefault(NEAR.address, now - 1)
     assert order[0] == FAR.name and set(order[-2:]) == {NEAR.name, "seed"}
 
 
@@ -126,6 +128,6 @@
 
 def test_a_gateway_stays_at_a_far_source_while_the_near_one_has_failed_lately() -> None:
     gateway = Gateway(1, [FAR, NEAR])
-    gateway.feed.failed[NEAR.address] = math.inf
+    gateway.feed.failed_at[NEAR.address] = math.inf
     gateway.loop.run_until_complete(gateway.day(12.0, 0.0))
     assert followed(gateway) == [FAR.name]
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -100,7 +100,7 @@
     Each of the four is cut off from each other one: of an odd number of votes, one of two halves has most.
     """
     if not relays:
-        monkeypatch.setattr(Relay, "heard", lambda self, wire, message: None)
+        monkeypatch.setattr(Relay, "handle_message", lambda self, wire, message: None)
     shores = records.read(SHORES)
     edges = [machines for machines in shores.machines if machines.kind == "edge"]
     cores = [Machines("core", zone, 2) for zone in ("quay", "hill")]
--- a/tests/line/test_onset.py
+++ b/tests/line/test_onset.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from latchspoke.dataplane.counts import STEP
+from latchspoke.dataplane.usage_reports import REPORT_INTERVAL_S
 from latchspoke.lab.virtual_run import EPOCH
 from tests.line.test_quota import BOUND, HERE, RATE, Gateway, Story, World
 
@@ -19,7 +19,7 @@
     dead: dict[str, Gateway]
 
     async def play(self, seconds: float, load: float) -> None:
-        step = STEP / 5
+        step = REPORT_INTERVAL_S / 5
         for tick in range(int(seconds / step)):
             await asyncio.sleep(step)
             now = self.clock.now()
@@ -29,7 +29,7 @@
             if tick % 5 == 0:
                 for name, gateway in self.gateways.items():
                     HERE.set(name)
-                    gateway.counts.step(now)
+                    gateway.counts.send_due_reports(now)
 
     def fall(self) -> None:
         owner = next(iter(self.gateways.values())).counts.owner("t")
@@ -45,7 +45,7 @@
             for other in self.names:
                 self.loop.network.mend(name, other)
             self.loop.network.listeners.pop((name, 1), None)
-            for wire in [*self.wires[name], *former.counts.wires.values()]:
+            for wire in [*self.wires[name], *former.counts.connections.values()]:
                 wire.end("reset")
             self.begin(name)
         self.loop.call_later(0.3, self.see)
@@ -60,7 +60,7 @@
         for name in self.dead:
             if name in self.gateways:
                 counts = self.gateways[name].counts
-                counts.live(counts.gateways, True)
+                counts.update_gateways(counts.gateways, True)
 
 
 @pytest.mark.parametrize("seed", [3, 12, 15])
--- a/tests/line/test_quota.py
+++ b/tests/line/test_quota.py
@@ -18,11 +18,11 @@
 from barleyhub.line.quota import Account, Host
 from barleyhub.line.stock import State, Stock, Upstream
 from latchspoke.configuration.routes import NO_HOMES, Route, Tenant
-from latchspoke.dataplane.counts import STEP, Counts
-from latchspoke.dataplane.node import HOSTS_ANEW, YOUNG, hosts_nothing
+from latchspoke.dataplane.node import DEFAULT_QUOTA_WINDOW_S, NEW_OWNER_CAUTION_S, cannot_own_quotas
+from latchspoke.dataplane.usage_reports import REPORT_INTERVAL_S, UsageReports
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import EPOCH, VirtualClock
-from latchspoke.transport.wire import Wire
+from latchspoke.transport.connection import MessageConnection
 
 RATE, BURST, WINDOW = 70.0, 70.0, 5.0
 BOUND = (RATE * WINDOW + BURST) * 1.1 + 20
@@ -49,16 +49,16 @@
         stock.put(Upstream("s", "pool", "h", 1, "a", "r", 9, State.READY), 0.0)
         self.dispatcher = Dispatcher(stock, world.draw, 0.2, 62.0)
         if life > len(world.names):
-            self.dispatcher.young_until = world.clock.now() + YOUNG
-        self.counts = Counts(name, f"{life}", world.clock, self.dispatcher, self.handle)
+            self.dispatcher.young_until = world.clock.now() + DEFAULT_QUOTA_WINDOW_S
+        self.counts = UsageReports(name, f"{life}", world.clock, self.dispatcher, self.handle)
 
     def see(self, names: list[str]) -> None:
         HERE.set(self.name)
         late, now = self.world.late, self.world.clock.now()
         self.dispatcher.live(dict.fromkeys(names, "a"), now)
-        cautious = late.get(self.name, -math.inf) + HOSTS_ANEW > now
+        cautious = late.get(self.name, -math.inf) + NEW_OWNER_CAUTION_S > now
         those = {n for n in names if late.get(n, -math.inf) > now}
-        self.counts.live({n: (n, 1) for n in names}, cautious, those)
+        self.counts.update_gateways({n: (n, 1) for n in names}, cautious, those)
 
     def ask(self) -> None:
         self.world.number += 1
@@ -88,7 +88,7 @@
         self.clock = VirtualClock(self.loop)
         self.names = [f"g{i}" for i in range(count)]
         self.gateways: dict[str, Gateway] = {}
-        self.wires: dict[str, list[Wire]] = {}
+        self.wires: dict[str, list[MessageConnection]] = {}
         self.sent: list[float] = []
         self.life = 0
         self.late: dict[str, float] = {}  # who came back beside others, and until when it hosts nothing
@@ -100,11 +100,11 @@
         gateway = self.gateways[name] = Gateway(self, name, self.life)
         self.wires[name] = []
 
-        def made(wire: Wire) -> None:
+        def made(wire: MessageConnection) -> None:
             self.wires[name].append(wire)
 
         server = self.loop.create_server(
-            lambda: Wire(gateway.counts.count, lambda wire, why: None, made), name, 1
+            lambda: MessageConnection(gateway.counts.handle_message, lambda wire, why: None, made), name, 1
         )
         self.loop.run_until_complete(server) if not self.loop.is_running() else self.loop.create_task(server)
         gateway.see(self.names)
@@ -113,9 +113,9 @@
         """It has been killed, and begins beside others: all see at their own moments that it grows old."""
         if name in self.gateways:
             self.kill(name, seen=False)
-        self.late[name] = self.clock.now() + YOUNG
+        self.late[name] = self.clock.now() + DEFAULT_QUOTA_WINDOW_S
         self.begin(name)
-        for after in (0.0, YOUNG, YOUNG + HOSTS_ANEW):
+        for after in (0.0, DEFAULT_QUOTA_WINDOW_S, DEFAULT_QUOTA_WINDOW_S + NEW_OWNER_CAUTION_S):
             for other in self.gateways:
                 self.loop.call_later(after + self.draw.uniform(0.0, 0.6), self.look, other)
 
@@ -140,7 +140,7 @@
     def kill(self, name: str, seen: bool = True) -> None:
         gateway = self.gateways.pop(name)
         self.loop.network.listeners.pop((name, 1))
-        for wire in [*self.wires[name], *gateway.counts.wires.values()]:
+        for wire in [*self.wires[name], *gateway.counts.connections.values()]:
             wire.end("killed")
         if seen:
             self.loop.call_later(SEEN, self.see)
@@ -170,7 +170,7 @@
         self.loop.close()
 
     async def play(self, seconds: float, load: float) -> None:
-        step = STEP / 5
+        step = REPORT_INTERVAL_S / 5
         for tick in range(int(seconds / step)):
             await asyncio.sleep(step)
             now = self.clock.now()
@@ -180,7 +180,7 @@
                 for name, gateway in self.gateways.items():
                     HERE.set(name)
                     gateway.dispatcher.forget(now)
-                    gateway.counts.step(now)
+                    gateway.counts.send_due_reports(now)
 
     def most(self, window: float = WINDOW, after: float = 0.0) -> int:
         """In any window of that length."""
@@ -335,17 +335,17 @@
     """Sent later it would pass for what is known now."""
     world = World(1)
     counts = world.gateways["g1"].counts
-    counts.host.report("g2", "1", "t", {"r": RATE, "b": BURST, "o": 1.0, "a": 1.0}, world.clock.now())
+    counts.owned_quotas.report("g2", "1", "t", {"r": RATE, "b": BURST, "o": 1.0, "a": 1.0}, world.clock.now())
     those = {name: (name, 1) for name in world.names}
     others = [name for name in world.names if name != "g1"]
     world.cut(["g1"], others)
 
     async def story() -> None:
         HERE.set("g1")
-        counts.live(those, late={"g1"})
-        assert counts.heirs
+        counts.update_gateways(those, ineligible={"g1"})
+        assert counts.handoffs
         await asyncio.sleep(1.0)
-        assert not counts.heirs
+        assert not counts.handoffs
 
     world.loop.run_until_complete(story())
     world.loop.close()
@@ -401,9 +401,9 @@
     counts = world.gateways["g1"].counts
     those = {name: (name, 1) for name in world.names}
     owner = counts.owner("t")
-    counts.live(those, late={owner})
+    counts.update_gateways(those, ineligible={owner})
     assert counts.owner("t") != owner
-    counts.live(those, late=set(those))  # all have come back: somebody has to
+    counts.update_gateways(those, ineligible=set(those))  # all have come back: somebody has to
     assert counts.owner("t") == owner
     world.loop.close()
 
@@ -419,4 +419,4 @@
     ],
 )
 def test_after_a_total_loss_nobody_hosts_nothing(meta: dict[str, bool], elders: bool, late: bool) -> None:
-    assert hosts_nothing(meta, elders) is late
+    assert cannot_own_quotas(meta, elders) is late
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -10,7 +10,7 @@
 
 from latchspoke.membership.watch import Member, Membership, News, Timing
 from latchspoke.membership.words import Address
-from latchspoke.transport.netstring import frame
+from latchspoke.transport.netstring import encode_frame
 
 Event = tuple[float, int, Callable[[], None]]
 
@@ -63,7 +63,7 @@
         output = membership.take()
         self.news += [(self.now, name, n) for n in output.news]
         for address, message in output.messages:
-            size = len(frame(message))
+            size = len(encode_frame(message))
             self.largest = max(self.largest, size)
             self.sent[name] = self.sent.get(name, 0) + 1
             self.bytes[name] = self.bytes.get(name, 0) + size
--- a/tests/membership/test_post.py
+++ b/tests/membership/test_post.py
@@ -9,7 +9,7 @@
 
 from latchspoke.membership.post import Post
 from latchspoke.membership.watch import Member, Membership, News, Timing
-from latchspoke.transport.netstring import frame
+from latchspoke.transport.netstring import encode_frame
 
 
 class Wire(asyncio.DatagramTransport):
@@ -29,12 +29,14 @@
         post = Post(Membership(me, [], Timing(), Random(1), 5.0), news.append, lambda: 5.0)
         wire = post.transport = Wire()
         other, address = ["m1", "one", 0], ("10.0.0.2", 7600)
-        whole = frame({"k": "p", "f": other, "n": 9, "u": [["a", "m1", "0", "one", *address, {}]]})
+        whole = encode_frame({"k": "p", "f": other, "n": 9, "u": [["a", "m1", "0", "one", *address, {}]]})
         for data in (b"", b"junk", b"2:{},", b"2:[],", b"4:true,", whole, whole[:-1], whole + b"1:1,"):
             post.datagram_received(data, address)
         assert post.dropped + post.membership.dropped == 8 and not wire.sent and not news
         entry = ["a", "m1", 0, "one", *address, {"zone": "a"}]
-        post.datagram_received(frame({"k": "p", "f": other, "n": 9, "u": [entry], "later": 1}), address)
+        post.datagram_received(
+            encode_frame({"k": "p", "f": other, "n": 9, "u": [entry], "later": 1}), address
+        )
         assert [n.kind for n in news] == ["joined"] and post.timer is not None
         assert b'"k":"a"' in wire.sent[0][0] and wire.sent[0][1] == address
         with pytest.raises(ValueError):
--- a/tests/outliers/test_wiring.py
+++ b/tests/outliers/test_wiring.py
@@ -14,13 +14,13 @@
 from barleyhub.line.dispatch import Call
 from latchspoke.ctl import pages
 from latchspoke.dataplane import node as dataplane
-from latchspoke.dataplane.feed import Source
 from latchspoke.dataplane.node import Node
-from latchspoke.transport.wire import Wire
+from latchspoke.dataplane.subscription import Source
+from latchspoke.transport.connection import MessageConnection
 from tests.ctl.world import control, gateway
 
 
-class Line(Wire):
+class Line(MessageConnection):
     """One end; what it sends is kept."""
 
     def __init__(self, tag: Any = None) -> None:
@@ -35,7 +35,7 @@
 def fail(node: Node, code: Code, report: dict[str, float], server: str = "b1", times: int = 3) -> None:
     """Requests to the one server that end so."""
     assert node.downstream.table is not None
-    route, upstream = node.downstream.table.routes["r-all"], node.stock.upstreams[server]
+    route, upstream = node.downstream.table.routes["r-all"], node.balancer.upstreams[server]
     now = node.clock.now()
     for number in range(times):
         ident = f"q{number}"
@@ -49,35 +49,38 @@
 def test_what_two_gateways_see_reaches_a_third_and_the_pages(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(dataplane, "MANY", 1)
+    monkeypatch.setattr(dataplane, "EVIDENCE_MIN_GATEWAYS", 1)
     loop = asyncio.new_event_loop()
     core, edges = control(loop, tmp_path), [gateway(loop) for _ in range(3)]
     lines = [Line() for _ in edges]
     for number, (edge, line) in enumerate(zip(edges, lines, strict=True)):
-        core.accepted(line, {"k": "hello", "name": f"edge-{number}", "zone": "a"})
-        edge.feed.wire, edge.feed.source = Line(), Source("core-a", ("127.0.0.2", 7601), "a", "north")
+        core.inbound_message(line, {"k": "hello", "name": f"edge-{number}", "zone": "a"})
+        edge.subscription.connection, edge.subscription.source = (
+            Line(),
+            Source("core-a", ("127.0.0.2", 7601), "a", "north"),
+        )
     for number in (0, 1):
         fail(edges[number], Code.ERROR, {})
-        edges[number].testify(edges[number].clock.now())
-        (word,) = edges[number].feed.wire.sent  # type: ignore[union-attr]
+        edges[number].send_evidence(edges[number].clock.now())
+        (word,) = edges[number].subscription.connection.sent  # type: ignore[union-attr]
         assert word == {"k": "hot", "w": [["b1", 3.0, 3.0]]}
-        core.accepted(lines[number], word)
+        core.inbound_message(lines[number], word)
         core.telling = False
         core.tell_evidence(core.clock.now())
     (told,) = [m for m in lines[2].sent if m["k"] == "hot"]
-    edges[2].feed.heard(Line(), told)
-    assert edges[2].stock.told == {} or set(edges[2].stock.told) == {"b1"}
-    seen = edges[2].readiness("GET", "/status", b"")[1]
+    edges[2].subscription.handle_message(Line(), told)
+    assert edges[2].balancer.told == {} or set(edges[2].balancer.told) == {"b1"}
+    seen = edges[2].handle_query("GET", "/status", b"")[1]
     assert seen["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
     assert seen["evidence"]["b1"]["failed"] > 5
     ask = json.dumps({"host": "a.example", "path": "/read/1", "tenant": "mill"}).encode()
-    page = pages.explained(edges[2].readiness("POST", "/explain", ask)[1])
+    page = pages.explained(edges[2].handle_query("POST", "/explain", ask)[1])
     assert "by edge-0, edge-1" in page
     fleet: Any = core.control("GET", "/status", b"")
     assert fleet[1]["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
     # One that comes later is told at once.
     late = Line()
-    core.accepted(late, {"k": "hello", "name": "edge-9", "zone": "b"})
+    core.inbound_message(late, {"k": "hello", "name": "edge-9", "zone": "b"})
     assert [m["k"] for m in late.sent if m["k"] == "hot"] == ["hot"]
     core.replica.ledger.close()
     loop.close()
@@ -86,10 +89,13 @@
 def test_few_gateways_tell_each_other_nothing() -> None:
     loop = asyncio.new_event_loop()
     node = gateway(loop)
-    node.feed.wire, node.feed.source = Line(), Source("core-a", ("127.0.0.2", 7601), "a", "north")
+    node.subscription.connection, node.subscription.source = (
+        Line(),
+        Source("core-a", ("127.0.0.2", 7601), "a", "north"),
+    )
     fail(node, Code.ERROR, {})
-    node.testify(node.clock.now())
-    assert not node.feed.wire.sent
+    node.send_evidence(node.clock.now())
+    assert not node.subscription.connection.sent
     loop.close()
 
 
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -8,7 +8,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from latchspoke.transport.netstring import Frames
+from latchspoke.transport.netstring import FrameDecoder
 from tests.dataplane.player import CONFIGURATION, Player
 from tests.player import FakeTransport
 
@@ -40,7 +40,7 @@
     def reached(self) -> list[str]:
         """Servers that hold a request that nobody has answered."""
         links = [link for name, link in self.player.links.items() if name[0] == "t" and link.written]
-        return [cast(Any, link.connection).upstream_pool.upstream.ident for link in links]
+        return [cast(Any, link.connection).pool.upstream.ident for link in links]
 
     def answered(self, status: int) -> None:
         link = self.player.links[f"c{self.number}"]
@@ -87,8 +87,10 @@
 def passed_on(scene: Scene, age: float) -> None:
     scene.play("time 1")
     node = scene.player.node
-    node.feed.asked[7] = node.clock.now()
-    node.feed.heard(scene.player.wire, {"k": "proven", "t": 7, "index": scene.player.index, "age": age})
+    node.subscription.pending_proofs[7] = node.clock.now()
+    node.subscription.handle_message(
+        scene.player.wire, {"k": "proven", "t": 7, "index": scene.player.index, "age": age}
+    )
 
 
 @when(
@@ -188,8 +190,8 @@
 
 @then("the gateway asks for the whole")
 def asks(scene: Scene) -> None:
-    said = Frames().feed(cast(FakeTransport, scene.player.wire.transport).written)
-    assert {"k": "again", "version": scene.player.node.board.orders.version} in said
+    said = FrameDecoder().feed(cast(FakeTransport, scene.player.wire.transport).written)
+    assert {"k": "again", "version": scene.player.node.published_state.orders.version} in said
 
 
 @then("nothing is proven by an index that it doesn't know")
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -10,16 +10,16 @@
 import pytest
 
 from latchspoke.lab.virtual import Network, VirtualLoop
-from latchspoke.transport.door import Answer, Caller, Door
-from latchspoke.transport.netstring import FrameError, Frames, frame
-from latchspoke.transport.wire import UNREAD_MOST, Wire
+from latchspoke.transport.connection import MAX_UNREAD_BYTES, MessageConnection
+from latchspoke.transport.http_server import Caller, HttpServerConnection, Response
+from latchspoke.transport.netstring import FrameDecoder, FrameError, encode_frame
 
 
 def test_frames_come_out_whole_wherever_the_stream_is_cut() -> None:
     print("seed 1")
     draw = Random(1)
     messages = [{"k": "x" * draw.randrange(200), "n": n} for n in range(50)]
-    stream, frames, found = b"".join(frame(each) for each in messages), Frames(), []
+    stream, frames, found = b"".join(encode_frame(each) for each in messages), FrameDecoder(), []
     while stream:
         cut = draw.randrange(1, 90)
         found += frames.feed(stream[:cut])
@@ -32,7 +32,7 @@
 )
 def test_what_is_no_frame_ends_the_stream(data: bytes) -> None:
     with pytest.raises(FrameError):
-        Frames().feed(data + b",")
+        FrameDecoder().feed(data + b",")
 
 
 def asked(data: bytes) -> bytes:
@@ -41,7 +41,7 @@
     got: list[bytes] = []
 
     def handler(method: str, target: str, body: bytes, caller: Caller) -> Any:
-        async def later() -> Answer:
+        async def later() -> Response:
             await asyncio.sleep(0.1)
             if target == "/bad":
                 raise RuntimeError("x")
@@ -54,7 +54,7 @@
             got.append(data)
 
     async def story() -> None:
-        await loop.create_server(lambda: Door(handler), "h", 1)
+        await loop.create_server(lambda: HttpServerConnection(handler), "h", 1)
         transport, _ = await loop.create_connection(Caller, "h", 1)
         for i in range(0, len(data), 7):
             transport.write(data[i : i + 7])
@@ -94,12 +94,12 @@
 def test_one_frame_may_exceed_what_waits_unread_but_not_two() -> None:
     """A configuration of ten megabytes ended its connection with the heartbeat behind it, for ever."""
     waiting = [0]
-    wire = Wire(lambda wire, message: None, lambda wire, reason: None)
+    wire = MessageConnection(lambda wire, message: None, lambda wire, reason: None)
     transport = SimpleNamespace(
         is_closing=lambda: False, get_write_buffer_size=lambda: waiting[0], abort=lambda: None,
         write=lambda data: waiting.__setitem__(0, waiting[0] + len(data)),
     )  # fmt: skip
     wire.transport = cast(Any, transport)
-    assert wire.write(b"x" * (UNREAD_MOST + 10)) and wire.write(b"beat")
+    assert wire.write(b"x" * (MAX_UNREAD_BYTES + 10)) and wire.write(b"beat")
     assert wire.write(b"x" * 10), "still within one frame beyond the limit"
-    assert wire.write(b"x" * UNREAD_MOST) and not wire.write(b"beat") and wire.reason == "doesn't read"
+    assert wire.write(b"x" * MAX_UNREAD_BYTES) and not wire.write(b"beat") and wire.reason == "doesn't read"
