--- a/latchspoke/dataplane/__init__.py
+++ b/latchspoke/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane's program: carries requests from clients to servers, as the operator's word says."""
+"""The data plane: a gateway that forwards clients' requests to servers as configured."""
--- a/latchspoke/dataplane/__main__.py
+++ b/latchspoke/dataplane/__main__.py
@@ -1,11 +1,11 @@
-"""``python -m latchspoke.dataplane``: one gateway, by the settings file."""
+"""``python -m latchspoke.dataplane``: runs one gateway as configured by the settings file."""
 
 from __future__ import annotations
 
 import signal
 import sys
 
-# Whoever starts processes may say at any moment that their settings have changed. They are read below.
+# SIGHUP (reload) may arrive before the handler is installed; the settings are read later anyway.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from latchspoke.dataplane.node import main  # noqa: E402
--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -1,7 +1,7 @@
-"""The core of ``latchspoke.core`` for the whole system: its flows, forwards, ports; routes and tenants.
+"""Request core of the data plane, built on ``latchspoke.core``.
 
-What differs: a request's time comes with it, a refusal may be for want of room as well as for a quota, and
-the right to act is the lease on the operator's word.
+Adds to the base core: a deadline per request, refusals for lack of capacity as well as for a quota, and
+authorization by an epoch that is valid only while the configuration lease holds.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class DataPlaneClient(Client, Protocol):
-    """Where the one final answer of a flow goes."""
+    """Receives the single final response of a flow."""
 
     def unavailable(self, retry_after: float | None) -> None:
-        """It has not run and will not: no server could take it."""
+        """No server could take the request, and it was not executed. ``retry_after`` in seconds."""
 
 
 class DataPlaneCore(Core):
-    """Feeds calls to the dispatcher and carries out its actions."""
+    """Passes events to the dispatcher and carries out the actions it returns."""
 
     def __init__(self, dispatcher: Dispatcher, ports: Ports, stats: Counter[str]) -> None:
         super().__init__(dispatcher, ports, stats)  # type: ignore[arg-type]
@@ -32,18 +32,18 @@
         self.reach_graph: Graph | None = None
 
     def arrived(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
-        """A request has come whole; ``begin`` is to follow."""
+        """Register a fully received request; the caller then calls ``begin``."""
         flow = self.flows[request.request] = Flow(request, message, client, now)
         flow.timer = self.ports.schedule(flow.until, lambda late: self.expire(flow, late))
         self.stats["flows.taken"] += 1
         return flow
 
     def begin(self, flow: Flow, now: float) -> None:
-        """Put it to the dispatcher, whose answer may be final already."""
+        """Hand the flow to the dispatcher, which may answer it immediately."""
         self.give(flow.request, now)
 
     def lapsed(self, flow: Flow) -> bool:
-        """Whether the right under which it was decided has ended, looked at right before it is sent."""
+        """Whether the epoch that authorized the flow has expired; checked immediately before sending."""
         if flow.epoch is None or self.epoch_provider is None or self.epoch_provider.now() < flow.epoch.until:
             return False
         self.stats["forwards.without_right"] += 1
@@ -53,7 +53,7 @@
         self, forward: Forward, code: api.Code, now: float, answer: object = None,
         report: dict[str, float] | None = None,
     ) -> None:  # fmt: skip
-        """As ``Core.ended``; what became of it is noted for who asks which servers requests reach."""
+        """As ``Core.ended``; also records the outcome in the reachability graph."""
         request = forward.flow.request
         if self.reach_graph is not None and not forward.ended and isinstance(request, Call) and request.route:
             upstream = self.dispatcher.stock.upstreams.get(forward.target)
@@ -62,7 +62,7 @@
         super().ended(forward, code, now, answer, report)
 
     def act(self, action: api.Action, now: float) -> None:
-        """As ``Core.act``, with refusals for want of room."""
+        """As ``Core.act``; also handles refusals for lack of capacity."""
         if isinstance(action, Full):
             flow = self.final(action.request, "flows.no_room")
             if flow is not None:
@@ -72,10 +72,10 @@
 
 
 class EpochProvider(Protocol):
-    """The right to act with keys, under the operator's word as it is known here."""
+    """Tells whether this gateway may act on tenant keys under the configuration it knows."""
 
     def now(self) -> float:
-        """The time (s) by which rights end."""
+        """Current time in seconds, on the clock by which epochs expire."""
 
     def current_epoch(self) -> Epoch | None:
-        """The right to act with keys now, or None."""
+        """The epoch under which tenant keys may be used now, or None."""
--- a/latchspoke/dataplane/downstream.py
+++ b/latchspoke/dataplane/downstream.py
@@ -1,4 +1,4 @@
-"""The clients' side: takes requests in, finds route and tenant, and carries final answers back."""
+"""The client side: accepts requests, finds their route and tenant, and writes the final responses."""
 
 from __future__ import annotations
 
@@ -29,15 +29,13 @@
 if TYPE_CHECKING:
     from barleyhub.affinity.order import Caller
 
-LINGER_S = 0.5  # s; after a refusal of bad input the rest is read and dropped, so that it arrives
-HOLD_TIMEOUT_S = (
-    0.25  # s that a request waits at most for a gateway that has just begun to know the operator's word
-)
-MAX_HELD_REQUESTS = 500  # requests
-NOT_READY_RETRY_AFTER_S = 0.2  # s; when to come back to one that doesn't by then
-NO_LEASE_RETRY_AFTER_S = 0.4  # s; and to one that may not act by it any more
-MAX_DEADLINE_S = 86_400.0  # s
-# What is replaced, or never shown to a server.
+LINGER_S = 0.5  # input is drained this long after an error response, so that a reset does not destroy it
+HOLD_TIMEOUT_S = 0.25  # how long a request waits for the configuration of a starting gateway
+MAX_HELD_REQUESTS = 500
+NOT_READY_RETRY_AFTER_S = 0.2
+NO_LEASE_RETRY_AFTER_S = 0.4
+MAX_DEADLINE_S = 86_400.0
+# Headers that are replaced or never forwarded to a server.
 REPLACED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"x-deadline-remaining",
     b"x-expected-instance",
@@ -52,34 +50,34 @@
 
 
 class ClientConnection(Connection):
-    """One client's connection: one request at a time."""
+    """One client connection, serving one request at a time."""
 
     side = "client"
 
     def __init__(self, downstream: Downstream) -> None:
         super().__init__(downstream.shared)
         self.downstream = downstream
-        self.exchange: ClientExchange | None = None  # the request that is whole and not yet answered
+        self.exchange: ClientExchange | None = None  # the received request that is not yet answered
         self.fault: FramingError | None = None
         self.ending = False
         self.keep_alive = True
-        self.waiting_since = self.opened_at  # when it began to wait for what it waits for
+        self.waiting_since = self.opened_at  # when the current wait (idle, or for more input) began
         self.url = b""
         self.header_pairs: list[tuple[bytes, bytes]] = []
         self.parser = httptools.HttpRequestParser(self)
 
     @property
     def busy(self) -> bool:
-        """Whether a request is whole and not yet answered."""
+        """Whether a received request is not yet answered."""
         return self.exchange is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It has come up."""
+        """Register the connection."""
         super().connection_made(transport)
         self.downstream.client_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Parse input; malformed input is rejected."""
         if self.ending or self.fault is not None:
             return
         try:
@@ -89,19 +87,19 @@
                 if self.size > self.downstream.limits.header_bytes + 4096:
                     raise FramingError(431, "oversize")
         except httptools.HttpParserUpgrade:
-            # It may have come whole and be under way: then its answer is the last one here.
+            # The request may be complete and in flight; its response is then the last one here.
             self.reject(FramingError(0 if self.busy else 400, "upgrade"))
         except ParserError as e:
             self.reject(parse_error(e))
 
     def reject(self, fault: FramingError) -> None:
-        """Bad input gets its answer and a close, but never before the request that is under way."""
+        """Answer malformed input with an error and close, after the request that is in flight."""
         self.fault = fault
         if not self.busy:
             self.write_fault_response()
 
     def write_fault_response(self) -> None:
-        """Say what is wrong with what came, and read on a little, so that it arrives."""
+        """Write the error response, then drain input for a moment so that the client can read it."""
         if self.fault is None or self.transport is None or self.lost:
             return
         fault, self.ending = self.fault, True
@@ -118,9 +116,9 @@
     # The parser's callbacks.
 
     def on_message_begin(self) -> None:
-        """A message begins."""
+        """Reset the state for a new request."""
         if self.busy:
-            # It is left unread: who sent it may send it again on another connection.
+            # Pipelined requests are left unread; the client can send them again on another connection.
             raise FramingError(0, "pipelined")
         super().on_message_begin()
         self.url = b""
@@ -128,21 +126,21 @@
         self.waiting_since = self.shared.clock.now()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Collect one header; headers that must be unique are checked."""
         lower = name.lower()
-        known = self.headers.get(lower)
-        if known is not None and lower in SINGLE_VALUE_HEADERS:
+        previous = self.headers.get(lower)
+        if previous is not None and lower in SINGLE_VALUE_HEADERS:
             raise FramingError(400, "repeated header")
-        # What any of several Connection headers names is of this connection only.
-        self.headers[lower] = value if known is None or lower != b"connection" else known + b"," + value
+        # Repeated Connection headers are combined: each names hop-by-hop headers.
+        self.headers[lower] = value if previous is None or lower != b"connection" else previous + b"," + value
         self.header_pairs.append((name, value))
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the request target."""
         self.url += url
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
+        """Check the announced body size and answer ``Expect: 100-continue``."""
         super().on_headers_complete()
         self.waiting_since = self.shared.clock.now()
         length = self.headers.get(b"content-length", b"0")
@@ -152,7 +150,7 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body, up to the size limit."""
         self.size += len(part)
         if self.size > self.downstream.limits.body_bytes:
             raise FramingError(413, "oversize")
@@ -160,7 +158,7 @@
         self.parts.append(part)
 
     def on_message_complete(self) -> None:
-        """A message is whole."""
+        """Start processing the request."""
         self.started = False
         self.messages += 1
         self.keep_alive = self.parser.should_keep_alive()
@@ -170,15 +168,15 @@
         )  # fmt: skip
         self.downstream.handle_request(exchange)
 
-    # The answer.
+    # Responses.
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether it ends with the answer that is under way."""
+        """Whether the connection closes after the current response."""
         return not self.keep_alive or self.downstream.stopping or self.fault is not None
 
     def write_response(self, exchange: ClientExchange, data: bytes) -> bool:
-        """Write the answer to the request that is under way, and to no other one."""
+        """Write the response if ``exchange`` is the request being served."""
         if exchange is not self.exchange:
             return False
         self.exchange = None
@@ -189,7 +187,7 @@
         return True
 
     def after_response(self) -> None:
-        """After an answer: wait for the next request, or end."""
+        """Wait for the next request, or close."""
         if self.fault is not None:
             if self.fault.status:
                 self.write_fault_response()
@@ -201,7 +199,7 @@
             self.end("drained" if self.downstream.stopping else "asked_close", flush=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended."""
+        """Cancel the request that is in flight."""
         super().connection_lost(exc)
         self.downstream.clients.pop(self, None)
         exchange, self.exchange = self.exchange, None
@@ -210,29 +208,31 @@
 
 
 class Downstream:
-    """All clients' connections."""
+    """All client connections of this gateway."""
 
     def __init__(
-        self, shared: Shared, core: DataPlaneCore, draw: random.Random, gate: Callable[[], Epoch | None]
+        self,
+        shared: Shared,
+        core: DataPlaneCore,
+        rng: random.Random,
+        current_epoch: Callable[[], Epoch | None],
     ) -> None:
-        """``gate``: the right to act with keys now, or None."""
-        self.shared, self.core, self.rng, self.current_epoch = shared, core, draw, gate
-        self.clients: dict[ClientConnection, None] = {}  # in the order in which they came
+        """``current_epoch``: the epoch under which tenant keys may be used now, or None."""
+        self.shared, self.core, self.rng, self.current_epoch = shared, core, rng, current_epoch
+        self.clients: dict[ClientConnection, None] = {}  # in order of arrival
         self.table: Table | None = None
         self.limits = Limits()
-        self.configuration_confirmed: Callable[[], bool] = (
-            lambda: True
-        )  # the operator's word as known here, in this life
-        self.confirmation_recent: Callable[[], bool] = (
-            lambda: True
-        )  # whether it was proven so lately that it may deny
-        self.held_requests: dict[ClientExchange, None] = {}  # requests that wait for the operator's word
+        # Whether the configuration has been confirmed as current since this process started.
+        self.configuration_confirmed: Callable[[], bool] = lambda: True
+        # Whether it was confirmed recently enough to deny requests that it does not cover.
+        self.confirmation_recent: Callable[[], bool] = lambda: True
+        self.held_requests: dict[ClientExchange, None] = {}  # waiting for the configuration
         self.stopping = False
         self.request_ids = itertools.count(1)
         self.max_clients = int(shared.sockets.most * 0.6)
 
     def client_connected(self, client: ClientConnection) -> None:
-        """A client has connected; where there are too many, one that rests makes room."""
+        """Register a connection; above the limit, the longest idle one is closed, or else the new one."""
         self.clients[client] = None
         self.shared.stats["clients.accepted"] += 1
         if len(self.clients) > self.max_clients:
@@ -242,14 +242,14 @@
             client.end("sockets")
 
     def handle_request(self, exchange: ClientExchange) -> None:
-        """A request has come whole."""
+        """Route and authenticate a request, and pass it to the core."""
         table, headers = self.table, exchange.headers
         if table is None or not self.configuration_confirmed():
-            # What came first may be old: nothing is done by it before it has been proven once.
+            # The first configuration received may be out of date; it is not used before it is confirmed.
             self.hold(exchange)
             return
-        ident, host = headers.get(b"x-attempt-id"), headers.get(b"host")
-        if not ident or host is None:
+        attempt_id, host = headers.get(b"x-attempt-id"), headers.get(b"host")
+        if not attempt_id or host is None:
             self.reject_request(exchange, 400, "no_ident_or_host")
             return
         route = table.find(host.decode("latin-1"), exchange.url.partition(b"?")[0].decode("latin-1"))
@@ -260,7 +260,7 @@
         if table.keyed and not route.open:
             epoch = self.current_epoch()
             if epoch is None:
-                # Keys may have been taken away meanwhile: nothing is done with one until that is known.
+                # Keys may have been revoked; they are not accepted without a valid lease.
                 self.shared.stats["refused.no_right"] += 1
                 self.reject_request(exchange, 503, "no_right", route.name, NO_LEASE_RETRY_AFTER_S)
                 return
@@ -286,56 +286,61 @@
             service or route.service(self.rng.random()), route.name, 1.0, left, 1,
             route=route, tenant=tenant, caller=caller,
         )  # fmt: skip
-        message = self.build_request(exchange, ident, tenant.name.encode() if tenant else b"")
+        message = self.build_request(exchange, attempt_id, tenant.name.encode() if tenant else b"")
         exchange.flow = self.core.arrived(call, message, exchange, now)
         exchange.flow.epoch = epoch
         self.core.begin(exchange.flow, now)
 
-    def deny(self, exchange: ClientExchange, status: int, why: str, route: str = "") -> None:
-        """What the operator's word lacks is denied only while that word is surely not out of date here."""
+    def deny(self, exchange: ClientExchange, status: int, reason: str, route: str = "") -> None:
+        """Deny what the configuration lacks, but only while the configuration is known to be current."""
         if self.confirmation_recent():
-            self.reject_request(exchange, status, why, route)
+            self.reject_request(exchange, status, reason, route)
             return
         self.shared.stats["refused.no_right"] += 1
         self.reject_request(exchange, 503, "no_right", route, NO_LEASE_RETRY_AFTER_S)
 
     def hold(self, exchange: ClientExchange) -> None:
-        """A process that has begun a moment ago will know soon; who is sent away comes back after that."""
+        """Let a request wait for the configuration for a short time."""
         clock = self.shared.clock
         if len(self.held_requests) >= MAX_HELD_REQUESTS:
-            self.reject_request(exchange, 503, "no_configuration", pause=NOT_READY_RETRY_AFTER_S)
+            self.reject_request(exchange, 503, "no_configuration", retry_after=NOT_READY_RETRY_AFTER_S)
             return
         self.held_requests[exchange] = None
 
-        def give_up(now: float) -> None:
+        def expire(now: float) -> None:
             if exchange in self.held_requests:
                 del self.held_requests[exchange]
-                self.reject_request(exchange, 503, "no_configuration", pause=NOT_READY_RETRY_AFTER_S)
+                self.reject_request(exchange, 503, "no_configuration", retry_after=NOT_READY_RETRY_AFTER_S)
 
-        clock.schedule(clock.now() + HOLD_TIMEOUT_S, give_up)
+        clock.schedule(clock.now() + HOLD_TIMEOUT_S, expire)
 
     def resume(self) -> None:
-        """The operator's word is known, and proven: those who wait for it go on."""
+        """The configuration is known and confirmed: process the held requests."""
         held, self.held_requests = self.held_requests, {}
         for exchange in held:
             self.handle_request(exchange)
 
     def cancel(self, exchange: ClientExchange) -> None:
-        """Its client has left."""
+        """The client of a request has disconnected."""
         self.held_requests.pop(exchange, None)
         flow, exchange.flow = exchange.flow, None
         if flow is not None:
             self.core.withdrawn(flow, self.shared.clock.now())
 
     def reject_request(
-        self, exchange: ClientExchange, status: int, reason: str, route: str = "", pause: float | None = None
+        self,
+        exchange: ClientExchange,
+        status: int,
+        reason: str,
+        route: str = "",
+        retry_after: float | None = None,
     ) -> None:
-        """Before any decision; ``reason`` is for people."""
+        """Answer without involving the dispatcher; ``reason`` is a reason code for operators."""
         self.core.dispatcher.refusals.append((self.shared.clock.now(), reason, route, ""))
-        exchange.write_empty_response(status, pause)
+        exchange.write_empty_response(status, retry_after)
 
     def find_caller(self, exchange: ClientExchange, route: Route, tenant: str) -> tuple[Caller | None, str]:
-        """Whose request it is, where its route keeps callers, and the service that it goes to then."""
+        """The caller a request belongs to, on a route with affinity, and the service it is bound to."""
         from barleyhub.affinity.order import Caller, key_of, service_of
 
         affinity = route.affinity
@@ -346,18 +351,18 @@
         key = key_of(text)
         return Caller(key, affinity.near, affinity.exchange), service_of(key, route.split)
 
-    def build_request(self, exchange: ClientExchange, ident: bytes, tenant: bytes) -> Request:
-        """Method, path, body and headers are as they came, but for what concerns one connection."""
+    def build_request(self, exchange: ClientExchange, attempt_id: bytes, tenant: bytes) -> Request:
+        """The request to forward: as received, except for hop-by-hop and replaced headers."""
         named = exchange.headers.get(b"connection", b"").lower()
         dropped = (
             REPLACED_HEADERS | {token.strip() for token in named.split(b",")} if named else REPLACED_HEADERS
         )
         head = [b"%b %b HTTP/1.1\r\n" % (exchange.method, exchange.url)]
         head += [b"%b: %b\r\n" % pair for pair in exchange.header_pairs if pair[0].lower() not in dropped]
-        return Request(exchange.method, ident, b"".join(head), tenant, exchange.body)
+        return Request(exchange.method, attempt_id, b"".join(head), tenant, exchange.body)
 
     def sweep(self, now: float) -> None:
-        """A client that asks nothing, or never all of it, must not hold its connection for good."""
+        """Close connections that stay idle or do not complete a request in time."""
         limits = self.limits
         for client in list(self.clients):
             if client.busy or client.ending:
@@ -370,17 +375,17 @@
                 client.end_idle("idle", flush=True)
 
     def close_idle(self) -> None:
-        """Those with nothing under way; who has connected a moment ago is about to ask, and may."""
+        """Close idle connections, except new ones whose first request may be about to arrive."""
         now = self.shared.clock.now()
         for client in self.idle_clients():
             if client.messages or now - client.waiting_since >= GRACE:
                 client.end_idle("drained", flush=True)
 
     def idle_clients(self) -> list[ClientConnection]:
-        """Connections on which nothing is under way."""
+        """Connections without a request in progress."""
         return [c for c in self.clients if not c.busy and not c.started and not c.ending]
 
     @property
     def in_flight(self) -> int:
-        """How many requests are under way."""
+        """Number of requests being processed."""
         return sum(client.busy for client in self.clients)
--- a/latchspoke/dataplane/exchange.py
+++ b/latchspoke/dataplane/exchange.py
@@ -1,8 +1,8 @@
-"""One request of a client, from its last byte to the one answer that it gets.
+"""One client request, from its last byte to the single response it gets.
 
-All that belongs to a request stands here and not on its connection, which may bear the next request by the
-time something late comes for this one. Whatever is answered goes by way of the request: the connection takes
-it only from the one that is under way there.
+The state of a request is kept here rather than on its connection, which may already carry the next request
+when something late arrives for this one. Responses are written through the exchange; the connection accepts
+them only from the exchange it is currently serving.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 STATUS_LINES = {status: f"HTTP/1.1 {status} {text}\r\n".encode() for status, text in REASONS.items()}
 EXTRA_REASONS = {401: b"Unauthorized", 504: b"Gateway Timeout", 421: b"Misdirected Request"}
-BODILESS_STATUSES = (204, 304)  # statuses whose answers have neither body nor length
+BODILESS_STATUSES = (204, 304)  # statuses whose responses have no body and no Content-Length
 
 
 class ExchangeConnection(Protocol):
-    """The connection on which a request has come."""
+    """The client connection on which a request arrived."""
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether it ends with this answer."""
+        """Whether the connection closes after the current response."""
         ...
 
     def write_response(self, exchange: ClientExchange, data: bytes) -> bool:
-        """Write the answer to this request; False if another one, or none, is under way."""
+        """Write the response of ``exchange``; False if the connection is not serving it (any more)."""
         ...
 
 
 class ClientExchange:
-    """A request as it came whole. It is the client of its flow (``latchspoke.dataplane.core.LineClient``)."""
+    """A fully received request; the client of its flow (``latchspoke.dataplane.core.DataPlaneClient``)."""
 
     __slots__ = (
         "attempt_id", "body", "connection", "flow", "header_pairs", "headers", "method", "received_at",
@@ -43,85 +43,99 @@
 
     def __init__(
         self,
-        bearer: ExchangeConnection,
+        connection: ExchangeConnection,
         stats: Stats,
         method: bytes,
         url: bytes,
         headers: dict[bytes, bytes],
-        pairs: list[tuple[bytes, bytes]],
+        header_pairs: list[tuple[bytes, bytes]],
         body: bytes,
-        whole_at: float,
+        received_at: float,
     ) -> None:
-        """``headers`` by lower-case name, ``pairs`` as they came; ``whole_at``: s, of its last byte."""
-        self.connection, self.stats = bearer, stats
-        self.method, self.url, self.headers, self.header_pairs, self.body = method, url, headers, pairs, body
-        self.received_at = whole_at
+        """``headers`` by lower-case name, ``header_pairs`` as received.
+
+        ``received_at``: when the last byte arrived, in seconds.
+        """
+        self.connection, self.stats = connection, stats
+        self.method, self.url, self.headers, self.header_pairs, self.body = (
+            method,
+            url,
+            headers,
+            header_pairs,
+            body,
+        )
+        self.received_at = received_at
         self.attempt_id = headers.get(b"x-attempt-id", b"")
         self.flow: Flow | None = None
 
-    # The core's answers.
+    # Responses from the core.
 
-    def served(self, answer: object) -> None:
-        """A server has served it."""
-        assert isinstance(answer, Response)
-        self.write_response(answer)
+    def served(self, response: object) -> None:
+        """A server has executed the request."""
+        assert isinstance(response, Response)
+        self.write_response(response)
 
     def refused(self, retry_after: float | None) -> None:
-        """It lies beyond its tenant's quota, and has not run."""
+        """The request exceeds its tenant's quota and was not executed."""
         self.write_empty_response(429, retry_after)
 
     def unavailable(self, retry_after: float | None) -> None:
-        """No server could take it, and it has not run."""
+        """No server could take the request, and it was not executed."""
         self.write_empty_response(503, retry_after)
 
     def failed(self, failure: object | None) -> None:
-        """Nobody has served it, and it may have run; ``failure``: a server's own answer that says so."""
+        """The request failed and may have run; ``failure``: the error response of a server, if any."""
         if failure is None:
             self.write_empty_response(502)
         else:
             assert isinstance(failure, Response)
             self.write_response(failure)
 
-    def write_empty_response(self, status: int, retry_after: float | None = None, more: bytes = b"") -> None:
-        """An answer of this system's own; ``more``: header lines. ``retry_after`` in s."""
+    def write_empty_response(
+        self, status: int, retry_after: float | None = None, extra_headers: bytes = b""
+    ) -> None:
+        """Write a response of the gateway itself. ``retry_after``: s; ``extra_headers``: raw lines."""
         self.stats[f"answers.{status}"] += 1
-        pause = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
-        end = b"Connection: close\r\n" if self.connection.closes_after_response else b""
-        self.deliver(b"%b%b%b%bContent-Length: 0\r\n\r\n" % (status_line(status), pause, more, end))
-
-    def write_response(self, answer: Response) -> None:
-        """A server's answer, if it is the answer to this request."""
-        if answer.attempt_id != self.attempt_id:
-            self.withhold(answer)
+        retry_header = b"" if retry_after is None else b"Retry-After: %.3f\r\n" % retry_after
+        close_header = b"Connection: close\r\n" if self.connection.closes_after_response else b""
+        self.deliver(
+            b"%b%b%b%bContent-Length: 0\r\n\r\n"
+            % (status_line(status), retry_header, extra_headers, close_header)
+        )
+
+    def write_response(self, response: Response) -> None:
+        """Write a server's response, provided that it answers this request."""
+        if response.attempt_id != self.attempt_id:
+            self.withhold(response)
             return
-        head = [status_line(answer.status)]
-        head += [b"%b: %b\r\n" % pair for pair in answer.headers]
+        head = [status_line(response.status)]
+        head += [b"%b: %b\r\n" % pair for pair in response.headers]
         if self.connection.closes_after_response:
             head.append(b"Connection: close\r\n")
-        if answer.status not in BODILESS_STATUSES:
-            head.append(b"Content-Length: %d\r\n" % len(answer.body))
+        if response.status not in BODILESS_STATUSES:
+            head.append(b"Content-Length: %d\r\n" % len(response.body))
         head.append(b"\r\n")
-        head.append(answer.body)
+        head.append(response.body)
         self.deliver(b"".join(head))
 
-    def withhold(self, answer: Response) -> None:
-        """Another request's answer has come to this one: a fault of this program, kept from the client."""
+    def withhold(self, response: Response) -> None:
+        """Answer 502 in place of a response that belongs to another request; guards against a bug here."""
         self.stats["answers.foreign"] += 1
         log(
-            "foreign-answer", status=answer.status, attempt=self.attempt_id.decode("latin-1"),
-            stamped=answer.attempt_id.decode("latin-1"),
+            "foreign-answer", status=response.status, attempt=self.attempt_id.decode("latin-1"),
+            stamped=response.attempt_id.decode("latin-1"),
         )  # fmt: skip
         self.write_empty_response(502)
 
     def deliver(self, data: bytes) -> None:
-        """Give it to the connection, which drops what comes for a request that is over there."""
+        """Hand the bytes to the connection, which drops them if this request is no longer being served."""
         self.flow = None
         if not self.connection.write_response(self, data):
             self.stats["answers.unowned"] += 1
 
 
 def status_line(status: int) -> bytes:
-    """The first line of an answer."""
+    """The status line of a response."""
     known = STATUS_LINES.get(status)
     return (
         known if known is not None else b"HTTP/1.1 %d %b\r\n" % (status, EXTRA_REASONS.get(status, b"Status"))
--- a/latchspoke/dataplane/explain.py
+++ b/latchspoke/dataplane/explain.py
@@ -1,6 +1,6 @@
-"""Why a request would go where it goes: route, key, quota, service, homes, servers with their evidence.
+"""Explains where a request would go and why: route, key, quota, service, home regions, candidate servers.
 
-Works on a running gateway's state and, without one, on a configuration alone. Nothing is sent or counted.
+Works on the state of a running gateway or, without one, on a configuration alone. Nothing is sent or counted.
 """
 
 from __future__ import annotations
@@ -18,35 +18,35 @@
 
 
 class ExplainRequestError(ValueError):
-    """A question that can't be read; one line."""
+    """An explain request that is malformed; one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class ExplainRequest:
-    """A request that might come. Either the tenant's name is told, or a key, which no answer repeats."""
+    """A hypothetical request. It has either a tenant name or an API key; no answer repeats the key."""
 
     host: str
     path: str
     tenant: str = ""
     key: str = ""
-    caller: str = ""  # what a header or cookie would tell, where the route keeps callers
+    caller: str = ""  # as a header or cookie would name it, on a route with affinity
 
 
 def read_explain_request(body: object) -> ExplainRequest:
-    """Raises AskError."""
+    """Parse an explain request. Raises ExplainRequestError."""
     if not isinstance(body, dict):
-        raise ExplainRequestError("an object with host and path is asked for")
+        raise ExplainRequestError("an object with host and path is required")
     fields = {name: body.get(name) or "" for name in ("host", "path", "tenant", "key", "caller")}
     for name, value in fields.items():
         if not isinstance(value, str):
-            raise ExplainRequestError(f"{name} must be a text")
+            raise ExplainRequestError(f"{name} must be a string")
     if not fields["host"] or not fields["path"]:
-        raise ExplainRequestError("host and path are asked for")
+        raise ExplainRequestError("host and path are required")
     return ExplainRequest(**fields)
 
 
 class MidpointRandom(Random):
-    """Draws the middle: scores without their random part."""
+    """Always draws 0.5, so that scores have no random part."""
 
     def random(self) -> float:
         return 0.5
@@ -54,103 +54,114 @@
 
 @contextmanager
 def without_randomness(stock: Stock) -> Iterator[None]:
-    draw, stock.draw = stock.draw, MidpointRandom()
+    rng, stock.draw = stock.draw, MidpointRandom()
     try:
         yield
     finally:
-        stock.draw = draw
+        stock.draw = rng
 
 
 def explain(
     table: Table,
-    ask: ExplainRequest,
+    request: ExplainRequest,
     now: float,
     stock: Stock | None = None,
     dispatcher: Dispatcher | None = None,
 ) -> dict[str, Any]:
-    """``outcome`` says what would happen in a word, ``because`` in a line; the rest is what it rests on."""
-    told: dict[str, Any] = {"version": f"{table.version:08x}", "host": ask.host, "path": ask.path}
-    route = table.find(ask.host, ask.path)
+    """Explain a request: ``outcome`` is the result, ``because`` a one-line reason, the rest the evidence."""
+    result: dict[str, Any] = {"version": f"{table.version:08x}", "host": request.host, "path": request.path}
+    route = table.find(request.host, request.path)
     if route is None:
-        return told | explain_no_route(table, ask)
-    told["route"] = explain_route(route, table, ask)
+        return result | explain_no_route(table, request)
+    result["route"] = explain_route(route, table, request)
     tenant: Tenant | None = None
     if table.keyed and not route.open:
-        tenant = table.tenant(ask.key) if ask.key else tenant_by_name(table, ask.tenant)
+        tenant = table.tenant(request.key) if request.key else tenant_by_name(table, request.tenant)
         if tenant is None:
             what = (
-                "the key" if ask.key else f"tenant {ask.tenant!r}" if ask.tenant else "no key, and the route"
+                "the key"
+                if request.key
+                else f"tenant {request.tenant!r}"
+                if request.tenant
+                else "no key, and the route"
             )
-            because = f"{what} {'needs one' if not (ask.key or ask.tenant) else 'is not in this version'}"
-            return told | {"outcome": "401", "because": because}
-        told["tenant"] = {
+            why = f"{what} {'needs one' if not (request.key or request.tenant) else 'is not in this version'}"
+            return result | {"outcome": "401", "because": why}
+        result["tenant"] = {
             "name": tenant.name, "rate_per_s": tenant.rate, "burst": tenant.burst,
             "priority": tenant.priority, "homes": sorted(tenant.homes),
         }  # fmt: skip
     if tenant is not None and dispatcher is not None and tenant.rate > 0:
-        told["quota"] = explain_quota(dispatcher, tenant, now)
-    homes = homes_of(route.homes, tenant.homes if tenant is not None else frozenset())
-    told["homes"] = None if homes is None else sorted(homes)
+        result["quota"] = explain_quota(dispatcher, tenant, now)
+    regions = homes_of(route.homes, tenant.homes if tenant is not None else frozenset())
+    result["homes"] = None if regions is None else sorted(regions)
     if stock is None:
-        return told | {"outcome": "forwarded", "because": "by the configuration alone; no servers are known"}
+        return result | {
+            "outcome": "forwarded",
+            "because": "by the configuration alone; no servers are known",
+        }
     with without_randomness(stock):
-        told["servers"] = {
-            service: candidates(stock, service, route, homes, now) for service, _ in route.split
+        result["servers"] = {
+            service: candidates(stock, service, route, regions, now) for service, _ in route.split
         }
     if route.affinity is not None:
-        text = ask.caller or caller_without_headers(route, ask.path, tenant)
-        if text:
-            told["caller"] = explain_affinity(text, route, stock, dispatcher, homes, now)
-    return told | outcome_of(told)
+        caller = request.caller or caller_without_headers(route, request.path, tenant)
+        if caller:
+            result["caller"] = explain_affinity(caller, route, stock, dispatcher, regions, now)
+    return result | outcome_of(result)
 
 
 def caller_without_headers(route: Route, path: str, tenant: Tenant | None) -> str:
-    """The caller, if the path or the tenant tells."""
+    """The caller, if the path or the tenant alone identifies it."""
     assert route.affinity is not None
-    found = route.affinity.caller({}, path.encode(), tenant.name if tenant else "")
-    return (found or b"").decode(errors="replace")
+    caller = route.affinity.caller({}, path.encode(), tenant.name if tenant else "")
+    return (caller or b"").decode(errors="replace")
 
 
 def explain_affinity(
-    text: str, route: Route, stock: Stock, dispatcher: Dispatcher | None, homes: frozenset[str] | None,
+    caller: str, route: Route, stock: Stock, dispatcher: Dispatcher | None, regions: frozenset[str] | None,
     now: float,
 ) -> dict[str, Any]:  # fmt: skip
-    """Where a caller goes and why; the server's id, if it is the caller's own."""
+    """The server a caller is bound to and why; ``id``: its instance, if it is the caller's own server."""
     from barleyhub.affinity.keeper import Berths
     from barleyhub.affinity.order import key_of, service_of
 
     assert route.affinity is not None
     berths = dispatcher.berths if dispatcher is not None and dispatcher.berths is not None else Berths(stock)
-    service = service_of(key_of(text.encode()), route.split)
-    told = berths.explain(text, route.affinity.near, service, homes, now)
-    upstream = berths.sheds[service].upstreams.get(told["goes_to"] or "")
-    ident = told.get("exchange", {}).get("id") or (upstream.ident if upstream is not None else None)
-    return {"service": service, "id": ident} | told
+    service = service_of(key_of(caller.encode()), route.split)
+    result = berths.explain(caller, route.affinity.near, service, regions, now)
+    upstream = berths.sheds[service].upstreams.get(result["goes_to"] or "")
+    instance_id = result.get("exchange", {}).get("id") or (upstream.ident if upstream is not None else None)
+    return {"service": service, "id": instance_id} | result
 
 
 def tenant_by_name(table: Table, name: str) -> Tenant | None:
     return next((tenant for tenant in table.tenants.values() if tenant.name == name), None)
 
 
-def explain_no_route(table: Table, ask: ExplainRequest) -> dict[str, Any]:
-    here = [r.prefix for r in table.routes.values() if plain_host(r.host) == plain_host(ask.host)]
-    if not here:
+def explain_no_route(table: Table, request: ExplainRequest) -> dict[str, Any]:
+    prefixes = [
+        route.prefix for route in table.routes.values() if plain_host(route.host) == plain_host(request.host)
+    ]
+    if not prefixes:
         return {"outcome": "404", "because": "no route has this host"}
     return {
-        "outcome": "404", "because": "no prefix of this host begins the path", "prefixes": sorted(here),
+        "outcome": "404", "because": "no prefix of this host begins the path", "prefixes": sorted(prefixes),
     }  # fmt: skip
 
 
-def explain_route(route: Route, table: Table, ask: ExplainRequest) -> dict[str, Any]:
-    before, shares = 0.0, []
+def explain_route(route: Route, table: Table, request: ExplainRequest) -> dict[str, Any]:
+    start, shares = 0.0, []
     for service, end in route.split:
-        shares.append({"service": service, "share": round(end - before, 4)})
-        before = end
-    path = ask.path.partition("?")[0]
+        shares.append({"service": service, "share": round(end - start, 4)})
+        start = end
+    path = request.path.partition("?")[0]
     shorter = [
-        r.name
-        for r in table.routes.values()
-        if r.name != route.name and plain_host(r.host) == plain_host(route.host) and path.startswith(r.prefix)
+        other.name
+        for other in table.routes.values()
+        if other.name != route.name
+        and plain_host(other.host) == plain_host(route.host)
+        and path.startswith(other.prefix)
     ]
     return {
         "name": route.name, "prefix": route.prefix, "shorter_prefixes": shorter, "services": shares,
@@ -171,55 +182,61 @@
 
 
 def candidates(
-    stock: Stock, service: str, route: Route, homes: frozenset[str] | None, now: float
+    stock: Stock, service: str, route: Route, regions: frozenset[str] | None, now: float
 ) -> list[dict[str, Any]]:
-    """Every server of the service, the one that would be taken first; then those that may not be taken."""
-    usual = stock.usual.get(route.name, GUESS * route.aim)
-    found = []
+    """All servers of a service: the preferred one first, those that may not be taken last."""
+    usual_s = stock.usual.get(route.name, GUESS * route.aim)
+    servers = []
     for upstream in stock.services.get(service, {}).values():
-        barred = exclusion_reasons(stock, upstream, homes, now)
-        told = server_view(stock, upstream, now) | {"barred": barred}
+        reasons = exclusion_reasons(stock, upstream, regions, now)
+        entry = server_view(stock, upstream, now) | {"barred": reasons}
         wait = stock.headway.wait(service, upstream.region, now)
-        told["expected_s"] = None if barred else round(stock.score(upstream, usual, now, wait), 4)
-        found.append(told)
-    return sorted(found, key=lambda each: (bool(each["barred"]), each["expected_s"] or 0.0, each["id"]))
+        entry["expected_s"] = None if reasons else round(stock.score(upstream, usual_s, now, wait), 4)
+        servers.append(entry)
+    return sorted(servers, key=lambda item: (bool(item["barred"]), item["expected_s"] or 0.0, item["id"]))
 
 
 def exclusion_reasons(
-    stock: Stock, upstream: Upstream, homes: frozenset[str] | None, now: float
+    stock: Stock, upstream: Upstream, regions: frozenset[str] | None, now: float
 ) -> list[str]:
-    """Why it can't be taken at all."""
-    hard = [
+    """Reason codes for which a server may not be taken at all."""
+    reasons = [
         code for code in avoidance_reasons(stock, upstream, now) if code in ("gone", "draining", "evacuated")
     ]
-    if homes is not None and upstream.region not in homes:
-        hard.append("outside_homes")
+    if regions is not None and upstream.region not in regions:
+        reasons.append("outside_homes")
     if stock.cold(upstream, now):
-        most = stock.allowance(upstream)
-        if not most:
-            hard.append("cold_dealt_to_others")
-        elif not upstream.sent.free(most, now):
-            hard.append("cold_used_up")
-    return hard
-
-
-def outcome_of(told: dict[str, Any]) -> dict[str, Any]:
-    asked = told.get("quota")
-    if asked is not None and not asked["fits"]:
-        return {"outcome": "429", "because": "the tenant's room is used up"}
-    if (caller := told.get("caller")) and caller["id"]:
+        allowance = stock.allowance(upstream)
+        if not allowance:
+            reasons.append("cold_dealt_to_others")
+        elif not upstream.sent.free(allowance, now):
+            reasons.append("cold_used_up")
+    return reasons
+
+
+def outcome_of(result: dict[str, Any]) -> dict[str, Any]:
+    """Derive outcome and reason from the collected evidence."""
+    quota = result.get("quota")
+    if quota is not None and not quota["fits"]:
+        return {"outcome": "429", "because": "the tenant's quota is used up"}
+    if (caller := result.get("caller")) and caller["id"]:
         because = (
-            f"{caller['service']}: caller {caller['caller']!r} is kept at {caller['id']}: {caller['why']}"
+            f"{caller['service']}: caller {caller['caller']!r} is bound to {caller['id']}: {caller['why']}"
         )
         return {"outcome": "forwarded", "because": because}
-    able = {name: [s for s in those if not s["barred"]] for name, those in told["servers"].items()}
-    without = [name for name, those in able.items() if not those]
-    if len(without) == len(able):
-        return {"outcome": "503", "because": f"no server of {', '.join(without)} may be taken"}
-    first = {name: those[0]["id"] for name, those in able.items() if those}
-    because = "; ".join(f"{name}: {ident} has the least expected time" for name, ident in first.items())
-    if without:
-        because += f"; no server of {', '.join(without)} may be taken"
-    if asked is not None and asked["gate"] < 1:
-        because += f"; the gate lets {asked['gate']:.0%} pass"
+    available = {
+        name: [server for server in servers if not server["barred"]]
+        for name, servers in result["servers"].items()
+    }
+    unavailable = [name for name, servers in available.items() if not servers]
+    if len(unavailable) == len(available):
+        return {"outcome": "503", "because": f"no server of {', '.join(unavailable)} may be taken"}
+    preferred = {name: servers[0]["id"] for name, servers in available.items() if servers}
+    because = "; ".join(
+        f"{name}: {instance_id} has the least expected time" for name, instance_id in preferred.items()
+    )
+    if unavailable:
+        because += f"; no server of {', '.join(unavailable)} may be taken"
+    if quota is not None and quota["gate"] < 1:
+        because += f"; the gate lets {quota['gate']:.0%} pass"
     return {"outcome": "forwarded", "because": because}
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -1,4 +1,4 @@
-"""Puts the data plane's parts together, and runs them from start to SIGTERM."""
+"""Builds a gateway from the parts of the data plane, and runs it from start to SIGTERM."""
 
 from __future__ import annotations
 
@@ -36,33 +36,30 @@
 if TYPE_CHECKING:  # loaded only where a route asks for it
     from latchspoke.dataplane.session_affinity import SessionAffinity
 
-SWEEP_INTERVAL_S = 0.5  # s
-LEASE_FRACTION = 0.9  # of revokeS: how long a proof lasts
-MIN_FAILURE_DETECTION_S = 0.5  # s at least from when somebody was last heard to when it is taken for gone
-DEFAULT_QUOTA_WINDOW_S = (
-    5.0  # s after a start in which a quota may be used up by this process' former life, if no bound tells
-)
-# s after it is old in which a latecomer, as a host, gives no more than those who tell it may use
+SWEEP_INTERVAL_S = 0.5
+LEASE_FRACTION = 0.9  # of ``revokeS``: validity of a proof
+MIN_FAILURE_DETECTION_S = 0.5  # shortest time from the last contact with a process to its detection as gone
+# After a start, quotas may already be used up by the previous instance of this process for this long.
+DEFAULT_QUOTA_WINDOW_S = 5.0
+# After this window, a new quota owner still grants no more than the reporting gateways may use anyway.
 NEW_OWNER_CAUTION_S = 2.0
-LISTEN_FRACTION = 0.5  # of graceS: so long after SIGTERM new connections still come
-SHUTDOWN_MARGIN_S = 0.35  # s before graceS is over
-GATEWAYS_UPDATE_INTERVAL_S = 0.1  # s
-BUSY_PERIOD_S = 0.25  # s after a request in which ``STEP`` passes between two steps
-IDLE_REPORT_INTERVAL_S = 0.25  # s between two steps else
-REGISTRY_SWEEP_INTERVAL_S = 5.0  # s between looks for lives that ended long ago
-COUNTER_LOG_INTERVAL_S = 5.0  # s between lines that tell counts
-EVIDENCE_MIN_GATEWAYS = (
-    24  # live gateways; where there are fewer, each sees servers often enough, and tells nothing
-)
-EVIDENCE_INTERVAL_S = 0.2  # s between words on servers' failures, at least
-CALM_EVIDENCE_INTERVAL_S = 0.8  # and where there are successes only
-UNBOUNDED_LEASE_S = 1e9  # s; where keys need not be closed
+LISTEN_FRACTION = 0.5  # of ``graceS``: new connections are accepted this long after SIGTERM
+SHUTDOWN_MARGIN_S = 0.35  # before the end of ``graceS``
+GATEWAYS_UPDATE_INTERVAL_S = 0.1
+BUSY_PERIOD_S = 0.25  # after a request, reports are sent every ``REPORT_INTERVAL_S``
+IDLE_REPORT_INTERVAL_S = 0.25  # otherwise
+REGISTRY_SWEEP_INTERVAL_S = 5.0
+COUNTER_LOG_INTERVAL_S = 5.0
+EVIDENCE_MIN_GATEWAYS = 24  # with fewer gateways, each sees enough of the servers by itself
+EVIDENCE_INTERVAL_S = 0.2
+CALM_EVIDENCE_INTERVAL_S = 0.8  # when there are only successes to report
+UNBOUNDED_LEASE_S = 1e9  # when keys may be used without a lease
 
 
 class Ports:
-    """The core's ports on sockets."""
+    """The ports of the core, on sockets."""
 
-    usage_reports: UsageReports  # comes once it is made
+    usage_reports: UsageReports  # set after construction
 
     def __init__(self, upstream_pools: UpstreamPools, clock: Clock) -> None:
         self.upstream_pools, self.clock = upstream_pools, clock
@@ -74,32 +71,41 @@
         self.upstream_pools.drop(forward)
 
     def count(self, name: int, amount: float, life: float) -> None:
-        """A request waits for a total: what is due goes out now."""
+        """A request waits for a quota total: send due reports now."""
         self.usage_reports.send_due_reports(self.clock.now())
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
         return self.clock.schedule(when, call)
 
 
-def cannot_own_quotas(meta: Mapping[str, Any], elders: bool) -> bool:
-    """Whether a gateway leaves, or has come back beside others (``elders``: some are there) and isn't old."""
+def cannot_own_quotas(meta: Mapping[str, Any], established_exist: bool) -> bool:
+    """Whether a gateway may not own quotas: it is leaving, or it restarted beside established gateways.
+
+    ``established_exist``: whether there are established gateways.
+    """
     if meta.get("old") or meta.get("leaves"):
         return bool(meta.get("leaves"))
-    told = meta.get("late")
-    return elders if told is None else bool(told)
+    joined_late = meta.get("late")
+    return established_exist if joined_late is None else bool(joined_late)
 
 
 class Node(NodeProcess):
-    """One gateway on its sockets."""
+    """One gateway process."""
 
     PORT_OFFSET = GATEWAY_PORT_OFFSET
 
     def build(self) -> None:
-        s, self.stats = self.settings, Stats()
-        self.shared = Shared(self.clock, self.stats, Sockets(s.descriptors - 200), Dialer(self.loop))
-        bound = s.bound
+        settings, self.stats = self.settings, Stats()
+        self.shared = Shared(self.clock, self.stats, Sockets(settings.descriptors - 200), Dialer(self.loop))
+        bound = settings.bound
         self.balancer = Stock(
-            s.name, s.zone, s.region, self.rng, s.beat, bound("coldExcess", 1.0), bound("coldSlack", 0.0)
+            settings.name,
+            settings.zone,
+            settings.region,
+            self.rng,
+            settings.beat,
+            bound("coldExcess", 1.0),
+            bound("coldSlack", 0.0),
         )
         self.dispatcher = Dispatcher(
             self.balancer, self.rng, bound("retryRatio", 0.1), bound("retrySlack", 10.0), self.stats
@@ -114,36 +120,37 @@
         self.downstream.configuration_confirmed = (
             lambda: self.lease.proven_at > -math.inf and self.has_peers()
         )
-        deny = bound("configApplyS", 3.0) * LEASE_FRACTION
-        self.downstream.confirmation_recent = lambda: self.clock.now() - self.lease.proven_at < deny
-        closed = bool(bound("revocationEnforced", 1.0))
-        self.lease = Lease(bound("revokeS", 5.0) * LEASE_FRACTION if closed else UNBOUNDED_LEASE_S)
+        denial_limit = bound("configApplyS", 3.0) * LEASE_FRACTION
+        self.downstream.confirmation_recent = lambda: self.clock.now() - self.lease.proven_at < denial_limit
+        lease_required = bool(bound("revocationEnforced", 1.0))
+        self.lease = Lease(bound("revokeS", 5.0) * LEASE_FRACTION if lease_required else UNBOUNDED_LEASE_S)
         self.active_epoch: Epoch | None = None
         self.subscription = Subscription(
-            s.name, s.zone, s.region, self.clock, self.rng, Follower(self.published_state, apply_patch),  # type: ignore[arg-type]
+            settings.name, settings.zone, settings.region, self.clock, self.rng,
+            Follower(self.published_state, apply_patch),  # type: ignore[arg-type]
             self.lease, self.sources, self.state_changed, self.receive_evidence,
             bound("contactS", 4.0) / FIRST_PROOF_DIVISOR,
         )  # fmt: skip
         self.relay = Relay(self.clock, self.is_control)
         self.subscription.on_relay = self.relay.handle_message
-        self.examiner = Examiner(s.zone)
+        self.examiner = Examiner(settings.zone)
         self.evidence_sent_at = -math.inf
         self.usage_reports = UsageReports(
-            s.name,
+            settings.name,
             self.instance_id,
             self.clock,
             self.dispatcher,
-            lambda told: self.core.give(told, self.clock.now()),  # type: ignore[arg-type]
+            lambda totals: self.core.give(totals, self.clock.now()),  # type: ignore[arg-type]
         )
         self.ports.usage_reports = self.usage_reports
         self.session_affinity: SessionAffinity | None = None
-        if closed:  # what was dealt to one that is cut off is its own until its lease ends
+        if lease_required:  # shares of a gateway that is cut off stay reserved until its lease ends
             self.dispatcher.holds = max(self.lease.lasts - MIN_FAILURE_DETECTION_S, 0.0)
-        self.started_at, self.established = self.clock.now(), s.first
-        # Whether it came beside others that had begun long before; told once it is ready for the first time.
-        self.joined_late: bool | None = False if s.first else None
+        self.started_at, self.established = self.clock.now(), settings.first
+        # Whether it joined established gateways; decided when it first becomes ready.
+        self.joined_late: bool | None = False if settings.first else None
         self.established_at = self.started_at + bound("quotaWindowS", DEFAULT_QUOTA_WINDOW_S)
-        if not s.first:
+        if not settings.first:
             self.dispatcher.young_until = self.established_at
         self.membership_transport = self.create_membership_transport(self.meta(False))
         self.membership_transport.overheard = self.handle_broadcast
@@ -155,61 +162,69 @@
         self.registry_swept_at = self.started_at
 
     def meta(self, ready: bool) -> dict[str, Any]:
-        s = self.settings
-        front = s.listen.get("frontPlain", ("", 0))
+        settings = self.settings
+        front = settings.listen.get("frontPlain", ("", 0))
         return {
-            "role": "edge", "zone": s.zone, "region": s.region, "front": f"{front[0]}:{front[1]}",
+            "role": "edge", "zone": settings.zone, "region": settings.region,
+            "front": f"{front[0]}:{front[1]}",
             "link": self.internal_endpoint, "ready": ready, PACKS: True,
-            "door": s.listen.get("readiness", ("", 0))[1], "old": self.established,
+            "door": settings.listen.get("readiness", ("", 0))[1], "old": self.established,
         } | ({"leaves": True} if self.downstream.stopping else {}) | (
             {} if self.established or self.joined_late is None else {"late": self.joined_late}
         )  # fmt: skip
 
-    def is_control(self, link: str) -> bool:
-        """Whether a live control machine has this inner address."""
+    def is_control(self, endpoint: str) -> bool:
+        """Whether a live control-plane node has this internal address."""
         alive = self.membership_transport.membership.alive.values()
-        return any(m.meta.get("role") == "core" and m.meta.get("link") == link for m in alive)
+        return any(
+            member.meta.get("role") == "core" and member.meta.get("link") == endpoint for member in alive
+        )
 
-    # The right to act.
+    # Authorization.
 
     def now(self) -> float:
         return self.clock.now()
 
     def current_epoch(self) -> Epoch | None:
-        """The right to act with keys under the version in force, or None."""
+        """The epoch under which tenant keys may be used now, or None without a valid lease."""
         if self.active_epoch is None or self.clock.now() >= self.lease.until:
             return None
         self.active_epoch.until = self.lease.until
         return self.active_epoch
 
     def has_peers(self) -> bool:
-        """Whether another process is known: alone, this gateway would take all that is shared for its own.
+        """Whether another process is known; alone, this gateway would take shared budgets for its own.
 
-        After a while it is the only one, or cut off from all others.
+        An established gateway counts as having peers: it is the only one, or cut off from all others.
         """
         return self.established or len(self.membership_transport.membership.alive) > 1
 
-    # What is told.
+    # Configuration and servers.
 
     def sources(self) -> list[Source]:
-        """Control machines, those of the seeds also before anybody has told of them, then gateways."""
+        """Possible sources: control-plane nodes, including seeds not yet known as members, then gateways."""
         alive = [
-            m for m in self.membership_transport.membership.alive.values() if m.name != self.settings.name
+            member
+            for member in self.membership_transport.membership.alive.values()
+            if member.name != self.settings.name
         ]
-        control = member_sources([m for m in alive if m.meta.get("role") == "core"], False)
-        known = {source.address for source in control}
+        control_sources = member_sources(
+            [member for member in alive if member.meta.get("role") == "core"], False
+        )
+        known_addresses = {source.address for source in control_sources}
         for address in self.seed_addresses():
-            if address not in known:
-                control.append(Source(f"seed {address[0]}", address, "", ""))
-        others = member_sources(
-            [m for m in alive if m.meta.get("role") == "edge" and m.meta.get("ready")], True
+            if address not in known_addresses:
+                control_sources.append(Source(f"seed {address[0]}", address, "", ""))
+        gateway_sources = member_sources(
+            [member for member in alive if member.meta.get("role") == "edge" and member.meta.get("ready")],
+            True,
         )
-        return control + others
+        return control_sources + gateway_sources
 
-    def state_changed(self, ordered: bool, entries: list[Entry]) -> None:
+    def state_changed(self, configuration_changed: bool, entries: list[Entry]) -> None:
         now = self.clock.now()
-        if ordered:
-            self.apply_orders(now)
+        if configuration_changed:
+            self.apply_configuration(now)
         for entry in entries:
             self.apply_server(entry, now)
         if self.subscription.follower.differing:
@@ -217,7 +232,7 @@
         self.update_readiness()
 
     def handle_broadcast(self, message: Message) -> None:
-        """A control machine tells all gateways that a server has turned cold, or leaves."""
+        """A control-plane node announces to all gateways that a server is draining or has become cold."""
         try:
             entries = self.subscription.follower.overheard(message["e"], self.clock.now())
         except (BeatError, KeyError, TypeError, ValueError):
@@ -225,38 +240,42 @@
         if entries:
             self.state_changed(False, entries)
 
-    def apply_orders(self, now: float) -> None:
-        orders = self.published_state.orders
-        assert orders.doc is not None or not orders.version
-        if orders.doc is not None and (
-            self.downstream.table is None or self.downstream.table.version != orders.version
+    def apply_configuration(self, now: float) -> None:
+        configuration = self.published_state.orders
+        assert configuration.doc is not None or not configuration.version
+        if configuration.doc is not None and (
+            self.downstream.table is None or self.downstream.table.version != configuration.version
         ):
-            table: Table = compile_table(orders.doc)  # type: ignore[arg-type]
-            self.balancer.colds = {n: Cold(s.cold_s, s.cold_per_s) for n, s in table.services.items()}
+            table: Table = compile_table(configuration.doc)  # type: ignore[arg-type]
+            self.balancer.colds = {
+                name: Cold(service.cold_s, service.cold_per_s) for name, service in table.services.items()
+            }
             self.balancer.changes += 1
-            if self.dispatcher.berths is None and any(r.affinity for r in table.routes.values()):
+            if self.dispatcher.berths is None and any(route.affinity for route in table.routes.values()):
                 from barleyhub.affinity.keeper import Berths
 
                 self.dispatcher.berths = Berths(self.balancer)
             if self.session_affinity is None and any(
-                r.affinity and r.affinity.travels for r in table.routes.values()
+                route.affinity and route.affinity.travels for route in table.routes.values()
             ):
                 from latchspoke.dataplane.session_affinity import SessionAffinity
 
                 self.session_affinity = SessionAffinity(self)
                 self.update_gateways()
-            self.upstream_pools.connection_caps = {n: s.conn_limit for n, s in table.services.items()}
+            self.upstream_pools.connection_caps = {
+                name: service.conn_limit for name, service in table.services.items()
+            }
             self.upstream_pools.max_body_bytes = max(table.limits.body_bytes, 1 << 20)
-            # One step between two events: what came before goes on under its own epoch's end.
+            # Switched between two events; flows in progress continue under their own epoch.
             self.downstream.table, self.downstream.limits = table, table.limits
             self.usage_reports.connect_owners(
                 {tenant.name for tenant in table.tenants.values() if tenant.rate}
             )
-            self.active_epoch = Epoch(f"{orders.version:08x}", self.lease.until)
-            log("orders", version=f"{orders.version:08x}", index=orders.index)
-        if orders.evacuated != self.balancer.evacuated:
-            self.balancer.evacuate(orders.evacuated, now)
-            log("evacuated", zones=",".join(sorted(orders.evacuated)))
+            self.active_epoch = Epoch(f"{configuration.version:08x}", self.lease.until)
+            log("orders", version=f"{configuration.version:08x}", index=configuration.index)
+        if configuration.evacuated != self.balancer.evacuated:
+            self.balancer.evacuate(configuration.evacuated, now)
+            log("evacuated", zones=",".join(sorted(configuration.evacuated)))
 
     def apply_server(self, entry: Entry, now: float) -> None:
         host, _, port = entry.address.rpartition(":")
@@ -269,10 +288,10 @@
             now,
         )  # fmt: skip
 
-    # What gateways see of servers.
+    # Evidence on servers.
 
     def receive_evidence(self, entries: list[Any]) -> None:
-        """Others have seen these fail. Raises EvidenceError."""
+        """Other gateways have seen failures of servers. Raises EvidenceError."""
         now = self.clock.now()
         for entry in entries:
             self.examiner.learn(*read_evidence(entry), now)
@@ -281,24 +300,32 @@
         self.evaluate_evidence(now)
 
     def evaluate_evidence(self, now: float) -> None:
-        """Which servers this gateway turns from on the word of others."""
-        stock, told = self.balancer, self.examiner.told
-        if not told and not stock.told:
+        """Determine the servers that this gateway avoids on other gateways' evidence."""
+        balancer, evidence = self.balancer, self.examiner.told
+        if not evidence and not balancer.told:
             return
-        services = dict.fromkeys(stock.upstreams[ident].service for ident in told if ident in stock.upstreams)
-        ready = {
-            service: [w.ident for w in stock.services[service].values() if w.state is State.READY]
+        services = dict.fromkeys(
+            balancer.upstreams[instance_id].service
+            for instance_id in evidence
+            if instance_id in balancer.upstreams
+        )
+        ready_servers = {
+            service: [
+                upstream.ident
+                for upstream in balancer.services[service].values()
+                if upstream.state is State.READY
+            ]
             for service in services
         }
-        before, stock.told = stock.told, self.examiner.shares(ready, now)
-        for ident in sorted(before.keys() ^ stock.told.keys()):
-            log("evidence", server=ident, turned_from=ident in stock.told)
+        previous, balancer.told = balancer.told, self.examiner.shares(ready_servers, now)
+        for instance_id in sorted(previous.keys() ^ balancer.told.keys()):
+            log("evidence", server=instance_id, turned_from=instance_id in balancer.told)
 
     def send_evidence(self, now: float) -> None:
-        """Tell what is due: failures soon, the rest now and then."""
+        """Send due evidence: failures soon, successes at longer intervals."""
         if len(self.dispatcher.gateways) < EVIDENCE_MIN_GATEWAYS:
             return
-        witness, wire, source = (
+        witness, connection, source = (
             self.dispatcher.witness,
             self.subscription.connection,
             self.subscription.source,
@@ -306,36 +333,36 @@
         due = witness.fresh and now - self.evidence_sent_at >= (
             EVIDENCE_INTERVAL_S if witness.urgent else CALM_EVIDENCE_INTERVAL_S
         )
-        if due and wire is not None and source is not None and not source.gateway:
+        if due and connection is not None and source is not None and not source.gateway:
             self.evidence_sent_at = now
-            told = witness.due(now)
-            self.stats["evidence.told"] += len(told)
-            wire.send({"k": "hot", "w": told})
+            evidence = witness.due(now)
+            self.stats["evidence.told"] += len(evidence)
+            connection.send({"k": "hot", "w": evidence})
 
-    def handle_proof_request(self, wire: MessageConnection, tag: int) -> None:
-        """Another gateway asks what is proven here, as it reaches no control machine."""
+    def handle_proof_request(self, connection: MessageConnection, proof_id: int) -> None:
+        """Another gateway without a control-plane node asks for a proof; ours is passed on with its age."""
         age = self.clock.now() - self.lease.proven_at
         if age < self.lease.lasts and self.published_state.orders.index:
-            wire.send(
+            connection.send(
                 {
                     "k": "proven",
-                    "t": tag,
+                    "t": proof_id,
                     "index": self.published_state.orders.index,
                     "age": round(age + 0.001, 4),
                 }
             )
         else:
-            wire.send({"k": "proven", "t": tag})
+            connection.send({"k": "proven", "t": proof_id})
 
-    def membership_changed(self, news: News) -> None:
-        if news.kind in ("joined", "gone", "changed"):
+    def membership_changed(self, change: News) -> None:
+        if change.kind in ("joined", "gone", "changed"):
             self.schedule_gateways_update()
             self.update_readiness()
-        if news.kind != "changed":
-            log("membership", what=news.kind, who=news.member.name)
+        if change.kind != "changed":
+            log("membership", what=change.kind, who=change.member.name)
 
     def schedule_gateways_update(self) -> None:
-        """``live``, at once after a pause; at most once in ``LIVE_EVERY`` s where members change often."""
+        """Update the live gateways now, or later if the last update was too recent."""
         if self.gateways_update_scheduled:
             return
         now = self.clock.now()
@@ -348,39 +375,45 @@
             )
 
     def update_gateways(self) -> None:
-        """Who the live gateways are: duties and budgets are cut by them."""
-        edges = {
-            n: m
-            for n, m in self.membership_transport.membership.alive.items()
-            if m.meta.get("role") == "edge"
+        """Distribute the set of live gateways, on which quota owners and shares of budgets depend."""
+        gateways = {
+            name: member
+            for name, member in self.membership_transport.membership.alive.items()
+            if member.meta.get("role") == "edge"
         }
         now = self.gateways_updated_at = self.clock.now()
         self.gateways_update_scheduled = False
-        self.dispatcher.live({n: str(m.meta.get("zone")) for n, m in edges.items()}, now)
-        elders = self.has_established_peers()
-        hosts_anew = not self.established or (
+        self.dispatcher.live({name: str(member.meta.get("zone")) for name, member in gateways.items()}, now)
+        established_exist = self.has_established_peers()
+        new_owner = not self.established or (
             self.joined_late and now < self.established_at + NEW_OWNER_CAUTION_S
         )
-        late = {n for n, m in edges.items() if cannot_own_quotas(m.meta, elders or self.established)}
+        ineligible = {
+            name
+            for name, member in gateways.items()
+            if cannot_own_quotas(member.meta, established_exist or self.established)
+        }
         self.usage_reports.update_gateways(
-            {n: m.address for n, m in edges.items()}, bool(hosts_anew and elders), late
+            {name: member.address for name, member in gateways.items()},
+            bool(new_owner and established_exist),
+            ineligible,
         )
         if self.session_affinity is not None:
-            self.session_affinity.update_gateways(edges, now)
+            self.session_affinity.update_gateways(gateways, now)
 
     def has_established_peers(self) -> bool:
-        """Whether other gateways are known that have not just begun."""
+        """Whether other gateways are known that are established."""
         members = self.membership_transport.membership.alive.values()
-        return any(m.meta.get("old") for m in members if m.name != self.settings.name)
+        return any(member.meta.get("old") for member in members if member.name != self.settings.name)
 
     def update_readiness(self) -> None:
-        """Ready is who knows the operator's word, may act by it, and knows of servers."""
-        able = (
+        """Ready: configured, holding a lease, knowing servers and peers, and not stopping."""
+        operational = (
             self.downstream.table is not None
             and self.clock.now() < self.lease.until
             and bool(self.balancer.upstreams)
         ) and self.has_peers()
-        ready = able and not self.downstream.stopping
+        ready = operational and not self.downstream.stopping
         if ready != self.ready:
             self.ready = ready
             if self.joined_late is None:
@@ -388,16 +421,16 @@
                 self.update_gateways()
             self.membership_transport.tell(self.meta(ready))
             log("ready" if ready else "not-ready", version=self.published_state.orders.version)
-        if able and self.downstream.held_requests:
+        if operational and self.downstream.held_requests:
             self.downstream.resume()
 
-    # Messages of other gateways.
+    # Messages and calls.
 
-    def handle_message(self, wire: MessageConnection, message: Message) -> None:
+    def handle_message(self, connection: MessageConnection, message: Message) -> None:
         if message.get("k") in ("c", "counts", "heir"):
-            self.usage_reports.handle_message(wire, message)
+            self.usage_reports.handle_message(connection, message)
         elif (
-            not self.publisher.heard(wire, message)
+            not self.publisher.heard(connection, message)
             and self.session_affinity is not None
             and message.get("k") == "w"
         ):
@@ -421,28 +454,32 @@
 
             return show.answer(self, query)
         if path in ("/status", "/metrics", "/explain"):
-            from latchspoke.dataplane import view  # loaded only when people ask
+            from latchspoke.dataplane import view  # loaded on demand
 
             return view.handle_request(self, path, body)
         return (200 if self.ready else 503), {"ready": self.ready}
 
-    # Life.
+    # Lifecycle.
 
     async def start(self) -> None:
-        s = self.settings
-        front, ready = s.listen["frontPlain"], s.listen.get("readiness")
-        create = self.loop.create_server
+        settings = self.settings
+        front_address, readiness_address = settings.listen["frontPlain"], settings.listen.get("readiness")
+        create_server = self.loop.create_server
         await self.listen_internal(self.membership_transport)
-        if ready is not None:
+        if readiness_address is not None:
             self.listeners.append(
-                await create(lambda: HttpServerConnection(self.handle_request), *ready, backlog=64)
+                await create_server(
+                    lambda: HttpServerConnection(self.handle_request), *readiness_address, backlog=64
+                )
             )
-        self.front_listener = await create(lambda: ClientConnection(self.downstream), *front, backlog=1024)
+        self.front_listener = await create_server(
+            lambda: ClientConnection(self.downstream), *front_address, backlog=1024
+        )
         self.update_gateways()
         self.spawn(self.subscription.run())
         self.clock.schedule(self.clock.now() + SWEEP_INTERVAL_S, self.sweep)
         self.clock.schedule(self.clock.now() + REPORT_INTERVAL_S, self.send_reports)
-        self.serving_started(front=f"{front[0]}:{front[1]}")
+        self.serving_started(front=f"{front_address[0]}:{front_address[1]}")
 
     def sweep(self, now: float) -> None:
         self.clock.schedule(now + SWEEP_INTERVAL_S, self.sweep)
@@ -473,22 +510,26 @@
             self.log_counters(now)
 
     def log_counters(self, now: float) -> None:
-        """What became of requests since the last line, by reason."""
+        """Log the counters that have changed since the last such line."""
         self.counters_logged_at = now
         names = [
-            n for n in self.stats if n.startswith(("flows.", "refused.", "answers.", "tries.", "travel."))
+            name
+            for name in self.stats
+            if name.startswith(("flows.", "refused.", "answers.", "tries.", "travel."))
         ]
-        news = {n.replace(".", "_"): self.stats[n] - self.logged_counters.get(n, 0) for n in names}
-        news = {n: count for n, count in news.items() if count}
-        if news:
-            log("counts", **dict(sorted(news.items())))
-        self.logged_counters = {n: self.stats[n] for n in names}
+        changes = {
+            name.replace(".", "_"): self.stats[name] - self.logged_counters.get(name, 0) for name in names
+        }
+        changes = {name: count for name, count in changes.items() if count}
+        if changes:
+            log("counts", **dict(sorted(changes.items())))
+        self.logged_counters = {name: self.stats[name] for name in names}
 
     def send_reports(self, now: float) -> None:
-        """Tell counts and evidence that are due; seldom while no request comes: each look is a wake-up."""
-        taken = self.stats["flows.taken"]
-        if taken != self.requests_seen:
-            self.requests_seen, self.busy_until = taken, now + BUSY_PERIOD_S
+        """Send due usage reports and evidence; less often when idle, as each call is a wake-up."""
+        requests = self.stats["flows.taken"]
+        if requests != self.requests_seen:
+            self.requests_seen, self.busy_until = requests, now + BUSY_PERIOD_S
         self.clock.schedule(
             now + (REPORT_INTERVAL_S if now < self.busy_until else IDLE_REPORT_INTERVAL_S), self.send_reports
         )
@@ -496,34 +537,36 @@
         self.send_evidence(now)
 
     def stop(self) -> None:
-        """Not ready from now on, so that clients go elsewhere; what comes meanwhile is still served."""
+        """Stop being ready, so that clients go elsewhere; requests that still arrive are served."""
         if self.downstream.stopping:
             return
         self.stopping_at = self.clock.now()
         self.downstream.stopping = True
         self.update_readiness()
         self.membership_transport.tell(self.meta(False))
-        self.update_gateways()  # what is hosted here is handed on while there is time
+        self.update_gateways()  # hands over the quotas owned here
         log("stops")
         self.downstream.close_idle()
         self.clock.schedule(self.stopping_at + 0.05, self.drain)
 
     def drain(self, now: float) -> None:
-        grace = self.settings.bound("graceS", 6.0)
-        since = now - self.stopping_at
-        late = since > grace * LISTEN_FRACTION + GRACE
+        grace_s = self.settings.bound("graceS", 6.0)
+        elapsed = now - self.stopping_at
+        accept_overdue = elapsed > grace_s * LISTEN_FRACTION + GRACE
         if (
-            since > grace * LISTEN_FRACTION
+            elapsed > grace_s * LISTEN_FRACTION
             and self.front_listener.is_serving()
-            and (late or not pending(self.front_listener))
+            and (accept_overdue or not pending(self.front_listener))
         ):
             self.front_listener.close()
-        if since > grace * LISTEN_FRACTION:
+        if elapsed > grace_s * LISTEN_FRACTION:
             self.downstream.close_idle()
-        over = (
-            since > grace * LISTEN_FRACTION and not self.downstream.in_flight and not self.downstream.clients
+        finished = (
+            elapsed > grace_s * LISTEN_FRACTION
+            and not self.downstream.in_flight
+            and not self.downstream.clients
         )
-        if over or since > grace - SHUTDOWN_MARGIN_S:
+        if finished or elapsed > grace_s - SHUTDOWN_MARGIN_S:
             self.shut_down()
         else:
             self.clock.schedule(now + 0.05, self.drain)
@@ -543,5 +586,5 @@
 
 
 def main(path: str | None = None) -> int:
-    """Exit codes: 0 ended in order, 2 settings that can't be used."""
+    """Returns the exit code: 0 for an orderly shutdown, 2 for invalid settings."""
     return node_process.main("dataplane", Node, path)
--- a/latchspoke/dataplane/relay.py
+++ b/latchspoke/dataplane/relay.py
@@ -1,6 +1,7 @@
-"""A gateway's part in ``latchspoke.controlplane.relays``: it forwards between control machines.
+"""Relays messages between control-plane nodes that cannot reach each other.
 
-Connections are opened on demand, used both ways, and closed after a rest.
+The counterpart of ``latchspoke.controlplane.relays``. Connections are opened on demand, used in both
+directions and closed when idle.
 """
 
 from __future__ import annotations
@@ -11,86 +12,86 @@
 from latchspoke.net.clock import Clock
 from latchspoke.transport.connection import Message, MessageConnection, dial
 
-DIAL_TIMEOUT_S = 0.4  # s
-IDLE_TIMEOUT_S = 5.0  # s without use, after which a connection is closed
-RETRY_DELAY_S = 1.0  # s after a failed connection in which what is for that machine is dropped
-MAX_DIALING = 32  # connections that are being opened
-MAX_QUEUED_MESSAGES = 32  # messages for one of them
+DIAL_TIMEOUT_S = 0.4
+IDLE_TIMEOUT_S = 5.0
+RETRY_DELAY_S = 1.0  # after a failed connection; messages for that node are dropped meanwhile
+MAX_DIALING = 32  # connections being opened
+MAX_QUEUED_MESSAGES = 32  # per connection being opened
 
 
 class Relay:
-    """Connections to control machines, by inner address, and what goes between them."""
+    """Connections to control-plane nodes, by internal address."""
 
-    def __init__(self, clock: Clock, known: Callable[[str], bool]) -> None:
-        """``known``: whether there is a control machine of that inner address."""
-        self.clock, self.is_control_node = clock, known
+    def __init__(self, clock: Clock, is_control_node: Callable[[str], bool]) -> None:
+        """``is_control_node``: whether a control-plane node has this internal address."""
+        self.clock, self.is_control_node = clock, is_control_node
         self.connections: dict[str, MessageConnection] = {}
         self.last_used_at: dict[str, float] = {}
         self.failed_at: dict[str, float] = {}
-        self.queued: dict[str, list[Message]] = {}  # what waits for a connection that is being opened
+        self.queued: dict[str, list[Message]] = {}  # messages by target, while it is being dialed
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def handle_message(self, wire: MessageConnection, message: Message) -> None:
-        """A control machine asks for something to be forwarded; what can't be read is dropped."""
+    def handle_message(self, connection: MessageConnection, message: Message) -> None:
+        """Forward a message of a control-plane node; malformed requests are dropped."""
         source, target = str(message.get("from")), str(message.get("to"))
         if message.get("k") != "relay" or not (self.is_control_node(source) and self.is_control_node(target)):
             return
         now = self.clock.now()
-        self.connections.setdefault(source, wire)
+        self.connections.setdefault(source, connection)
         self.last_used_at[source] = self.last_used_at[target] = now
-        told = {"k": "relayed", "from": source, "m": message.get("m")}
-        there = self.connections.get(target)
-        if there is not None and not there.closed:
-            there.send(told)
+        relayed = {"k": "relayed", "from": source, "m": message.get("m")}
+        target_connection = self.connections.get(target)
+        if target_connection is not None and not target_connection.closed:
+            target_connection.send(relayed)
         elif target in self.queued:
             if len(self.queued[target]) < MAX_QUEUED_MESSAGES:
-                self.queued[target].append(told)
+                self.queued[target].append(relayed)
         elif (
             now - self.failed_at.get(target, -RETRY_DELAY_S) >= RETRY_DELAY_S
             and len(self.queued) < MAX_DIALING
         ):
-            self.queued[target] = [told]
+            self.queued[target] = [relayed]
             task = asyncio.get_running_loop().create_task(self.connect(target))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
     async def connect(self, target: str) -> None:
-        """Connect, and forward what has come for that machine meanwhile."""
+        """Connect to a target, then send the messages queued for it."""
 
-        def ended(wire: MessageConnection, reason: str) -> None:
-            if self.connections.get(target) is wire:
+        def on_closed(connection: MessageConnection, reason: str) -> None:
+            if self.connections.get(target) is connection:
                 del self.connections[target]
 
         host, _, port = target.rpartition(":")
-        wire = MessageConnection(self.handle_message, ended)
-        up = await dial(wire, host, int(port), DIAL_TIMEOUT_S)
-        waiting = self.queued.pop(target)
-        there = self.connections.get(target)
-        if there is not None and not there.closed:  # it has connected here meanwhile
-            wire.end("another one is open")
-            wire = there
-        elif up:
+        connection = MessageConnection(self.handle_message, on_closed)
+        connected = await dial(connection, host, int(port), DIAL_TIMEOUT_S)
+        messages = self.queued.pop(target)
+        existing = self.connections.get(target)
+        if existing is not None and not existing.closed:  # the target has connected to this gateway meanwhile
+            connection.end("another connection is open")
+            connection = existing
+        elif connected:
             self.failed_at.pop(target, None)
-            self.connections[target] = wire
+            self.connections[target] = connection
         else:
             self.failed_at[target] = self.clock.now()
             return
-        for message in waiting:
-            wire.send(message)
+        for message in messages:
+            connection.send(message)
 
     def sweep(self, now: float) -> None:
-        """Close what has rested; connections that others own are only forgotten."""
-        for name, wire in list(self.connections.items()):
-            if not wire.closed and now - self.last_used_at[name] <= IDLE_TIMEOUT_S:
+        """Close idle connections that were opened here; forget those opened by others."""
+        for name, connection in list(self.connections.items()):
+            if not connection.closed and now - self.last_used_at[name] <= IDLE_TIMEOUT_S:
                 continue
             del self.connections[name]
-            if wire.on_message == self.handle_message:
-                wire.end("rested")
+            if connection.on_message == self.handle_message:
+                connection.end("idle")
 
     def stop(self) -> None:
-        """End all that was opened here."""
+        """Close the connections that were opened here."""
         for task in self.tasks:
             task.cancel()
-        for wire in list(self.connections.values()):
-            if wire.on_message == self.handle_message:
-                wire.end("stops")
+        for connection in list(self.connections.values()):
+            if connection.on_message == self.handle_message:
+                connection.end("shutting down")
--- a/latchspoke/dataplane/subscription.py
+++ b/latchspoke/dataplane/subscription.py
@@ -1,7 +1,8 @@
-"""A gateway's held connection to who tells it the news, and the proof by which it may act.
+"""The subscription of a gateway to the control plane, and the proofs that keep its lease valid.
 
-It holds one to a control machine, the nearest that can prove what it tells. If none can be reached, another
-gateway tells instead, and the age of its proof is counted in.
+A gateway holds one connection to a control-plane node, preferably the nearest that can prove that its state
+is current. If none is reachable, another gateway serves as the source; the age of its proof is taken into
+account.
 """
 
 from __future__ import annotations
@@ -20,31 +21,28 @@
 from latchspoke.transport.connection import Message, MessageConnection, dial
 from latchspoke.transport.log import log
 
-MAX_PROOF_INTERVAL_S = 0.8  # s between questions for a proof, at most
-PROOFS_PER_LEASE = 5.0  # of them at least while one lasts
-MAX_SILENT_INTERVALS = 2.0  # of these pauses without an answer, and another source is tried
-FIRST_PROOF_DIVISOR = (
-    4  # a first proof must come within this part of ``contactS``: two sources in a row may be cut off
-)
-FAILURE_MEMORY_S = 5.0  # s that a source which has failed comes after all others
-TRANSFER_PROGRESS_BYTES = 4096  # bytes between two questions: the source is sending something long
-MAX_TRANSFER_S = 6.0  # s for what is long at the beginning of a connection
-DIAL_TIMEOUT_S = 0.5  # s
-RECONNECT_DELAY_S = (0.1, 0.6)  # s between tries
-MIN_CHECK_INTERVAL_S = 0.05  # s between two looks at a source
-CONTROL_PLANE_RETRY_S = 2.0  # s between looks for a control machine while a gateway tells
-NEAR_SOURCE_WAIT_S = (
-    0.1  # s from the first word on other processes until a far source is taken for want of a near one
-)
-DISCOVERY_WAIT_S = 0.5  # s from the start until a far source is taken though no other process is known
-NEARER_SOURCE_DELAY_S = (4.0, 10.0)  # s on a far source until a near one that is alive takes its place
-UNKNOWN_SERVER_TTL_S = 8.0  # s that a server may be unknown to the source before it has ended here too
+MAX_PROOF_INTERVAL_S = 0.8
+PROOFS_PER_LEASE = 5.0  # at least, while a lease lasts
+MAX_SILENT_INTERVALS = 2.0  # proof intervals without an answer before another source is tried
+# The first proof must arrive within this part of ``contactS``, so that two sources in a row may be cut off.
+FIRST_PROOF_DIVISOR = 4
+FAILURE_MEMORY_S = 5.0  # a source that failed this recently is tried after all others
+TRANSFER_PROGRESS_BYTES = 4096  # received between two proof requests: a long message is in transfer
+MAX_TRANSFER_S = 6.0  # for the long messages at the start of a connection
+DIAL_TIMEOUT_S = 0.5
+RECONNECT_DELAY_S = (0.1, 0.6)  # minimum, maximum
+MIN_CHECK_INTERVAL_S = 0.05
+CONTROL_PLANE_RETRY_S = 2.0  # between attempts to reach a control-plane node while a gateway is the source
+NEAR_SOURCE_WAIT_S = 0.1  # after the first other process is known, before a distant source is chosen
+DISCOVERY_WAIT_S = 0.5  # after the start, before a distant source is chosen though no other process is known
+NEARER_SOURCE_DELAY_S = (4.0, 10.0)  # on a distant source, before switching to a near one (minimum, maximum)
+UNKNOWN_SERVER_TTL_S = 8.0  # a server that the source does not know is removed after this time
 
 Address = tuple[str, int]
 
 
 class Source(msgspec.Struct):
-    """Somebody who can tell. The region of a seed of whom nothing else is known is ''."""
+    """A process that can be subscribed to. ``region`` is '' for a seed of which nothing else is known."""
 
     name: str
     address: Address
@@ -54,7 +52,10 @@
 
 
 class Subscription(msgspec.Struct):
-    """The link, and what came of it. ``changed`` gets new orders and servers that are news."""
+    """The connection to the current source.
+
+    ``on_change`` receives whether the configuration has changed, and the server entries that have changed.
+    """
 
     name: str
     zone: str
@@ -65,36 +66,36 @@
     lease: Lease
     sources: Callable[[], list[Source]]
     on_change: Callable[[bool, list[Entry]], None]
-    on_evidence: Callable[[list[Any]], None] = lambda entries: None  # gets what others saw of servers
-    first_proof_timeout: float = 1.0  # s for the first proof of a connection
-    on_relay: Callable[[MessageConnection, Message], None] = (
-        lambda wire, message: None
-    )  # gets what is to be forwarded
+    # Receives other gateways' evidence on servers.
+    on_evidence: Callable[[list[Any]], None] = lambda entries: None
+    first_proof_timeout: float = 1.0  # s
+    # Receives messages to relay between control-plane nodes.
+    on_relay: Callable[[MessageConnection, Message], None] = lambda connection, message: None
     connection: MessageConnection | None = None
     source: Source | None = None
     pending_proofs: dict[int, float] = msgspec.field(default_factory=dict)
     last_progress_at: float = 0.0
-    failed_at: dict[Address, float] = msgspec.field(
-        default_factory=dict
-    )  # a seed may be known by a name, too
+    # By address, as one process may be known under two names (a seed and a member).
+    failed_at: dict[Address, float] = msgspec.field(default_factory=dict)
     proof_id: int = 0
     stopped: bool = False
-    synchronized: bool = False  # this connection has brought the whole
-    awaiting_first_proof: bool = True  # no proof has come on it yet
+    synchronized: bool = False  # this connection has delivered a full snapshot
+    awaiting_first_proof: bool = True  # no proof has arrived on this connection yet
     started_at: float = 0.0
-    peers_known_at: float | None = None  # when another process than the seeds was first known
+    peers_known_at: float | None = None  # when a process other than a seed was first known
 
     @property
     def published_state(self) -> Board:
+        """The configuration and servers as known here."""
         return self.follower.board
 
     @property
     def proof_interval(self) -> float:
-        """s between questions for a proof."""
+        """Seconds between requests for a proof."""
         return min(MAX_PROOF_INTERVAL_S, self.lease.lasts / PROOFS_PER_LEASE)
 
     async def run(self) -> None:
-        """For the life of the process."""
+        """Keep a subscription until ``stop``."""
         self.started_at = self.clock.now()
         while not self.stopped:
             source = self.choose_source(self.clock.now())
@@ -104,34 +105,38 @@
             if self.should_wait_for_near_source(source, self.clock.now()):
                 await asyncio.sleep(MIN_CHECK_INTERVAL_S / 2)
                 continue
-            wire = MessageConnection(self.handle_message, self.connection_closed)
-            if await dial(wire, *source.address, DIAL_TIMEOUT_S):
-                await self.follow(wire, source)
+            connection = MessageConnection(self.handle_message, self.connection_closed)
+            if await dial(connection, *source.address, DIAL_TIMEOUT_S):
+                await self.follow(connection, source)
             self.failed_at[source.address] = self.clock.now()
             await asyncio.sleep(
                 self.rng.uniform(*RECONNECT_DELAY_S) if len(self.failed_at) > 2 else RECONNECT_DELAY_S[0]
             )
 
     def choose_source(self, now: float) -> Source | None:
-        """One that didn't fail lately, control before gateways, near before far; else who failed first.
+        """The preferred source: not failed recently, control plane before gateways, near before distant.
 
-        Who lies in one region with one that failed lately may be cut off with it, and comes after the others.
+        Sources in the same region as one that failed recently may be cut off with it and come after the
+        others. If all have failed, the one whose failure is longest ago is taken.
         """
         sources = self.sources()
-        late = {address for address, at in self.failed_at.items() if now - at < FAILURE_MEMORY_S}
-        doubted = {s.region for s in sources if s.address in late and not s.gateway}
+        recently_failed = {
+            address for address, when in self.failed_at.items() if now - when < FAILURE_MEMORY_S
+        }
+        suspect_regions = {s.region for s in sources if s.address in recently_failed and not s.gateway}
 
-        def order(source: Source) -> tuple[float, bool, bool, int, float]:
-            member_sources = 0 if source.zone == self.zone else 1 if source.region == self.region else 2
-            failed = self.failed_at[source.address] if source.address in late else -1e9
-            return failed, source.gateway, source.region in doubted, member_sources, self.rng.random()
+        def rank(source: Source) -> tuple[float, bool, bool, int, float]:
+            distance = 0 if source.zone == self.zone else 1 if source.region == self.region else 2
+            failed = self.failed_at[source.address] if source.address in recently_failed else -1e9
+            return failed, source.gateway, source.region in suspect_regions, distance, self.rng.random()
 
-        return min(sources, key=order, default=None)
+        return min(sources, key=rank, default=None)
 
     def should_wait_for_near_source(self, source: Source, now: float) -> bool:
-        """Whether a near source may be known in a moment: a process that begins knows only the seeds.
+        """Whether to delay connecting to a distant source because a near one may become known shortly.
 
-        What a source tells crosses regions as often as there are gateways beyond its own.
+        A starting process knows only the seeds. State crosses regions once for each gateway with a distant
+        source.
         """
         if source.region == self.region or source.address in self.failed_at:
             return False
@@ -142,29 +147,32 @@
         return now - self.peers_known_at < NEAR_SOURCE_WAIT_S
 
     def nearer_source_available(self, source: Source, now: float) -> bool:
-        """Whether a control machine of this region is alive and didn't fail lately, other than ``source``."""
+        """Whether another control-plane node, in this region and without recent failure, can be used."""
         if source.gateway or source.region == self.region:
             return False
-        best = self.choose_source(now)
-        return best is not None and not best.gateway and best.region == self.region
+        candidate = self.choose_source(now)
+        return candidate is not None and not candidate.gateway and candidate.region == self.region
 
-    async def follow(self, wire: MessageConnection, source: Source) -> None:
-        """Until it breaks, says nothing, or something better may be had."""
-        self.connection, self.source, self.synchronized = wire, source, False
+    async def follow(self, connection: MessageConnection, source: Source) -> None:
+        """Follow a source until the connection breaks, goes silent or a better source is available."""
+        self.connection, self.source, self.synchronized = connection, source, False
         self.follower.begin()
         self.pending_proofs.clear()
-        begun = self.last_progress_at = self.clock.now()
+        connected_at = self.last_progress_at = self.clock.now()
         self.awaiting_first_proof = True
-        orders = self.published_state.orders
+        configuration = self.published_state.orders
         hello = {"k": "hello", "name": self.name, "zone": self.zone, "packs": True}
-        wire.send(hello | {"index": orders.index, "version": orders.version})
+        connection.send(hello | {"index": configuration.index, "version": configuration.version})
         received = 0
-        move_at = begun + self.rng.uniform(*NEARER_SOURCE_DELAY_S)
-        while not wire.closed and not self.stopped:
+        move_at = connected_at + self.rng.uniform(*NEARER_SOURCE_DELAY_S)
+        while not connection.closed and not self.stopped:
             now = self.clock.now()
-            if wire.received_bytes - received > TRANSFER_PROGRESS_BYTES and now - begun < MAX_TRANSFER_S:
-                # A long message is on its way: the proof comes behind it.
-                self.last_progress_at, received = now, wire.received_bytes
+            if (
+                connection.received_bytes - received > TRANSFER_PROGRESS_BYTES
+                and now - connected_at < MAX_TRANSFER_S
+            ):
+                # A long message is in transfer; the proof follows it.
+                self.last_progress_at, received = now, connection.received_bytes
             left = (
                 self.last_progress_at
                 + (
@@ -175,89 +183,99 @@
                 - now
             )
             if left <= 0:
-                wire.end("proves nothing")
+                connection.end("no proof received in time")
                 break
-            if source.gateway and now - begun > CONTROL_PLANE_RETRY_S:
+            if source.gateway and now - connected_at > CONTROL_PLANE_RETRY_S:
                 self.failed_at = {a: t for a, t in self.failed_at.items() if a == source.address}
-                wire.end("looks for a control machine")
+                connection.end("looking for a control-plane node")
                 break
             if now >= move_at and self.nearer_source_available(source, now):
-                wire.end("goes on at a nearer source")
+                connection.end("switching to a nearer source")
                 break
             self.proof_id += 1
             self.pending_proofs[self.proof_id] = now
-            wire.send({"k": "prove", "t": self.proof_id})
+            connection.send({"k": "prove", "t": self.proof_id})
             entries = self.follower.forget(now, UNKNOWN_SERVER_TTL_S)
             if entries:
                 self.on_change(False, entries)
             await asyncio.sleep(min(self.proof_interval, max(left, MIN_CHECK_INTERVAL_S)))
         self.connection = None
 
-    def handle_message(self, wire: MessageConnection, message: Message) -> None:
+    def handle_message(self, connection: MessageConnection, message: Message) -> None:
+        """A message from the source."""
         now = self.clock.now()
         try:
             match message.get("k"):
                 case "proven":
                     self.handle_proof(message, now)
                 case "relay":
-                    self.on_relay(wire, message)
+                    self.on_relay(connection, message)
                 case "hot":
                     self.on_evidence(message["e"])
                 case "whole" | "orders" | "servers":
-                    ordered, entries = self.follower.take(message, now)
+                    configuration_changed, entries = self.follower.take(message, now)
                     self.synchronized = True
-                    orders = self.published_state.orders
-                    wire.send(
-                        {"k": "ack", "n": message["n"], "index": orders.index, "version": orders.version}
+                    configuration = self.published_state.orders
+                    connection.send(
+                        {
+                            "k": "ack",
+                            "n": message["n"],
+                            "index": configuration.index,
+                            "version": configuration.version,
+                        }
                     )
-                    if ordered or entries:
-                        self.on_change(ordered, entries)
-        except GapError as e:
-            log("feed-gap", source=wire.peer, why=str(e))
+                    if configuration_changed or entries:
+                        self.on_change(configuration_changed, entries)
+        except GapError as error:
+            log("feed-gap", source=connection.peer, why=str(error))
             self.follower.begin()
-            wire.send({"k": "again", "version": self.published_state.orders.version})
-        except (BeatError, KeyError, TypeError, ValueError) as e:
-            wire.end(f"a message that can't be read: {e!r}")
+            connection.send({"k": "again", "version": self.published_state.orders.version})
+        except (BeatError, KeyError, TypeError, ValueError) as error:
+            connection.end(f"malformed message: {error!r}")
 
     def handle_proof(self, message: Message, now: float) -> None:
-        at = self.pending_proofs.pop(int(message["t"]), None)
-        if at is None:
+        """The answer to a proof request; without an index the source cannot prove anything at present."""
+        requested_at = self.pending_proofs.pop(int(message["t"]), None)
+        if requested_at is None:
             return
-        for tag in [tag for tag, when in self.pending_proofs.items() if when < at]:
-            del self.pending_proofs[tag]
+        for proof_id in [
+            proof_id for proof_id, sent_at in self.pending_proofs.items() if sent_at < requested_at
+        ]:
+            del self.pending_proofs[proof_id]
         age = float(message.get("age", 0.0))
         if "index" not in message:
-            return  # it can't prove anything now
+            return
         self.last_progress_at, self.awaiting_first_proof = now, False
         if self.source is not None:
             self.failed_at.pop(self.source.address, None)
         if int(message["index"]) <= self.published_state.orders.index and self.published_state.orders.index:
-            self.lease.proven(at - age)
+            self.lease.proven(requested_at - age)
             self.on_change(False, [])
 
-    def connection_closed(self, wire: MessageConnection, reason: str) -> None:
-        if wire is self.connection:
-            log("feed-ended", source=wire.peer, why=reason)
+    def connection_closed(self, connection: MessageConnection, reason: str) -> None:
+        """Log the end of the current connection."""
+        if connection is self.connection:
+            log("feed-ended", source=connection.peer, why=reason)
 
     def stop(self) -> None:
         self.stopped = True
         if self.connection is not None:
-            self.connection.end("stops")
+            self.connection.end("shutting down")
 
 
-def member_sources(members: list[Member], gateways: bool) -> list[Source]:
-    """Members of the membership as sources."""
-    found = []
+def member_sources(members: list[Member], are_gateways: bool) -> list[Source]:
+    """The members that accept subscriptions, as sources."""
+    sources = []
     for member in members:
         host, _, port = str(member.meta.get("link", "")).rpartition(":")
         if host and port.isdigit():
-            found.append(
+            sources.append(
                 Source(
                     member.name,
                     (host, int(port)),
                     str(member.meta.get("zone")),
                     str(member.meta.get("region")),
-                    gateways,
+                    are_gateways,
                 )
             )
-    return found
+    return sources
--- a/latchspoke/dataplane/upstream.py
+++ b/latchspoke/dataplane/upstream.py
@@ -1,7 +1,7 @@
-"""The servers' side: kept connections to each life of a server, and the forwards on them.
+"""The server side: connections to each server instance, and the forwards on them.
 
-What comes back is checked before anybody sees it: it must be whole, carry the request's id, and a success
-must carry the server's seal and no content coding.
+Responses are validated before they are passed on: a response must be complete and carry the request's id; a
+successful one must carry the server's seal and no content coding.
 """
 
 from __future__ import annotations
@@ -20,59 +20,67 @@
 from latchspoke.net.http import Connection, FramingError, ParserError, Shared, parse_error, read_decimal
 from latchspoke.transport.log import log
 
-CAUTION_S = 15.0  # s after a reset right behind a request on a kept connection: its server forgets idle ones
-CAUTION_MAX_IDLE_S = 0.3  # s that a connection may then have been idle, for a request that can't be repeated
-PROMPT_RESET_S = 0.15  # s; so soon after the request no server has worked on it and failed
-REUSE_DELAY_S = 0.005  # s; an extra answer may follow one: so long its connection gets no further forward
-IDLE_TIMEOUT_S = 5.0  # s that a connection is kept idle, where the server names no time
-KEEP_ALIVE_FRACTION = 0.6  # of the time that a server names
-MAX_IDLE_CONNECTIONS = 16  # idle connections a server, at most
-CONNECT_TIMEOUT_S = 0.25  # s for a connection to come up, beside its way
+CAUTION_S = 15.0  # after a prompt reset on a reused connection: the server drops idle connections
+CAUTION_MAX_IDLE_S = 0.3  # meanwhile, idle time allowed for a request that cannot be repeated
+PROMPT_RESET_S = 0.15  # a reset this soon after the request means that it was not processed
+REUSE_DELAY_S = 0.005  # before a connection is reused, as a stray response may follow a response
+IDLE_TIMEOUT_S = 5.0  # where the server sends no Keep-Alive timeout
+KEEP_ALIVE_FRACTION = 0.6  # of the server's Keep-Alive timeout
+MAX_IDLE_CONNECTIONS = 16  # per server
+CONNECT_TIMEOUT_S = 0.25
 CROSS_REGION_CONNECT_EXTRA_S = 0.2
-CONNECTION_CAP_FRACTION = 0.8  # of the connections that a server takes are for all gateways together
+CONNECTION_CAP_FRACTION = 0.8  # of a server's connection limit, shared by all gateways
 MIN_CONNECTION_CAP = 3
-USER_TIMEOUT_MS = 4000  # ms
+USER_TIMEOUT_MS = 4000  # TCP_USER_TIMEOUT
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"te", b"trailer",
         b"upgrade", b"content-length",
     )
 )  # fmt: skip
-PLAIN_CONNECTION_VALUES = (b"", b"keep-alive", b"close")  # what of Connection names no other header
+PLAIN_CONNECTION_VALUES = (b"", b"keep-alive", b"close")  # values of Connection that name no header
 MISROUTED_REPORT = {"misrouted": 1.0}
-IDLE_RESET_REPORT = {"forgot": 1.0}  # an idle connection, let go as the request came
+IDLE_RESET_REPORT = {"forgot": 1.0}  # an idle connection, closed by the server as the request arrived
 EMPTY_REPORT: dict[str, float] = {}
 
 
 class Response:
-    """A server's whole answer, as it goes back: status, headers but those of one connection, body.
+    """A complete server response as passed on: status, end-to-end headers and body.
 
-    ``attempt`` is the ``X-Attempt-Id`` that the server has put into it.
+    ``attempt_id`` is the ``X-Attempt-Id`` that the server has put into it.
     """
 
     __slots__ = ("attempt_id", "body", "headers", "status")
 
-    def __init__(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes, attempt: bytes) -> None:
-        self.status, self.headers, self.body, self.attempt_id = status, headers, body, attempt
+    def __init__(
+        self, status: int, headers: list[tuple[bytes, bytes]], body: bytes, attempt_id: bytes
+    ) -> None:
+        self.status, self.headers, self.body, self.attempt_id = status, headers, body, attempt_id
 
 
 class Request:
-    """What of a client's request is passed on: everything but what is of one connection, or is replaced."""
+    """The part of a client request that is forwarded: everything except hop-by-hop and replaced headers."""
 
     __slots__ = ("attempt_id", "body", "head", "method", "tenant")
 
-    def __init__(self, method: bytes, ident: bytes, head: bytes, tenant: bytes, body: bytes) -> None:
-        self.method, self.attempt_id, self.head, self.tenant, self.body = method, ident, head, tenant, body
+    def __init__(self, method: bytes, attempt_id: bytes, head: bytes, tenant: bytes, body: bytes) -> None:
+        self.method, self.attempt_id, self.head, self.tenant, self.body = (
+            method,
+            attempt_id,
+            head,
+            tenant,
+            body,
+        )
 
 
 class ServerConnection(Connection):
-    """One connection to a server: one forward at a time."""
+    """A connection to a server, carrying one forward at a time."""
 
     side = "server"
 
-    def __init__(self, upstream_pools: UpstreamPools, upstream_pool: UpstreamPool, forward: Forward) -> None:
-        super().__init__(upstream_pools.shared)
-        self.pools, self.pool = upstream_pools, upstream_pool
+    def __init__(self, pools: UpstreamPools, pool: UpstreamPool, forward: Forward) -> None:
+        super().__init__(pools.shared)
+        self.pools, self.pool = pools, pool
         self.forward: Forward | None = forward
         self.idle_since = self.written_at = 0.0
         self.idle_limit = IDLE_TIMEOUT_S
@@ -82,24 +90,24 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def on_unopened(self) -> None:
-        """It never came up."""
+        """The connection could not be established."""
         self.pool.closed(self)
         self.finish(api.Code.UNREACHABLE)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It has come up."""
+        """Set socket options and send the forward, unless it was cancelled meanwhile."""
         super().connection_made(transport)
-        sock = transport.get_extra_info("socket")
-        if sock is not None:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        raw_socket = transport.get_extra_info("socket")
+        if raw_socket is not None:
+            raw_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+            raw_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.forward is None:
             self.end("cancelled")
         else:
             self.pools.write(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Parse input; data without an outstanding forward ends the connection."""
         if self.forward is None:
             self.end("unasked")
             return
@@ -109,7 +117,7 @@
         except (*ParserError, httptools.HttpParserUpgrade) as e:
             fault = parse_error(e).reason
         if self.result is not None:
-            # Only now: what else came in the same bytes must not meet the next forward.
+            # Not earlier: further data in the same read must not be taken for the next response.
             self.deliver(fault)
         elif fault:
             self.code = self.code or fault
@@ -119,21 +127,21 @@
     # The parser's callbacks.
 
     def on_message_begin(self) -> None:
-        """A message begins."""
+        """Reset the state for a new response; a second one for a forward is an error."""
         if self.result is not None:
             raise FramingError(400, "unasked")
         super().on_message_begin()
         self.header_pairs = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Collect one header."""
         name = name.lower()
         self.headers[name] = value
         if name not in HOP_BY_HOP_HEADERS:
             self.header_pairs.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
+        """Complete responses to HEAD, which have no body."""
         super().on_headers_complete()
         forward = self.forward
         if forward is not None and self.parser.get_status_code() >= 200:
@@ -144,14 +152,14 @@
                 self.on_message_complete()
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body, up to the size limit."""
         self.size += len(part)
         if self.size > self.pools.max_body_bytes:
             raise FramingError(413, "oversize")
         self.parts.append(part)
 
     def on_message_complete(self) -> None:
-        """A message is whole."""
+        """Validate the response and determine the result of the forward."""
         self.started = False
         status = self.parser.get_status_code()
         if status < 200 or self.result is not None:
@@ -161,42 +169,44 @@
         assert forward is not None
         request = forward.flow.message
         assert isinstance(request, Request)
-        told = headers.get(b"x-attempt-id")
-        if told is not None and told != request.attempt_id:
-            # An extra answer to an earlier request: nobody's any more, and the right one may still come.
+        attempt_id = headers.get(b"x-attempt-id")
+        if attempt_id is not None and attempt_id != request.attempt_id:
+            # A stray response to an earlier request; the right one may still arrive.
             self.shared.stats["answers.stray"] += 1
             log(
                 "stray-answer", server=self.pool.upstream.ident, status=status,
-                attempt=request.attempt_id.decode("latin-1"), stamped=told.decode("latin-1"),
+                attempt=request.attempt_id.decode("latin-1"), stamped=attempt_id.decode("latin-1"),
             )  # fmt: skip
             self.keep_alive = False
             return
         self.keep_alive = self.keep_alive and self.parser.should_keep_alive()
-        if kept := headers.get(b"keep-alive"):
-            self.read_keep_alive(kept)
+        if keep_alive := headers.get(b"keep-alive"):
+            self.read_keep_alive(keep_alive)
         body, pairs = self.body, self.header_pairs
-        named = headers.get(b"connection", b"").lower()
-        if named not in PLAIN_CONNECTION_VALUES:
-            hop = {token.strip() for token in named.split(b",")}
+        connection_header = headers.get(b"connection", b"").lower()
+        if connection_header not in PLAIN_CONNECTION_VALUES:
+            hop = {token.strip() for token in connection_header.split(b",")}
             pairs = [pair for pair in pairs if pair[0] not in hop]
-        framed = b"content-length" in headers or headers.get(b"transfer-encoding", b"").lower() == b"chunked"
+        delimited = (
+            b"content-length" in headers or headers.get(b"transfer-encoding", b"").lower() == b"chunked"
+        )
         if status == 421:
             self.result = api.Code.FULL, None, MISROUTED_REPORT
         elif b"x-not-executed" in headers and status >= 400:
             self.result = api.Code.FULL, None, EMPTY_REPORT
-        elif told is None or not (framed or status in (204, 304) or request.method == b"HEAD"):
+        elif attempt_id is None or not (delimited or status in (204, 304) or request.method == b"HEAD"):
             self.result = api.Code.RESET, None, EMPTY_REPORT
         elif status >= 500:
-            self.result = api.Code.ERROR, Response(status, pairs, body, told), EMPTY_REPORT
+            self.result = api.Code.ERROR, Response(status, pairs, body, attempt_id), EMPTY_REPORT
         elif status < 300 and (b"x-server-seal" not in headers or b"content-encoding" in headers):
             self.shared.stats["answers.spoilt"] += 1
             self.keep_alive = False
             self.result = api.Code.RESET, None, EMPTY_REPORT
         else:
-            self.result = api.Code.OK, Response(status, pairs, body, told), EMPTY_REPORT
+            self.result = api.Code.OK, Response(status, pairs, body, attempt_id), EMPTY_REPORT
 
     def read_keep_alive(self, text: bytes) -> None:
-        """How long its server keeps it idle, as a ``Keep-Alive`` header says."""
+        """Take the idle limit from a ``Keep-Alive`` header."""
         for item in text.split(b","):
             name, _, value = item.strip().partition(b"=")
             seconds = read_decimal(value) if name.lower() == b"timeout" else None
@@ -204,21 +214,21 @@
                 self.idle_limit = seconds * KEEP_ALIVE_FRACTION
 
     def deliver(self, fault: str) -> None:
-        """Hand the answer on; the connection goes back first, as a further attempt may follow."""
-        forward, done = self.forward, self.result
-        assert forward is not None and done is not None
+        """Pass on the result; the connection is released first, as another attempt may follow at once."""
+        forward, result = self.forward, self.result
+        assert forward is not None and result is not None
         self.forward = self.result = forward.link = None
         if fault or not self.keep_alive:
             self.end(fault or "asked_close")
         else:
             self.pool.release(self)
-        code, answer, report = done
+        code, response, report = result
         if forward.flow.closed:
             self.shared.stats["answers.late"] += 1
-        self.pools.core.ended(forward, code, self.shared.clock.now(), answer, report)
+        self.pools.core.ended(forward, code, self.shared.clock.now(), response, report)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended."""
+        """Fail the outstanding forward; a prompt reset on a reused connection is marked as such."""
         unwritten = self.transport is not None and self.transport.get_write_buffer_size() > 0
         super().connection_lost(exc)
         self.pool.closed(self)
@@ -236,7 +246,7 @@
         self.finish(api.Code.UNREACHABLE if unwritten and self.messages == 0 else api.Code.RESET, report)
 
     def finish(self, code: api.Code, report: dict[str, float] = EMPTY_REPORT) -> None:
-        """The forward on it is over without an answer."""
+        """End the forward without a response."""
         forward, self.forward = self.forward, None
         if forward is not None:
             forward.link = None
@@ -244,22 +254,22 @@
 
 
 class UpstreamPool:
-    """One life of a server, with its connections; idle ones, the newest last."""
+    """The connections to one server instance; ``idle`` has the most recently used last."""
 
     def __init__(self, upstream: Upstream) -> None:
         self.upstream = upstream
         self.idle: list[ServerConnection] = []
         self.open = 0
 
-    def acquire(self, now: float, most: float = math.inf) -> ServerConnection | None:
-        """The one used last that has rested, if any; ``most``: s that it may have been idle."""
-        for place in range(len(self.idle) - 1, -1, -1):
-            connection = self.idle[place]
+    def acquire(self, now: float, max_idle: float = math.inf) -> ServerConnection | None:
+        """The most recently used idle connection that may be reused, if any; ``max_idle`` in seconds."""
+        for index in range(len(self.idle) - 1, -1, -1):
+            connection = self.idle[index]
             if now - connection.idle_since < REUSE_DELAY_S:
                 continue
-            if now - connection.idle_since > most:
-                break  # those before it have been idle for longer
-            del self.idle[place]
+            if now - connection.idle_since > max_idle:
+                break  # the remaining ones have been idle for longer
+            del self.idle[index]
             if connection.lost or connection.transport is None or connection.transport.is_closing():
                 continue
             if now - connection.idle_since < connection.idle_limit:
@@ -268,7 +278,7 @@
         return None
 
     def release(self, connection: ServerConnection) -> None:
-        """It rests until its next forward."""
+        """Keep a connection for reuse, or close it if enough are idle."""
         if len(self.idle) < MAX_IDLE_CONNECTIONS:
             connection.idle_since = connection.shared.clock.now()
             self.idle.append(connection)
@@ -276,41 +286,37 @@
             connection.end("not_kept", flush=True)
 
     def closed(self, connection: ServerConnection) -> None:
-        """A connection has ended."""
+        """A connection has closed."""
         self.open -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
     def sweep(self, now: float) -> None:
-        """Close what has rested for too long; ``now`` in s."""
+        """Close connections that have reached their idle limit."""
         while self.idle and now - self.idle[0].idle_since >= self.idle[0].idle_limit:
             self.idle.pop(0).end("idle")
 
     def close_idle(self, code: str) -> None:
-        """Close all that rest, for this reason."""
+        """Close all idle connections for the given reason."""
         idle, self.idle = self.idle, []
         for connection in idle:
             connection.end(code)
 
 
 class UpstreamPools:
-    """All servers' connections; carries forwards to them."""
+    """The connections to all servers; carries out forwards."""
 
-    core: DataPlaneCore  # comes once it is made, as it needs this port
+    core: DataPlaneCore  # set after construction, as the core needs this port
 
-    def __init__(self, shared: Shared, stock: Stock, most_body: int) -> None:
-        self.shared, self.balancer, self.max_body_bytes = shared, stock, most_body
+    def __init__(self, shared: Shared, balancer: Stock, max_body_bytes: int) -> None:
+        self.shared, self.balancer, self.max_body_bytes = shared, balancer, max_body_bytes
         self.pools_by_instance: dict[str, UpstreamPool] = {}
-        self.cautious_until: dict[
-            str, float
-        ] = {}  # services whose servers forget idle connections, and until when
-        self.connection_caps: dict[
-            str, int
-        ] = {}  # connections that a server of a service takes, from all callers
+        self.cautious_until: dict[str, float] = {}  # by service, while its servers drop idle connections
+        self.connection_caps: dict[str, int] = {}  # by service: connections that one server accepts in all
         self.free_client: Any = lambda: False
 
     def forward(self, forward: Forward) -> None:
-        """Send it on a connection that rests, or on a new one."""
+        """Send the forward on an idle connection or on a new one."""
         now = self.shared.clock.now()
         upstream = self.balancer.upstreams.get(forward.target)
         if upstream is None or upstream.state:
@@ -318,14 +324,16 @@
             return
         upstream_pool = self.pools_by_instance.get(upstream.ident)
         if upstream_pool is None or upstream_pool.upstream is not upstream:
-            if upstream_pool is not None:  # it was taken for gone, and came back
+            if upstream_pool is not None:  # the server was considered gone and has returned
                 upstream_pool.close_idle("server_gone")
             upstream_pool = self.pools_by_instance[upstream.ident] = UpstreamPool(upstream)
         route = getattr(forward.flow.request, "route", None)
-        wary = now < self.cautious_until.get(upstream.service, 0.0) and not (
+        cautious = now < self.cautious_until.get(upstream.service, 0.0) and not (
             route is not None and route.repeatable
         )
-        connection = upstream_pool.acquire(now, CAUTION_MAX_IDLE_S) if wary else upstream_pool.acquire(now)
+        connection = (
+            upstream_pool.acquire(now, CAUTION_MAX_IDLE_S) if cautious else upstream_pool.acquire(now)
+        )
         if connection is not None:
             connection.forward = forward
             self.write(connection)
@@ -345,11 +353,11 @@
         upstream_pool.open += 1
         connection = ServerConnection(self, upstream_pool, forward)
         forward.link = connection
-        far = CROSS_REGION_CONNECT_EXTRA_S if upstream.region != self.balancer.region else 0.0
-        connection.dial((upstream.host, upstream.port), CONNECT_TIMEOUT_S + far)
+        region_extra = CROSS_REGION_CONNECT_EXTRA_S if upstream.region != self.balancer.region else 0.0
+        connection.dial((upstream.host, upstream.port), CONNECT_TIMEOUT_S + region_extra)
 
     def write(self, connection: ServerConnection) -> None:
-        """The last look before the first byte: the server may leave, or the right have ended meanwhile."""
+        """Write the request, after checking again that the server and the right to send are still valid."""
         forward, now = connection.forward, self.shared.clock.now()
         assert forward is not None and connection.transport is not None
         upstream = connection.pool.upstream
@@ -366,19 +374,26 @@
         connection.header_pairs, connection.written_at = [], now
         request = forward.flow.message
         assert isinstance(request, Request)
-        left = max(int((forward.until - now) * 1000), 1)
-        tenant = b"X-Tenant-Name: %b\r\n" % request.tenant if request.tenant else b""
-        size = b""
+        remaining_ms = max(int((forward.until - now) * 1000), 1)
+        tenant_header = b"X-Tenant-Name: %b\r\n" % request.tenant if request.tenant else b""
+        length_header = b""
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
-            size = b"Content-Length: %d\r\n" % len(request.body)
+            length_header = b"Content-Length: %d\r\n" % len(request.body)
         self.shared.stats["forwards.sent"] += 1
         connection.transport.write(
             b"%bX-Deadline-Remaining: %d\r\nX-Expected-Instance: %b\r\n%b%b\r\n%b"
-            % (request.head, left, upstream.ident.encode("latin-1"), tenant, size, request.body)
+            % (
+                request.head,
+                remaining_ms,
+                upstream.ident.encode("latin-1"),
+                tenant_header,
+                length_header,
+                request.body,
+            )
         )
 
     def drop(self, forward: Forward) -> None:
-        """Closing the connection is what calls a forward off."""
+        """Cancel a forward by closing its connection."""
         connection = forward.link
         forward.link = None
         if isinstance(connection, ServerConnection):
@@ -386,7 +401,7 @@
             connection.end("cancelled")
 
     def sweep(self, now: float) -> None:
-        """Close what has stood idle too long, and forget servers that are gone."""
+        """Close connections that have been idle too long, and forget servers that are gone."""
         for ident, upstream_pool in list(self.pools_by_instance.items()):
             upstream_pool.sweep(now)
             if upstream_pool.upstream.state:
@@ -395,11 +410,11 @@
                     del self.pools_by_instance[ident]
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, of all servers."""
-        heads = [
+        """Close the connection that has been idle longest, over all servers."""
+        idle_lists = [
             upstream_pool.idle for upstream_pool in self.pools_by_instance.values() if upstream_pool.idle
         ]
-        if not heads:
+        if not idle_lists:
             return False
-        min(heads, key=lambda idle: idle[0].idle_since).pop(0).end("sockets")
+        min(idle_lists, key=lambda idle: idle[0].idle_since).pop(0).end("sockets")
         return True
--- a/latchspoke/dataplane/usage_reports.py
+++ b/latchspoke/dataplane/usage_reports.py
@@ -1,4 +1,7 @@
-"""Batched totals of quotas between gateways: each tenant's are hosted by one of the live gateways, by key."""
+"""Quota usage reports between gateways.
+
+The totals of each tenant are kept by one live gateway, the quota owner, chosen by rendezvous hashing.
+"""
 
 from __future__ import annotations
 
@@ -13,30 +16,35 @@
 from latchspoke.net.clock import Clock
 from latchspoke.transport.connection import Message, MessageConnection, dial
 
-DIAL_TIMEOUT_S = 0.4  # s
-REDIAL_DELAY_S = 0.5  # s until a host that couldn't be reached is tried again
-REPORT_FIELDS = ("o", "a", "r", "b", "k", "ko")  # of a report, in the order in which they travel
-REPORT_INTERVAL_S = 0.05  # s between looks at what is to be told
+DIAL_TIMEOUT_S = 0.4
+REDIAL_DELAY_S = 0.5  # after a failed connection attempt
+REPORT_FIELDS = ("o", "a", "r", "b", "k", "ko")  # fields of a report, in wire order
+REPORT_INTERVAL_S = 0.05
 
 
 class UsageReports:
-    """Reports this gateway's counts to their hosts, and hosts others'."""
+    """Reports this gateway's usage to the quota owners, and keeps the totals of the tenants it owns."""
 
     def __init__(
-        self, name: str, life: str, clock: Clock, dispatcher: Dispatcher, told: Callable[[Told], None]
+        self,
+        name: str,
+        instance_id: str,
+        clock: Clock,
+        dispatcher: Dispatcher,
+        on_totals: Callable[[Told], None],
     ) -> None:
-        """``told`` gets the totals that come back."""
+        """``on_totals`` receives the totals that quota owners return."""
         self.name, self.instance_id, self.clock, self.dispatcher, self.on_totals = (
             name,
-            life,
+            instance_id,
             clock,
             dispatcher,
-            told,
+            on_totals,
         )
         self.owned_quotas = Host()
-        self.gateways: dict[str, tuple[str, int]] = {}  # live ones, with where they are reached; this one too
-        self.eligible_owners = dict[str, tuple[str, int]]()  # of them, those that host totals
-        self.handoffs = dict[str, dict[str, Image]]()  # tallies on their way to their next hosts, by these
+        self.gateways: dict[str, tuple[str, int]] = {}  # addresses of all live gateways
+        self.eligible_owners = dict[str, tuple[str, int]]()  # those that may own quotas
+        self.handoffs = dict[str, dict[str, Image]]()  # by new owner, then tenant
         self.owners: dict[str, str] = {}
         self.connections: dict[str, MessageConnection] = {}
         self.dialing: set[str] = set()
@@ -44,7 +52,7 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self.pending_reports: dict[int, tuple[float, dict[str, dict[str, float]]]] = {}
         self.report_id = 0
-        self.on_connected: Callable[[str], None] = lambda name: None  # who else uses these connections
+        self.on_connected: Callable[[str], None] = lambda name: None  # called once a connection is up
 
     def update_gateways(
         self,
@@ -52,10 +60,11 @@
         cautious: bool = False,
         ineligible: Container[str] = (),
     ) -> None:
-        """The live gateways have changed, and with them who hosts what.
+        """The set of live gateways has changed, and with it the quota owners.
 
-        ``cautious``: this process has just begun to host, and others among them have not. ``late``: those
-        that leave, or have come back beside others and know nothing yet: none is a host while others can be.
+        ``cautious``: this process has only just become an owner while other gateways have been running.
+        ``ineligible``: gateways that are leaving, or have restarted beside others and have no totals yet;
+        they own no quotas unless no other gateway remains.
         """
         self.gateways = gateways
         self.eligible_owners = {
@@ -70,15 +79,15 @@
             ):
                 self.handoffs.setdefault(owner, {})[tenant] = image
         self.send_handoffs(now)
-        for name in [n for n in self.connections if n not in gateways]:
-            self.connections.pop(name).end("gone")
+        for name in [gateway for gateway in self.connections if gateway not in gateways]:
+            self.connections.pop(name).end("gateway is gone")
 
     def send_handoffs(self, now: float) -> None:
-        """What is handed on goes to the next hosts; it is of no use to them a little later."""
+        """Send totals to their new owners; images that cannot be delivered soon are dropped as stale."""
         for owner, images in list(self.handoffs.items()):
-            wire = self.connections.get(owner)
-            if wire is not None:
-                wire.send({"k": "heir", "t": images})
+            connection = self.connections.get(owner)
+            if connection is not None:
+                connection.send({"k": "heir", "t": images})
                 del self.handoffs[owner]
             elif owner in self.gateways and now - self.failed_at.get(owner, -math.inf) >= REDIAL_DELAY_S:
                 self.connect(owner, now)
@@ -86,12 +95,13 @@
                 del self.handoffs[owner]
 
     def connect_owners(self, tenants: Iterable[str]) -> None:
-        """Connections to those who host these: the first request of one shouldn't wait for that."""
+        """Connect to the owners of these tenants in advance, so that first requests need not wait."""
         now = self.clock.now()
         for owner in sorted({self.owner(tenant) for tenant in tenants} - {self.name, *self.connections}):
             self.connect(owner, now)
 
     def owner(self, tenant: str) -> str:
+        """The gateway that owns the quota of a tenant."""
         owner = self.owners.get(tenant)
         if owner is None:
             owner = max(self.eligible_owners, key=lambda name: rank(tenant, name), default=self.name)
@@ -99,38 +109,42 @@
         return owner
 
     def send_due_reports(self, now: float) -> None:
-        """Tell what is due, one message a host."""
+        """Send the usage reports that are due, one message per owner."""
         self.owned_quotas.part = max(len(self.gateways), 1) / max(self.dispatcher.spread, 1)
-        due: dict[str, dict[str, Any]] = {}
+        due_reports: dict[str, dict[str, Any]] = {}
         for name, account in self.dispatcher.accounts.items():
             if account.due(now):
                 owner = self.owner(name)
                 if owner == self.name or owner in self.connections:
-                    due.setdefault(owner, {})[name] = account.report(now)
+                    due_reports.setdefault(owner, {})[name] = account.report(now)
                 else:
                     self.connect(owner, now)
-        for owner, reports in due.items():
+        for owner, reports in due_reports.items():
             if owner == self.name:
                 for tenant, counts in reports.items():
                     total = self.owned_quotas.report(self.name, self.instance_id, tenant, counts, now)
                     self.apply_total(tenant, total, counts, now)
                 continue
-            wire = self.connections.get(owner)
-            if wire is None:
-                continue  # it has ended meanwhile
+            connection = self.connections.get(owner)
+            if connection is None:
+                continue  # closed in the meantime
             self.report_id += 1
             self.pending_reports[self.report_id] = now, reports
             if len(self.pending_reports) > 500:
                 self.pending_reports.pop(next(iter(self.pending_reports)))
-            short = {tenant: [counts.get(f) for f in REPORT_FIELDS] for tenant, counts in reports.items()}
-            wire.send({"k": "c", "q": self.report_id, "t": short})
+            wire_reports = {
+                tenant: [counts.get(f) for f in REPORT_FIELDS] for tenant, counts in reports.items()
+            }
+            connection.send({"k": "c", "q": self.report_id, "t": wire_reports})
 
     def apply_total(
-        self, tenant: str, total: tuple[float, float, float], counts: dict[str, float], asked: float
+        self, tenant: str, total: tuple[float, float, float], counts: dict[str, float], reported_at: float
     ) -> None:
-        self.on_totals(Told(tenant, *total, (counts["o"], counts["a"]), asked))
+        """Pass on the totals for a tenant that answer a report sent at ``reported_at``."""
+        self.on_totals(Told(tenant, *total, (counts["o"], counts["a"]), reported_at))
 
     def connect(self, owner: str, now: float) -> None:
+        """Open a connection to an owner, unless an attempt is under way or failed recently."""
         if (
             owner in self.dialing
             or now - self.failed_at.get(owner, -1e9) < REDIAL_DELAY_S
@@ -143,52 +157,55 @@
         task.add_done_callback(self.tasks.discard)
 
     async def open_connection(self, owner: str, host: str, port: int) -> None:
-        def ended(wire: MessageConnection, reason: str) -> None:
-            if self.connections.get(owner) is wire:
+        def on_closed(connection: MessageConnection, reason: str) -> None:
+            if self.connections.get(owner) is connection:
                 del self.connections[owner]
             self.failed_at[owner] = self.clock.now()
 
-        wire = MessageConnection(self.handle_totals, ended)
-        if await dial(wire, host, port, DIAL_TIMEOUT_S) and not wire.closed:
-            wire.send({"k": "counts", "name": self.name, "life": self.instance_id})
-            self.connections[owner] = wire
+        connection = MessageConnection(self.handle_totals, on_closed)
+        if await dial(connection, host, port, DIAL_TIMEOUT_S) and not connection.closed:
+            connection.send({"k": "counts", "name": self.name, "life": self.instance_id})
+            self.connections[owner] = connection
             self.on_connected(owner)
             self.send_handoffs(self.clock.now())
             self.send_due_reports(self.clock.now())
-        self.handoffs.pop(owner, None)  # who can't be reached now can't go on from them later
+        self.handoffs.pop(owner, None)  # too old by the time the owner is reachable
         self.dialing.discard(owner)
 
-    def handle_totals(self, wire: MessageConnection, message: Message) -> None:
-        """Totals that come back."""
-        asked = self.pending_reports.pop(int(message.get("q", 0)), None)
-        if asked is not None:
-            at, reports = asked
+    def handle_totals(self, connection: MessageConnection, message: Message) -> None:
+        """Totals returned by a quota owner."""
+        pending = self.pending_reports.pop(int(message.get("q", 0)), None)
+        if pending is not None:
+            reported_at, reports = pending
             for tenant, total in message["t"].items():
                 room, offered, admitted = total
-                self.apply_total(tenant, (room, offered, admitted), reports[tenant], at)
+                self.apply_total(tenant, (room, offered, admitted), reports[tenant], reported_at)
 
-    def handle_message(self, wire: MessageConnection, message: Message) -> None:
-        """Another gateway's counts, for what is hosted here. What isn't, gets no total."""
+    def handle_message(self, connection: MessageConnection, message: Message) -> None:
+        """A message from another gateway; tenants not owned here get no total in the reply."""
         if message["k"] == "counts":
-            wire.tag = str(message["name"]), str(message["life"])
+            connection.tag = str(message["name"]), str(message["life"])
             return
         if message["k"] == "heir":
             for tenant, image in message["t"].items():
                 self.owned_quotas.inherit(tenant, image, self.clock.now())
             return
         now, totals = self.clock.now(), {}
-        name, life = wire.tag
-        for tenant, told in message["t"].items():
+        name, instance_id = connection.tag
+        for tenant, values in message["t"].items():
             if self.owner(tenant) == self.name:
                 counts = {
-                    f: float(value) for f, value in zip(REPORT_FIELDS, told, strict=True) if value is not None
+                    field: float(value)
+                    for field, value in zip(REPORT_FIELDS, values, strict=True)
+                    if value is not None
                 }
                 account = self.dispatcher.accounts.get(tenant)
                 if "k" not in counts and account is not None and account.fresh(now):
                     counts["k"] = account.room(now)
-                totals[tenant] = self.owned_quotas.report(name, life, tenant, counts, now)
-        wire.send({"q": message["q"], "t": totals})
+                totals[tenant] = self.owned_quotas.report(name, instance_id, tenant, counts, now)
+        connection.send({"q": message["q"], "t": totals})
 
     def stop(self) -> None:
-        for wire in list(self.connections.values()):
-            wire.end("stops")
+        """Close all connections."""
+        for connection in list(self.connections.values()):
+            connection.end("shutting down")
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -1,6 +1,6 @@
-"""What a gateway shows of itself: ``GET /status`` and ``GET /metrics``. Reads, and changes nothing.
+"""The read-only views of a gateway: ``GET /status`` and ``GET /metrics``.
 
-Keys of tenants are no part of it: tenants go by their names.
+Tenants appear under their names; their API keys are never shown.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     from latchspoke.dataplane.session_affinity import SessionAffinity
 
 STATES = ("ready", "draining", "gone")
-MAX_REFUSALS = 30  # of the last ones are shown
+MAX_REFUSALS = 30  # most recent refusals shown
 
 
 def remaining(until: float, now: float) -> float:
-    """Seconds until then; 0 where it is past or never was."""
+    """Seconds until a time; 0 if it has passed or was never set."""
     return round(max(until - now, 0.0), 3) if math.isfinite(until) else 0.0
 
 
@@ -35,12 +35,12 @@
 
 
 def avoidance_reasons(stock: Stock, upstream: Upstream, now: float) -> list[str]:
-    """Why it gets nothing, or less than its part: reason codes, the hardest first."""
+    """Reason codes for which a server gets no requests or fewer, most severe first."""
     return list(standing(stock, upstream, now))
 
 
 def server_view(stock: Stock, upstream: Upstream, now: float) -> dict[str, Any]:
-    """One life of a server, with the evidence that this gateway has."""
+    """One server instance, with the evidence that this gateway has on it."""
     return {
         "id": upstream.ident,
         "service": upstream.service,
@@ -61,16 +61,16 @@
 
 
 def evidence_view(node: Node, now: float) -> dict[str, dict[str, Any]]:
-    """By server: the evidence of others, and the share of failures that it makes here (0: none)."""
+    """By server: evidence from other gateways, and the failure share that it leads to here (0: none)."""
     return {
-        ident: evidence(node.examiner.seen(ident, now))
-        | {"share": round(node.balancer.told.get(ident, 0.0), 3)}
-        for ident in sorted(node.examiner.told)
+        instance_id: evidence(node.examiner.seen(instance_id, now))
+        | {"share": round(node.balancer.told.get(instance_id, 0.0), 3)}
+        for instance_id in sorted(node.examiner.told)
     }
 
 
 def quota_views(dispatcher: Dispatcher, now: float) -> dict[str, dict[str, Any]]:
-    """Tenants with a limit that came through here lately."""
+    """Tenants with a rate limit that recently sent requests here."""
     return {
         name: {
             "rate_per_s": account.rate,
@@ -87,24 +87,29 @@
 
 
 def budget_views(dispatcher: Dispatcher) -> dict[str, dict[str, float]]:
-    """Further tries that this gateway may still pay for, by service."""
+    """Retry budgets by service: attempts this gateway may still spend."""
     return {
-        service: {"level": round(tries.level, 3), "most": round(tries.most, 3)}
-        for service, tries in sorted(dispatcher.tries.items())
+        service: {"level": round(budget.level, 3), "most": round(budget.most, 3)}
+        for service, budget in sorted(dispatcher.tries.items())
     }
 
 
 def refusal_views(dispatcher: Dispatcher, now: float) -> list[dict[str, Any]]:
-    """The last ones, the newest first."""
+    """The most recent refusals, newest first."""
     return [
-        {"s_ago": round(now - at, 3), "reason": reason, "route": route, "tenant": tenant}
-        for at, reason, route, tenant in list(dispatcher.refusals)[: -MAX_REFUSALS - 1 : -1]
+        {"s_ago": round(now - when, 3), "reason": reason, "route": route, "tenant": tenant}
+        for when, reason, route, tenant in list(dispatcher.refusals)[: -MAX_REFUSALS - 1 : -1]
     ]
 
 
 def status(node: Node) -> dict[str, Any]:
-    """The whole view."""
-    now, settings, orders, lease = node.clock.now(), node.settings, node.published_state.orders, node.lease
+    """The complete status view."""
+    now, settings, configuration, lease = (
+        node.clock.now(),
+        node.settings,
+        node.published_state.orders,
+        node.lease,
+    )
     source = node.subscription.source if node.subscription.connection is not None else None
     table = node.downstream.table
     return {
@@ -115,10 +120,10 @@
         "life": node.instance_id,
         "ready": node.ready,
         "stopping": node.downstream.stopping,
-        "version": f"{orders.version:08x}",
+        "version": f"{configuration.version:08x}",
         "acts_by": f"{table.version:08x}" if table is not None else None,
-        "index": orders.index,
-        "evacuated": sorted(orders.evacuated),
+        "index": configuration.index,
+        "evacuated": sorted(configuration.evacuated),
         "lease": {
             "held": now < lease.until,
             "left_s": remaining(lease.until, now),
@@ -134,9 +139,11 @@
         "gateways": list(node.balancer.gateways),
         "clients": len(node.downstream.clients),
         "in_hand": node.downstream.in_flight,
-        "servers": [server_view(node.balancer, w, now) for w in node.balancer.upstreams.values()],
+        "servers": [
+            server_view(node.balancer, upstream, now) for upstream in node.balancer.upstreams.values()
+        ],
         "evidence": evidence_view(node, now),
-        "usual_s": {route: round(s, 4) for route, s in sorted(node.balancer.usual.items())},
+        "usual_s": {route: round(seconds, 4) for route, seconds in sorted(node.balancer.usual.items())},
         "quotas": quota_views(node.dispatcher, now),
         "budgets": budget_views(node.dispatcher),
         "refusals": refusal_views(node.dispatcher, now),
@@ -144,64 +151,71 @@
     } | ({} if node.session_affinity is None else {"travel": node.session_affinity.sizes()})
 
 
-def metrics(seen: dict[str, Any]) -> str:
-    """The text format of a view."""
+def metrics(view: dict[str, Any]) -> str:
+    """The metrics page of a status view."""
     servers = MetricFamily("latchspoke_servers", "Servers that this gateway knows, by service and state.")
-    shunned = MetricFamily("latchspoke_servers_avoided", "Servers that get less or nothing, by reason code.")
+    avoided = MetricFamily("latchspoke_servers_avoided", "Servers that get less or nothing, by reason code.")
     states: dict[tuple[str, str], int] = {}
     reasons: dict[str, int] = {}
-    for each in seen["servers"]:
-        key = each["service"], each["state"]
+    for server in view["servers"]:
+        key = server["service"], server["state"]
         states[key] = states.get(key, 0) + 1
-        for reason in each["avoided"]:
+        for reason in server["avoided"]:
             reasons[reason] = reasons.get(reason, 0) + 1
     for (service, state), count in sorted(states.items()):
         servers.add(count, service=service, state=state)
     for reason, count in sorted(reasons.items()):
-        shunned.add(count, reason=reason)
-    room = MetricFamily("latchspoke_quota_room", "Units left to a tenant, as this gateway knows.")
-    gate = MetricFamily("latchspoke_quota_gate", "Share of a tenant's requests that the gate lets pass.")
-    for tenant, quota in seen["quotas"].items():
-        room.add(quota["room"], tenant=tenant)
-        gate.add(quota["gate"], tenant=tenant)
-    tries = MetricFamily("latchspoke_tries_left", "Further tries to a service that this gateway may pay for.")
-    for service, budget in seen["budgets"].items():
-        tries.add(budget["level"], service=service)
+        avoided.add(count, reason=reason)
+    quota_room = MetricFamily("latchspoke_quota_room", "Units left to a tenant, as this gateway knows.")
+    quota_gate = MetricFamily(
+        "latchspoke_quota_gate", "Share of a tenant's requests that the gate lets pass."
+    )
+    for tenant, quota in view["quotas"].items():
+        quota_room.add(quota["room"], tenant=tenant)
+        quota_gate.add(quota["gate"], tenant=tenant)
+    retries_left = MetricFamily(
+        "latchspoke_tries_left", "Further tries to a service that this gateway may pay for."
+    )
+    for service, budget in view["budgets"].items():
+        retries_left.add(budget["level"], service=service)
     events = MetricFamily("latchspoke_events_total", "Counted events; the README names them.", "counter")
-    for event, count in seen["counters"].items():
+    for event, count in view["counters"].items():
         events.add(count, event=event)
-    plain = [
-        MetricFamily("latchspoke_ready", "1 while this gateway is ready.").add(seen["ready"]),
+    gauges = [
+        MetricFamily("latchspoke_ready", "1 while this gateway is ready.").add(view["ready"]),
         MetricFamily("latchspoke_config_version", "The configuration in force.").add(
-            int(seen["version"], 16)
+            int(view["version"], 16)
         ),
-        MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(seen["index"]),
+        MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(view["index"]),
         MetricFamily("latchspoke_lease_left_seconds", "How long it may act with keys.").add(
-            seen["lease"]["left_s"]
+            view["lease"]["left_s"]
         ),
-        MetricFamily("latchspoke_gateways", "Live gateways that this one knows.").add(len(seen["gateways"])),
-        MetricFamily("latchspoke_clients", "Open connections of clients.").add(seen["clients"]),
-        MetricFamily("latchspoke_requests_in_hand", "Requests not yet answered.").add(seen["in_hand"]),
+        MetricFamily("latchspoke_gateways", "Live gateways that this one knows.").add(len(view["gateways"])),
+        MetricFamily("latchspoke_clients", "Open connections of clients.").add(view["clients"]),
+        MetricFamily("latchspoke_requests_in_hand", "Requests not yet answered.").add(view["in_hand"]),
     ]
-    return render([*plain, servers, shunned, room, gate, tries, events])
+    return render([*gauges, servers, avoided, quota_room, quota_gate, retries_left, events])
 
 
 def handle_caller_request(
-    travel: SessionAffinity, body: bytes
+    affinity: SessionAffinity, body: bytes
 ) -> tuple[int, Any] | Awaitable[tuple[int, Any]]:
-    """A caller's record, or another server for it: ``route``, ``tenant``, ``caller`` and perhaps ``to``."""
+    """A caller's session record, or binding the caller to another server.
+
+    The body has ``route``, ``caller``, optionally ``tenant`` and ``to`` (the instance to move to).
+    """
     try:
-        asked: dict[str, str] = msgspec.json.decode(body, type=dict[str, str])
-        route, tenant, who = asked["route"], asked.get("tenant", ""), asked["caller"]
-    except (KeyError, msgspec.DecodeError) as e:
-        return 400, {"errorText": f"route and caller are asked for, as texts: {e}"}
-    if asked.get("to"):
-        return travel.move_caller(route, tenant, who, asked["to"])
-    return 200, travel.record_view(route, tenant, who)
+        fields: dict[str, str] = msgspec.json.decode(body, type=dict[str, str])
+        route, tenant, caller = fields["route"], fields.get("tenant", ""), fields["caller"]
+    except (KeyError, msgspec.DecodeError) as error:
+        return 400, {"errorText": f"route and caller are required, as strings: {error}"}
+    if fields.get("to"):
+        return affinity.move_caller(route, tenant, caller, fields["to"])
+    return 200, affinity.record_view(route, tenant, caller)
 
 
 def handle_request(node: Node, path: str, body: bytes) -> tuple[int, Any]:
-    """What is asked on the readiness address beside readiness."""
+    """Answer a view request other than readiness."""
     if path == "/status":
         return 200, status(node)
     if path == "/metrics":
@@ -209,17 +223,17 @@
     from latchspoke.dataplane.explain import ExplainRequestError, explain, read_explain_request
 
     try:
-        ask = read_explain_request(msgspec.json.decode(body))
-    except (ExplainRequestError, msgspec.DecodeError) as e:
-        return 400, {"errorText": str(e)}
+        request = read_explain_request(msgspec.json.decode(body))
+    except (ExplainRequestError, msgspec.DecodeError) as error:
+        return 400, {"errorText": str(error)}
     if node.downstream.table is None:
         return 503, {"errorText": "there is no configuration yet"}
     now = node.clock.now()
-    found = explain(node.downstream.table, ask, now, node.balancer, node.dispatcher)
-    others = evidence_view(node, now)
-    for each in (server_view for those in found.get("servers", {}).values() for server_view in those):
-        if each["id"] in others:
-            each["evidence"] = others[each["id"]]
+    result = explain(node.downstream.table, request, now, node.balancer, node.dispatcher)
+    evidence = evidence_view(node, now)
+    for entry in (item for servers in result.get("servers", {}).values() for item in servers):
+        if entry["id"] in evidence:
+            entry["evidence"] = evidence[entry["id"]]
     if not node.ready:
-        found["not_ready"] = True
-    return 200, found
+        result["not_ready"] = True
+    return 200, result
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -297,10 +297,12 @@
         "UNASKED", (),
         lambda: [on(downstream, "REPLACED_HEADERS", downstream.REPLACED_HEADERS - {b"authorization"})],
     ),
-    "new-versions": Guard("CONFIG", CHANGES, lambda: [around(dataplane.Node, "apply_orders", only_first)]),
+    "new-versions": Guard(
+        "CONFIG", CHANGES, lambda: [around(dataplane.Node, "apply_configuration", only_first)]
+    ),
     "never-back": Guard(
         "CONFIG back", (t(1.0, "change", how="move"),),
-        lambda: [around(dataplane.Node, "apply_orders", goes_back)],
+        lambda: [around(dataplane.Node, "apply_configuration", goes_back)],
     ),
     "second-source": Guard(
         "CONFIG",
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -1,6 +1,6 @@
-"""What both programs have alike: their settings, clock, membership, inner port, signals, start and end.
+"""What data-plane and control-plane processes share: settings, clock, membership, signals, lifecycle.
 
-Only what a process needs to serve is loaded here: a process that starts again is an outage.
+Imports only what a process needs to start serving, as a restart is an outage.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 GATEWAY_PORT_OFFSET, CONTROL_PORT_OFFSET = (
     0,
     1,
-)  # of the inner ports: places for the data plane and for the control plane
-LOG_OPEN_DELAY_S = 1.0  # s after the start
-FLUSH_DELAY_S = 0.02  # s for what was written last
+)  # within the internal port range
+LOG_OPEN_DELAY_S = 1.0  # after the start
+FLUSH_DELAY_S = 0.02  # before exit, for the last bytes written
 
 
 class NodeProcess:
-    """One process: what it is told by its settings and by the membership, and those who follow its board."""
+    """One process: its settings, its membership, and the subscribers to its published state."""
 
-    PORT_OFFSET: int  # its place among the inner ports
-    membership_transport: Post  # ``fit`` makes it, with the program's own meta
+    PORT_OFFSET: int  # within the internal port range
+    membership_transport: Post  # created by ``build``
 
     def __init__(
         self,
@@ -49,12 +49,12 @@
         loop: asyncio.AbstractEventLoop,
         path: str,
         clock: Clock | None = None,
-        draw: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
-        """``clock`` and ``draw`` are given where time is virtual."""
+        """``clock`` and ``rng`` are given in simulations."""
         s = self.settings = settings
         self.loop, self.settings_watch = loop, Watch(path, self.apply_settings)
-        self.clock, self.rng = clock or Clock(loop), draw or random.Random()
+        self.clock, self.rng = clock or Clock(loop), rng or random.Random()
         self.instance_id = f"{self.rng.getrandbits(32):08x}"
         self.internal_address = s.ip, s.ports[0] + self.PORT_OFFSET
         self.internal_endpoint = f"{s.ip}:{s.ports[0] + self.PORT_OFFSET}"
@@ -66,54 +66,54 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self.build()
 
-    # What the programs say for themselves.
+    # Implemented by each kind of process.
 
     def build(self) -> None:
-        """Puts the program's own parts together."""
+        """Create the parts of this kind of process."""
         raise NotImplementedError
 
-    def handle_proof_request(self, wire: MessageConnection, tag: int) -> None:
-        """Who follows asks whether what it knows is the newest."""
+    def handle_proof_request(self, connection: MessageConnection, proof_id: int) -> None:
+        """A subscriber asks for a proof that its state is current."""
         raise NotImplementedError
 
-    def membership_changed(self, news: News) -> None:
-        """Of the membership."""
+    def membership_changed(self, change: News) -> None:
+        """A member has joined, changed or gone."""
         raise NotImplementedError
 
-    def handle_message(self, wire: MessageConnection, message: Message) -> None:
+    def handle_message(self, connection: MessageConnection, message: Message) -> None:
         """A message on a connection that another process has opened."""
         raise NotImplementedError
 
     def stop(self) -> None:
-        """SIGTERM: ``done`` is set once all is in order."""
+        """Shut down in order (SIGTERM); sets ``stopped`` at the end."""
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Listen, and begin the periodic work. Raises OSError."""
+        """Listen and start the periodic work. Raises OSError."""
         raise NotImplementedError
 
-    # What they share.
+    # Common to all processes.
 
     def create_membership_transport(self, meta: dict[str, Any]) -> Post:
-        """The membership, with this process as its member."""
-        s = self.settings
-        me = Member(s.name, *self.internal_address, meta, 0, self.instance_id)
+        """The membership, with this process as a member."""
+        settings = self.settings
+        member = Member(settings.name, *self.internal_address, meta, 0, self.instance_id)
         return Post(
-            Membership(me, self.seed_addresses(), Timing(), self.rng, self.clock.now()),
+            Membership(member, self.seed_addresses(), Timing(), self.rng, self.clock.now()),
             self.membership_changed,
             self.clock.now,
         )
 
     def seed_addresses(self) -> list[tuple[str, int]]:
-        """Where the control machines of the settings file take the membership's messages."""
+        """The membership addresses of the control-plane nodes named in the settings file."""
         return [(host, self.settings.ports[0] + CONTROL_PORT_OFFSET) for host, _ in self.settings.seeds]
 
-    async def listen_internal(self, post: Post) -> None:
-        """The inner port, both for the membership and for connections. Raises OSError."""
-        await post.start(*self.internal_address)
-        create = self.loop.create_server
+    async def listen_internal(self, transport: Post) -> None:
+        """Listen on the internal port, for the membership and for connections. Raises OSError."""
+        await transport.start(*self.internal_address)
+        create_server = self.loop.create_server
         self.listeners.append(
-            await create(
+            await create_server(
                 lambda: MessageConnection(self.inbound_message, self.inbound_closed),
                 *self.internal_address,
                 backlog=256,
@@ -121,52 +121,54 @@
         )
 
     def serving_started(self, **fields: Any) -> None:
-        """All is open: the log may be loaded when it disturbs nobody."""
-        s = self.settings
-        self.clock.schedule(self.clock.now() + LOG_OPEN_DELAY_S, lambda now: open_log(node=s.name))
-        log("serves", **fields, zone=s.zone)
+        """The process serves; open the log a little later, when it delays nobody."""
+        settings = self.settings
+        self.clock.schedule(self.clock.now() + LOG_OPEN_DELAY_S, lambda now: open_log(node=settings.name))
+        log("serves", **fields, zone=settings.zone)
 
-    def inbound_message(self, wire: MessageConnection, message: Message) -> None:
-        """A message on a connection that another process has opened; a wrong one ends the connection."""
+    def inbound_message(self, connection: MessageConnection, message: Message) -> None:
+        """A message on an inbound connection; a malformed one ends the connection."""
         try:
-            self.handle_message(wire, message)
-        except (BeatError, KeyError, TypeError, ValueError) as e:
-            wire.end(f"a message that can't be read: {e!r}")
+            self.handle_message(connection, message)
+        except (BeatError, KeyError, TypeError, ValueError) as error:
+            connection.end(f"malformed message: {error!r}")
 
-    def inbound_closed(self, wire: MessageConnection, reason: str) -> None:
-        """A connection that another process had opened has ended."""
-        self.publisher.ended(wire)
+    def inbound_closed(self, connection: MessageConnection, reason: str) -> None:
+        """An inbound connection has closed."""
+        self.publisher.ended(connection)
 
-    def spawn(self, work: Any) -> None:
-        """Run a coroutine as a task that is kept until it ends."""
-        task = self.loop.create_task(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Run a coroutine as a task, and keep a reference until it ends."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def reload(self) -> None:
-        """SIGHUP. A file that can't be used changes nothing."""
+        """Re-read the settings file (SIGHUP); an invalid file is ignored."""
         self.settings_watch.read()
 
     def apply_settings(self, settings: Settings) -> None:
-        """The settings file has changed: other seeds, perhaps."""
+        """Apply changed settings, such as new seeds."""
         self.settings = settings
         self.membership_transport.reseed(self.seed_addresses())
 
 
-async def run(kind: type[NodeProcess], settings: Settings, path: str, seen: Stamp | None) -> None:
-    """From start to SIGTERM; ``seen``: the settings file as it was before it was read."""
+async def run(
+    node_class: type[NodeProcess], settings: Settings, path: str, initial_stamp: Stamp | None
+) -> None:
+    """Run a process from start to SIGTERM. ``initial_stamp``: of the settings file before it was read."""
     loop = asyncio.get_running_loop()
-    node = kind(settings, loop, path)
-    node.settings_watch.seen = seen
+    node = node_class(settings, loop, path)
+    node.settings_watch.seen = initial_stamp
     asked_to_stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, node.reload)
-    for number in ENDING:
-        loop.add_signal_handler(number, asked_to_stop.set)
+    for signal_number in ENDING:
+        loop.add_signal_handler(signal_number, asked_to_stop.set)
     await node.start()
-    for number in ENDING:
-        loop.add_signal_handler(number, node.stop)
+    for signal_number in ENDING:
+        loop.add_signal_handler(signal_number, node.stop)
     if asked_to_stop.is_set():
-        node.stop()  # in order: clients may have come meanwhile
+        node.stop()  # an orderly shutdown, as clients may have connected meanwhile
     gc.collect()
     gc.freeze()
     await node.stopped.wait()
@@ -174,20 +176,22 @@
     ignore_from_now_on(loop)
 
 
-def main(name: str, kind: type[NodeProcess], path: str | None = None, *unusable: type[Exception]) -> int:
-    """Exit codes: 0 ended in order, 1 for what is ``unusable``, 2 settings that can't be used."""
+def main(
+    name: str, node_class: type[NodeProcess], path: str | None = None, *startup_errors: type[Exception]
+) -> int:
+    """Run a process. Exit codes: 0 orderly shutdown, 1 one of ``startup_errors``, 2 invalid settings."""
     import uvloop
 
     path = path or os.environ.get(VARIABLE, "/etc/latchspoke/local.yaml")
-    seen = stamp_of(path)
+    initial_stamp = stamp_of(path)
     try:
         settings = load(path)
-    except SettingsError as e:
-        print(f"{name}: {e}", file=sys.stderr)
+    except SettingsError as error:
+        print(f"{name}: {error}", file=sys.stderr)
         return 2
     try:
-        uvloop.run(run(kind, settings, path, seen))
-    except unusable as e:
-        print(f"{name}: {e}", file=sys.stderr)
+        uvloop.run(run(node_class, settings, path, initial_stamp))
+    except startup_errors as error:
+        print(f"{name}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/latchspoke/transport/__init__.py
+++ b/latchspoke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Netstrings of JSON between the system's own processes; sockets are in ``wire``."""
+"""Communication of the processes: netstrings of JSON between them, HTTP calls, logs and metrics."""
--- a/latchspoke/transport/connection.py
+++ b/latchspoke/transport/connection.py
@@ -1,4 +1,4 @@
-"""Held connections on sockets that carry netstrings of JSON, either way. No decision is made here."""
+"""Persistent connections that carry netstrings of JSON in both directions."""
 
 from __future__ import annotations
 
@@ -12,51 +12,49 @@
 Message = dict[str, Any]
 MessageHandler = Callable[["MessageConnection", Message], None]
 CloseHandler = Callable[["MessageConnection", str], None]
-MAX_UNREAD_BYTES = 8 * 1024 * 1024  # bytes waiting for a peer that doesn't read; it is given up beyond
-USER_TIMEOUT_MS = 2500  # ms that sent bytes may go without an acknowledgement (TCP_USER_TIMEOUT)
+MAX_UNREAD_BYTES = 8 * 1024 * 1024  # in the write buffer before a peer that does not read is dropped
+USER_TIMEOUT_MS = 2500  # TCP_USER_TIMEOUT
 
 
 class MessageConnection(asyncio.Protocol):
-    """One connection. ``heard`` gets each message, ``ended`` the reason, once."""
+    """One connection. ``on_message`` gets each message, ``on_closed`` the reason for the end, once."""
 
     def __init__(
         self,
-        heard: MessageHandler,
-        ended: CloseHandler,
-        begun: Callable[[MessageConnection], None] | None = None,
+        on_message: MessageHandler,
+        on_closed: CloseHandler,
+        on_open: Callable[[MessageConnection], None] | None = None,
     ) -> None:
-        self.on_message, self.on_closed, self.on_open = heard, ended, begun
+        self.on_message, self.on_closed, self.on_open = on_message, on_closed, on_open
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
         self.reason = ""
         self.closed = False
         self.received_bytes = 0  # bytes
-        self.largest_unread_frame = (
-            0  # bytes of the largest frame that is not read yet: one alone may exceed the limit
-        )
+        self.largest_unread_frame = 0  # bytes; a single frame may exceed the limit
         self.peer = ""
-        self.tag: Any = None  # the owner's own
+        self.tag: Any = None  # for use by the owner
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Set socket options and notify the owner."""
         self.transport = cast(asyncio.Transport, transport)
         peer = transport.get_extra_info("peername")
         self.peer = f"{peer[0]}:{peer[1]}" if peer else "?"
-        sock = transport.get_extra_info("socket")
-        if sock is not None:
-            # A machine without power says nothing: what is sent to it must not wait for minutes.
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        raw_socket = transport.get_extra_info("socket")
+        if raw_socket is not None:
+            # A peer that has lost power sends no reset; without this, data sent to it would wait for minutes.
+            raw_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+            raw_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.on_open is not None:
             self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come; what is no netstring of JSON ends the connection."""
+        """Decode messages; malformed input ends the connection."""
         self.received_bytes += len(data)
         try:
             messages = self.decoder.feed(data)
-        except FrameError as e:
-            self.end(str(e))
+        except FrameError as error:
+            self.end(str(error))
             return
         for message in messages:
             if self.closed:
@@ -64,14 +62,14 @@
             if isinstance(message, dict):
                 self.on_message(self, message)
             else:
-                self.end("a message is no object")
+                self.end("message is not a JSON object")
 
     def send(self, message: object) -> bool:
-        """Whether it was taken; what is taken may be lost all the same, if the connection ends."""
+        """Send a message. Returns whether it was queued; it may still be lost if the connection ends."""
         return self.write(encode_frame(message))
 
     def write(self, data: bytes) -> bool:
-        """A frame made before, as one that goes to many."""
+        """Send an encoded frame, as for messages that go to many peers."""
         transport = self.transport
         if transport is None or self.closed or transport.is_closing():
             return False
@@ -79,38 +77,38 @@
         if unread <= MAX_UNREAD_BYTES:
             self.largest_unread_frame = 0
         elif unread > MAX_UNREAD_BYTES + self.largest_unread_frame:
-            self.end("doesn't read")
+            self.end("peer does not read")
             return False
         self.largest_unread_frame = max(self.largest_unread_frame, len(data))
         transport.write(data)
         return True
 
     def end(self, reason: str) -> None:
-        """Break it off; ``reason`` is told to the owner."""
+        """Abort the connection; ``reason`` is passed to the owner."""
         self.reason = self.reason or reason
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
-        self.reason = self.reason or (f"lost: {exc}" if exc else "closed by the peer")
+        """Record the reason and notify the owner."""
+        self.reason = self.reason or (f"connection lost: {exc}" if exc else "closed by the peer")
         self.notify_closed()
 
     def notify_closed(self) -> None:
-        """Tell the owner, once."""
+        """Call ``on_closed``, once."""
         if not self.closed:
             self.closed = True
             self.on_closed(self, self.reason)
 
 
-async def dial(wire: MessageConnection, host: str, port: int, limit: float) -> bool:
-    """Open it within ``limit`` (s); whether it came up. ``ended`` is told if not."""
+async def dial(connection: MessageConnection, host: str, port: int, timeout_s: float) -> bool:
+    """Open a connection within ``timeout_s``. On failure, calls ``on_closed`` and returns False."""
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout(limit):
-            await loop.create_connection(lambda: wire, host, port)
-    except (OSError, TimeoutError) as e:
-        wire.reason = wire.reason or f"never came up: {e!r}"
-        wire.notify_closed()
+        async with asyncio.timeout(timeout_s):
+            await loop.create_connection(lambda: connection, host, port)
+    except (OSError, TimeoutError) as error:
+        connection.reason = connection.reason or f"connection failed: {error!r}"
+        connection.notify_closed()
         return False
     return True
--- a/latchspoke/transport/log.py
+++ b/latchspoke/transport/log.py
@@ -1,7 +1,7 @@
-"""Logs of both programs: one line of key=value pairs an event, on standard error, by ``structlog``.
+"""Structured logging: one line of key=value pairs per event on standard error, by ``structlog``.
 
-Its import takes longer than all else that a process needs to serve, and a process that starts again is an
-outage: events wait in memory until ``open_log``, which is called once the process serves.
+Importing ``structlog`` takes longer than everything else a process needs to start serving, and a restart is
+an outage. Events are therefore buffered until ``open_log`` is called, after the process serves.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from types import ModuleType
 from typing import Any
 
-# Levels of events; all others are told as "info".
+# Events that are not listed have the level "info".
 EVENT_LEVELS = {
     "proof-failed": "error", "register-failed": "error", "disk-refuses": "error",
     "settings-refused": "warning", "configuration-refused": "warning", "feed-gap": "warning",
@@ -23,7 +23,7 @@
 
 
 def log(event: str, **fields: Any) -> None:
-    """One event. Keys of tenants must never be among the fields."""
+    """Log one event. The fields must never contain API keys of tenants."""
     fields["level"] = EVENT_LEVELS.get(event, "info")
     if LOGGER:
         LOGGER[0].info(event, **fields)
@@ -32,23 +32,27 @@
 
 
 def import_structlog() -> ModuleType:
-    """``structlog`` without what it prints tracebacks in colours with, which the command line has brought.
+    """Import ``structlog`` without the packages with which it colours tracebacks.
 
-    ``rich`` takes 40 ms of a processor to load and 4 MB, at a moment when the process serves already; a line
-    of key=value pairs has no use for it.
+    They may be installed for the command line; loading ``rich`` would cost time and memory in a process that
+    already serves, and key=value lines do not need it.
     """
-    absent = {name: None for name in ("rich", "colorama") if name not in sys.modules}
-    sys.modules.update(absent)  # type: ignore[arg-type]
+    hidden = {name: None for name in ("rich", "colorama") if name not in sys.modules}
+    sys.modules.update(hidden)  # type: ignore[arg-type]
     try:
         import structlog
     finally:
-        for name in absent:
+        for name in hidden:
             del sys.modules[name]
     return structlog
 
 
-def open_log(**always: Any) -> None:
-    """From now on lines go out at once; those that waited go first, with the time (s) they waited."""
+def open_log(**bound_fields: Any) -> None:
+    """Write events immediately from now on, after those buffered so far.
+
+    Buffered events get ``waited``, the time in seconds they were buffered. ``bound_fields`` are added to each
+    event.
+    """
     structlog = import_structlog()
     structlog.configure(
         processors=[
@@ -60,8 +64,8 @@
         logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
         cache_logger_on_first_use=True,
     )
-    LOGGER.append(structlog.get_logger().bind(**always))
+    LOGGER.append(structlog.get_logger().bind(**bound_fields))
     now = time.time()
     while BUFFERED_EVENTS:
-        at, event, fields = BUFFERED_EVENTS.popleft()
-        LOGGER[0].info(event, waited=round(now - at, 3), **fields)
+        logged_at, event, fields = BUFFERED_EVENTS.popleft()
+        LOGGER[0].info(event, waited=round(now - logged_at, 3), **fields)
--- a/latchspoke/transport/metrics.py
+++ b/latchspoke/transport/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the text format that Prometheus reads (version 0.0.4)."""
+"""The Prometheus text exposition format (version 0.0.4)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class MetricFamily:
-    """One metric with its samples; ``kind`` as the format names it."""
+    """One metric with its samples; ``kind`` is its type in the format."""
 
     name: str
     help_text: str
@@ -21,13 +21,13 @@
     samples: list[tuple[Labels, float]] = field(default_factory=list)
 
     def add(self, value: float, **labels: str) -> MetricFamily:
-        """One more value, under these labels."""
+        """Add a sample with these labels."""
         self.samples.append((labels, float(value)))
         return self
 
 
 def render(families: Iterable[MetricFamily]) -> str:
-    """The whole text; a family without samples is left out."""
+    """The metrics page; families without samples are left out."""
     lines: list[str] = []
     for family in families:
         if family.samples:
@@ -40,7 +40,7 @@
 
 
 def format_labels(labels: Labels) -> str:
-    """Labels as they stand behind a name."""
+    """Labels as written after a metric name."""
     if not labels:
         return ""
     return (
@@ -49,7 +49,7 @@
 
 
 def format_value(value: float) -> str:
-    """A value as text."""
+    """A sample value as text."""
     if math.isinf(value):
         return "+Inf" if value > 0 else "-Inf"
     return str(int(value)) if value.is_integer() else repr(value)
--- a/latchspoke/transport/netstring.py
+++ b/latchspoke/transport/netstring.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-MAX_FRAME_BYTES = 64 * 1024 * 1024  # bytes of one frame
+MAX_FRAME_BYTES = 64 * 1024 * 1024
 MAX_LENGTH_DIGITS = len(str(MAX_FRAME_BYTES))
 
 ENCODE = msgspec.json.Encoder().encode
@@ -14,45 +14,45 @@
 
 
 class FrameError(ValueError):
-    """What came in is no netstring of JSON; one line."""
+    """Input that is not a netstring of JSON; one line."""
 
 
 def encode_frame(message: object) -> bytes:
-    """One message as bytes. ``message``: anything msgspec writes as JSON."""
+    """Encode one message; ``message`` is anything that msgspec writes as JSON."""
     body = ENCODE(message)
     return b"%d:%b," % (len(body), body)
 
 
 class FrameDecoder:
-    """Cuts a stream of bytes into messages, wherever the pieces end."""
+    """Decodes messages from a byte stream, however it is split."""
 
-    def __init__(self, most: int = MAX_FRAME_BYTES) -> None:
-        self.max_frame_bytes = most
+    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        self.max_frame_bytes = max_frame_bytes
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Any]:
-        """The messages that are whole now. Raises FrameError; then the stream is of no more use."""
+        """The messages completed by ``data``. After a FrameError the stream cannot be used any more."""
         self.buffer += data
-        found: list[Any] = []
+        messages: list[Any] = []
         start = 0
         while True:
             colon = self.buffer.find(b":", start, start + MAX_LENGTH_DIGITS + 1)
             if colon < 0:
                 if len(self.buffer) - start > MAX_LENGTH_DIGITS:
-                    raise FrameError("a frame has no length")
+                    raise FrameError("frame without a length")
                 break
-            digits = bytes(self.buffer[start:colon])
-            if not digits.isdigit() or int(digits) > self.max_frame_bytes:
-                raise FrameError(f"a frame's length is {digits[:20]!r}")
-            end = colon + 1 + int(digits)
+            length_digits = bytes(self.buffer[start:colon])
+            if not length_digits.isdigit() or int(length_digits) > self.max_frame_bytes:
+                raise FrameError(f"invalid frame length: {length_digits[:20]!r}")
+            end = colon + 1 + int(length_digits)
             if end >= len(self.buffer):
                 break
             if self.buffer[end] != 0x2C:
-                raise FrameError("a frame doesn't end where it says")
+                raise FrameError("frame does not end with a comma")
             try:
-                found.append(DECODE(memoryview(self.buffer)[colon + 1 : end].tobytes()))
-            except msgspec.DecodeError as e:
-                raise FrameError(f"a frame is no JSON: {e}") from None
+                messages.append(DECODE(memoryview(self.buffer)[colon + 1 : end].tobytes()))
+            except msgspec.DecodeError as error:
+                raise FrameError(f"frame is not valid JSON: {error}") from None
             start = end + 1
         del self.buffer[:start]
-        return found
+        return messages
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -102,4 +102,8 @@
     wire.transport = cast(Any, transport)
     assert wire.write(b"x" * (MAX_UNREAD_BYTES + 10)) and wire.write(b"beat")
     assert wire.write(b"x" * 10), "still within one frame beyond the limit"
-    assert wire.write(b"x" * MAX_UNREAD_BYTES) and not wire.write(b"beat") and wire.reason == "doesn't read"
+    assert (
+        wire.write(b"x" * MAX_UNREAD_BYTES)
+        and not wire.write(b"beat")
+        and wire.reason == "peer does not read"
+    )
