--- a/tests/dataplane/player.py
+++ b/tests/dataplane/player.py
@@ -1,26 +1,26 @@
-"""Plays a recorded exchange of bytes against a whole data plane: no sockets, and a clock set by hand.
+"""Plays recorded byte exchanges against a complete gateway, without sockets and with a simulated clock.
 
-The steps are those of ``tests.player``, and these. The gateway stands in zone ``waw-a``, next to ``waw-b``
-of the same region and ``krk-a`` of another one. At the beginning it knows configuration 1 below, has just
-proven that it is the newest, and knows of no server.
+The steps are those of ``tests.player`` and the ones below. The gateway is in zone ``waw-a``; ``waw-b`` is in
+the same region, ``krk-a`` in another. At the start it has configuration 1 (see below), a fresh proof that it
+is current, and no servers.
 
     orders {FIELDS}            the next configuration, with these fields of the document replaced
-    evacuate ZONE,ZONE         the operator's word on zones; ``evacuate none`` takes it back
-    proof AGE                  a proof comes that its word is the newest, asked for AGE seconds ago
-    server sN KEY=VALUE ...    news of a server (state, zone, service, cold), at 10.1.0.9:N or its address
-    gateways N                 so many gateways are alive, this one included
-    ready yes | ready no       what the gateway says of itself
-    unproven                   as a process that has just begun: nothing of what it was told has been proven
-    alone | met                it knows of no other process; a control machine has answered it
-    running                    the program has not ended
-    unsent NAME                what was written to this connection has not left the machine yet
-
-Ordinary requests have steps of their own; those that are not ordinary stand as bytes:
-
-    ask NAME ROUTE ID          a client's request on route read, book (runs once at most) or open (no key)
-    sent NAME ROUTE ID         that request has been written to a server, as it must be
-    answer NAME ID             the server's whole answer comes in
-    got NAME ID                that answer, and nothing else, has been written to the client
+    evacuate ZONE,ZONE         the evacuated zones; ``evacuate none`` ends evacuations
+    proof AGE                  a proof that the configuration is current arrives, requested AGE seconds ago
+    server sN KEY=VALUE ...    an update on a server (state, zone, service, cold, address)
+    gateways N                 the number of live gateways, including this one
+    ready yes | ready no       expected readiness
+    unproven                   as in a process that has just started: the configuration was never proven
+    alone | met                no other process is known; a control-plane node is known
+    running                    the process has not ended
+    unsent NAME                data written to this connection is still in the send buffer
+
+Ordinary requests have their own steps; all others are written as bytes:
+
+    ask NAME ROUTE ID          a client request on route read, book (must not be repeated) or open (no key)
+    sent NAME ROUTE ID         that request has been written to a server, as expected
+    answer NAME ID             the complete response of the server arrives
+    got NAME ID                that response, and nothing else, has been written to the client
 """
 
 from __future__ import annotations
@@ -53,11 +53,11 @@
 }  # fmt: skip
 
 
-def rule(name: str, kind: str, service: str = "pool", **more: Any) -> dict[str, Any]:
-    action = {"service": service, "timeoutS": 2, "maxAttempts": 3, "homeRegions": more.pop("homes", [])}
+def rule(name: str, route_kind: str, service: str = "pool", **fields: Any) -> dict[str, Any]:
+    action = {"service": service, "timeoutS": 2, "maxAttempts": 3, "homeRegions": fields.pop("homes", [])}
     match = {"pathPrefix": f"/{name}/"}
-    return {"name": name, "routeKind": kind, "targetLatencyS": 0.4, "matchCriteria": match,
-            "actionSpec": action, **more}  # fmt: skip
+    return {"name": name, "routeKind": route_kind, "targetLatencyS": 0.4, "matchCriteria": match,
+            "actionSpec": action, **fields}  # fmt: skip
 
 
 RULES = [rule("read", "idempotent"), rule("book", "non_idempotent"), rule("open", "idempotent", keyless=True)]
@@ -82,20 +82,22 @@
             self.node = node.Node(settings, self.clock.loop, "local.yaml", cast(Any, self.clock))
         self.node.rng.seed(7)
         self.node.front_listener = cast(Any, self)
-        self.sockets = ()  # of the entrance: nobody has come up there unseen
+        self.sockets = ()  # of the listener: no pending connections
         self.node.sweep(self.clock.now())
         self.node.send_reports(self.clock.now())
-        self.wire = MessageConnection(self.node.subscription.handle_message, lambda wire, reason: None)
-        self.wire.connection_made(cast(Any, FakeTransport(cast(Any, self.wire))))
+        self.connection = MessageConnection(
+            self.node.subscription.handle_message, lambda connection, reason: None
+        )
+        self.connection.connection_made(cast(Any, FakeTransport(cast(Any, self.connection))))
         self.index = self.number = self.sequence = 0
         self.document = {"version": "00000000", **CONFIGURATION}
         self.evacuated: list[str] = []
         self.step("met")
-        self.tell({"k": "whole", "index": 0, "version": 0, "doc": None, "evac": [], "e": []})
+        self.send_change({"k": "whole", "index": 0, "version": 0, "doc": None, "evac": [], "e": []})
         self.step("orders {}")
         self.step("proof 0")
 
-    # What the gateway asks of sockets.
+    # Interface of the sockets.
 
     def is_serving(self) -> bool:
         return True
@@ -114,35 +116,35 @@
 
     # Steps.
 
-    def tell(self, message: Message) -> None:
+    def send_change(self, message: Message) -> None:
         """A numbered change from the control plane."""
         self.number += 1
-        self.wire.data_received(encode_frame(message | {"n": self.number}))
-        assert not self.wire.closed, self.wire.reason
+        self.connection.data_received(encode_frame(message | {"n": self.number}))
+        assert not self.connection.closed, self.connection.reason
 
-    def order(self) -> None:
+    def send_configuration(self) -> None:
         self.index += 1
         version = int(self.document["version"], 16)
         change = {"k": "orders", "index": self.index, "version": version, "evac": self.evacuated}
-        self.tell(change | {"doc": self.document})
+        self.send_change(change | {"doc": self.document})
 
     def own_step(self, head: str, rest: str) -> bool:
         match head:
             case "orders":
                 version = f"{int(self.document['version'], 16) + 1:08x}"
                 self.document = {**self.document, **json.loads(rest), "version": version}
-                self.order()
+                self.send_configuration()
             case "evacuate":
                 self.evacuated = [] if rest == "none" else rest.split(",")
-                self.order()
+                self.send_configuration()
             case "proof":
                 self.node.subscription.pending_proofs[999] = self.clock.now() - float(rest)
                 self.node.subscription.handle_message(
-                    self.wire, {"k": "proven", "t": 999, "index": self.index}
+                    self.connection, {"k": "proven", "t": 999, "index": self.index}
                 )
                 self.node.update_readiness()
             case "server":
-                self.server(*rest.split())
+                self.send_server(*rest.split())
             case "gateways":
                 self.node.dispatcher.live(
                     {f"edge-{n + 1}": "waw-a" for n in range(int(rest))}, self.clock.now()
@@ -157,66 +159,76 @@
                 self.node.lease.proven_at = -math.inf
                 self.node.update_readiness()
             case "alone" | "met":
-                self.met(head == "met")
+                self.set_peer_known(head == "met")
             case "running":
                 assert not self.ended(), "the program has ended"
             case _:
-                return self.ordinary(head, rest)
+                return self.request_step(head, rest)
         return True
 
-    def met(self, met: bool) -> None:
+    def set_peer_known(self, known: bool) -> None:
         alive = self.node.membership_transport.membership.alive
-        if met:
+        if known:
             alive[CORE.name] = CORE
         else:
             del alive[CORE.name]
-        self.node.membership_changed(News("joined" if met else "gone", CORE))
+        self.node.membership_changed(News("joined" if known else "gone", CORE))
 
-    def server(self, name: str, *fields: str) -> None:
-        told = dict(field.split("=") for field in fields)
-        state = ("available", "draining", "gone").index(told.get("state", "available"))
+    def send_server(self, name: str, *fields: str) -> None:
+        values = dict(field.split("=") for field in fields)
+        state = ("available", "draining", "gone").index(values.get("state", "available"))
         self.sequence += 1
         entry: dict[str, Any] = {
             "i": name,
             "t": state,
             "q": self.sequence,
             "n": 6,
-            "a": told.get("address", f"10.1.0.9:{name[1:]}"),
+            "a": values.get("address", f"10.1.0.9:{name[1:]}"),
         }
-        entry |= {"s": told.get("service", "pool"), "z": told.get("zone", "waw-a")}
-        entry |= {"c": float(told.get("cold", 0))}
-        self.tell({"k": "servers", "e": [entry]})
+        entry |= {"s": values.get("service", "pool"), "z": values.get("zone", "waw-a")}
+        entry |= {"c": float(values.get("cold", 0))}
+        self.send_change({"k": "servers", "e": [entry]})
 
-    def ordinary(self, head: str, rest: str) -> bool:
+    def request_step(self, head: str, rest: str) -> bool:
         name, *more = rest.split()
         match head, *more:
             case "ask", route, ident:
                 key = "" if route == "open" else r"Authorization: Token k1\r\n"
                 self.bytes(name, ">", request(route, ident, r"X-Deadline-Remaining: 3000\r\n" + key))
             case "sent", route, ident:
-                server = cast(Any, self.links[name].connection).pool.upstream.ident
-                held = "" if route == "open" else r"X-Tenant-Name: acme\r\n"
-                added = rf"X-Deadline-Remaining: *\r\nX-Expected-Instance: {server}\r\n{held}"
+                instance_id = cast(Any, self.links[name].connection).pool.upstream.ident
+                tenant_header = "" if route == "open" else r"X-Tenant-Name: acme\r\n"
+                added = rf"X-Deadline-Remaining: *\r\nX-Expected-Instance: {instance_id}\r\n{tenant_header}"
                 self.bytes(name, "<", request(route, ident, added))
             case "answer", ident:
-                self.bytes(name, ">", rf"HTTP/1.1 200 OK\r\n{BEGIN.format(ident)}{END.format(ident)}")
+                self.bytes(
+                    name,
+                    ">",
+                    rf"HTTP/1.1 200 OK\r\n{HEADERS.format(ident)}{BODY.format(ident)}",
+                )
             case "got", ident:
-                self.bytes(name, "<", rf"HTTP/1.1 200 OK\r\n{BEGIN.format(ident).lower()}{END.format(ident)}")
+                self.bytes(
+                    name,
+                    "<",
+                    rf"HTTP/1.1 200 OK\r\n{HEADERS.format(ident).lower()}{BODY.format(ident)}",
+                )
             case _:
                 return False
         return True
 
 
-BEGIN = r"X-Attempt-Id: {0}\r\nX-Server-Seal: seal-{0}\r\n"
-END = r"Content-Length: 10\r\n\r\nwhole {0:>4}"
+HEADERS = r"X-Attempt-Id: {0}\r\nX-Server-Seal: seal-{0}\r\n"
+BODY = r"Content-Length: 10\r\n\r\nwhole {0:>4}"
 
 
-def request(route: str, ident: str, added: str) -> str:
-    """As bytes are written in exchanges. Bodies are as long in each."""
-    method, end = (
+def request(route: str, ident: str, headers: str) -> str:
+    """A request as written in exchanges; all bodies have the same length."""
+    method, rest = (
         ("POST", rf"Content-Length: 4\r\n\r\nx{ident[-3:]:>3}") if route == "book" else ("GET", r"\r\n")
     )
-    return rf"{method} /{route}/{ident}?q=1 HTTP/1.1\r\nHost: shop\r\nX-Attempt-Id: {ident}\r\n{added}{end}"
+    return (
+        rf"{method} /{route}/{ident}?q=1 HTTP/1.1\r\nHost: shop\r\nX-Attempt-Id: {ident}\r\n{headers}{rest}"
+    )
 
 
 def play(path: Path) -> None:
--- a/tests/dataplane/test_relay.py
+++ b/tests/dataplane/test_relay.py
@@ -1,4 +1,4 @@
-"""A gateway that forwards between control machines: one connection to each, however much comes at once."""
+"""A gateway relays between control-plane nodes over one connection to each of them."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 TARGET = "10.1.0.11:7601"
 
 
-class Source:
-    """A control machine's connection to the gateway."""
+class FakeConnection:
+    """A control-plane node's connection to the gateway."""
 
     closed = False
     on_message = None
@@ -23,23 +23,25 @@
         return True
 
 
-def test_what_comes_at_once_for_a_machine_goes_on_one_connection() -> None:
-    """Several were opened, all but the first failed with KeyError, and what they were opened for was lost."""
+def test_messages_that_arrive_at_once_use_one_connection() -> None:
+    """Several connections were opened; all but the first failed with KeyError and lost their messages."""
     loop, failures = VirtualLoop(Network(1)), list[dict[str, Any]]()
     loop.set_exception_handler(lambda loop, context: failures.append(context))
-    got: list[Message] = []
-    wires: list[MessageConnection] = []
+    received: list[Message] = []
+    connections: list[MessageConnection] = []
 
-    async def story() -> None:
+    async def scenario() -> None:
         def accepted() -> MessageConnection:
-            wires.append(
-                MessageConnection(lambda wire, message: got.append(message), lambda wire, reason: None)
+            connections.append(
+                MessageConnection(
+                    lambda connection, message: received.append(message), lambda connection, reason: None
+                )
             )
-            return wires[-1]
+            return connections[-1]
 
         await loop.create_server(accepted, "10.1.0.11", 7601)
         relay = Relay(VirtualClock(loop), lambda link: True)
-        source: Any = Source()
+        source: Any = FakeConnection()
         for number in range(3):
             relay.handle_message(source, {"k": "relay", "from": "10.2.0.11:7601", "to": TARGET, "m": number})
         await asyncio.sleep(1.0)
@@ -49,8 +51,8 @@
         await asyncio.sleep(0.1)
 
     try:
-        loop.run_until_complete(story())
+        loop.run_until_complete(scenario())
     finally:
         loop.close()
-    assert not failures and len(wires) == 1
-    assert [message["m"] for message in got] == [0, 1, 2, 3]
+    assert not failures and len(connections) == 1
+    assert [message["m"] for message in received] == [0, 1, 2, 3]
--- a/tests/dataplane/test_session_affinity.py
+++ b/tests/dataplane/test_session_affinity.py
@@ -1,4 +1,4 @@
-"""Three whole data planes without sockets, whose letters are carried by hand: what travels with a caller."""
+"""Session affinity across three complete gateways without sockets; messages are delivered by hand."""
 
 from __future__ import annotations
 
@@ -14,249 +14,265 @@
 from tests.dataplane import player
 from tests.dataplane.player import Player
 
-PLACES = {"edge-1": ("waw-a", "mazowsze"), "edge-2": ("waw-b", "mazowsze"), "edge-3": ("krk-a", "malopolska")}
-TRAVELS = {"whenLost": "refuse", "lookUpS": 0.1}
-KEPT = {"callerFrom": ["tenant"], "exchangeS": 30}
+GATEWAY_LOCATIONS = {
+    "edge-1": ("waw-a", "mazowsze"),
+    "edge-2": ("waw-b", "mazowsze"),
+    "edge-3": ("krk-a", "malopolska"),
+}
+TRAVEL_SETTINGS = {"whenLost": "refuse", "lookUpS": 0.1}
+AFFINITY_SETTINGS = {"callerFrom": ["tenant"], "exchangeS": 30}
 
 
 def rules(**travels: Any) -> str:
-    affinity = {**KEPT, "travels": {**TRAVELS, **travels}}
-    found = [player.rule("read", "idempotent"), player.rule("book", "non_idempotent")]
-    for rule in found:
-        rule["actionSpec"]["affinity"] = affinity
-    return msgspec.json.encode({"listenerList": [{"host": "shop", "ruleSet": found}]}).decode()
+    affinity = {**AFFINITY_SETTINGS, "travels": {**TRAVEL_SETTINGS, **travels}}
+    routes = [player.rule("read", "idempotent"), player.rule("book", "non_idempotent")]
+    for route in routes:
+        route["actionSpec"]["affinity"] = affinity
+    return msgspec.json.encode({"listenerList": [{"host": "shop", "ruleSet": routes}]}).decode()
 
 
-class Sites:
-    """The gateways, with one clock between them as far as each step goes."""
+class GatewayCluster:
+    """Three gateways; each step advances their clocks together."""
 
     def __init__(self, **travels: Any) -> None:
-        self.all: dict[str, Player] = {}
-        self.cut: set[str] = set()
-        self.mail: list[tuple[str, str, bytes]] = []
-        for name, (zone, region) in PLACES.items():
-            own = {"nodeName": name, "zone": zone, "region": region}
-            with patch.dict(player.SETTINGS, own):
-                one = self.all[name] = Player()
+        self.gateways: dict[str, Player] = {}
+        self.cut_off: set[str] = set()
+        self.messages: list[tuple[str, str, bytes]] = []
+        for name, (zone, region) in GATEWAY_LOCATIONS.items():
+            settings = {"nodeName": name, "zone": zone, "region": region}
+            with patch.dict(player.SETTINGS, settings):
+                gateway = self.gateways[name] = Player()
             for server in ("s1", "s2", "s3"):
-                one.step(f"server {server}")
-            one.step(f"orders {rules(**travels)}")
-            assert one.node.session_affinity is not None
+                gateway.step(f"server {server}")
+            gateway.step(f"orders {rules(**travels)}")
+            assert gateway.node.session_affinity is not None
             with patch.object(SessionAffinity, "send"):
-                one.node.session_affinity.update_gateways(self.members(), one.clock.now())
-            one.node.session_affinity.send = self.poster(name)  # type: ignore[method-assign]
-            one.node.update_gateways = lambda: None  # type: ignore[method-assign]
+                gateway.node.session_affinity.update_gateways(self.members(), gateway.clock.now())
+            gateway.node.session_affinity.send = self.message_sender(name)  # type: ignore[method-assign]
+            gateway.node.update_gateways = lambda: None  # type: ignore[method-assign]
         for _ in range(8):
-            self.time(1.0)
+            self.advance(1.0)
 
     def members(self) -> dict[str, Member]:
         return {
-            n: Member(n, "10.1.0.1", 7600, {"zone": zone, "region": region, "role": "edge"}, 0, "1")
-            for n, (zone, region) in PLACES.items()
-            if n not in self.cut
+            name: Member(name, "10.1.0.1", 7600, {"zone": zone, "region": region, "role": "edge"}, 0, "1")
+            for name, (zone, region) in GATEWAY_LOCATIONS.items()
+            if name not in self.cut_off
         }
 
-    def poster(self, name: str) -> Any:
-        def post(to: str, message: dict[str, Any]) -> None:
-            if name not in self.cut and to not in self.cut:
-                self.mail.append((name, to, msgspec.json.encode(message)))
+    def message_sender(self, name: str) -> Any:
+        def send(target: str, message: dict[str, Any]) -> None:
+            if name not in self.cut_off and target not in self.cut_off:
+                self.messages.append((name, target, msgspec.json.encode(message)))
 
-        return post
+        return send
 
-    def carry(self) -> None:
-        while self.mail:
-            sender, to, data = self.mail.pop(0)
-            travel = self.all[to].node.session_affinity
-            assert travel is not None
-            travel.handle_message({"k": "w", "f": sender, "m": msgspec.json.decode(data)})
+    def deliver_messages(self) -> None:
+        while self.messages:
+            sender, target, data = self.messages.pop(0)
+            affinity = self.gateways[target].node.session_affinity
+            assert affinity is not None
+            affinity.handle_message({"k": "w", "f": sender, "m": msgspec.json.decode(data)})
 
-    def time(self, lasts: float) -> None:
-        for one in self.all.values():
-            one.step(f"time {lasts}")
-            one.step("proof 0")
-        self.carry()
+    def advance(self, seconds: float) -> None:
+        for gateway in self.gateways.values():
+            gateway.step(f"time {seconds}")
+            gateway.step("proof 0")
+        self.deliver_messages()
 
-    def do(self, name: str, *lines: str) -> None:
+    def run_steps(self, name: str, *lines: str) -> None:
         for line in lines:
-            self.all[name].step(line)
-        self.carry()
-
-    def up(self, name: str, link: str) -> str:
-        """The connection to a server that has been dialled comes up; its address."""
-        one = self.all[name]
-        (host, port) = one.dialled[0][1]
-        self.do(name, f"dial {link} {host}:{port}")
+            self.gateways[name].step(line)
+        self.deliver_messages()
+
+    def accept_dial(self, name: str, link: str) -> str:
+        """The connection that is being dialed opens; returns its address."""
+        gateway = self.gateways[name]
+        (host, port) = gateway.dialled[0][1]
+        self.run_steps(name, f"dial {link} {host}:{port}")
         return f"{host}:{port}"
 
-    def written(self, name: str, link: str) -> str:
-        """What was written there, taken."""
-        transport = self.all[name].links[link]
+    def take_written(self, name: str, link: str) -> str:
+        """Data written to a connection since the last call."""
+        transport = self.gateways[name].links[link]
         data, transport.written = transport.written.decode(), b""
         return data
 
-    def served(self, name: str, ident: str, route: str = "book") -> str:
-        """A request from its first byte to its answer; the address that served it."""
-        self.do(name, f"open c-{ident}", f"ask c-{ident} {route} {ident}")
-        address = self.up(name, f"t-{ident}")
-        self.do(
-            name, f"sent t-{ident} {route} {ident}", f"answer t-{ident} {ident}", f"got c-{ident} {ident}"
+    def serve(self, name: str, request_id: str, route: str = "book") -> str:
+        """Run a request from its first byte to its response; returns the address of its server."""
+        self.run_steps(name, f"open c-{request_id}", f"ask c-{request_id} {route} {request_id}")
+        address = self.accept_dial(name, f"t-{request_id}")
+        self.run_steps(
+            name,
+            f"sent t-{request_id} {route} {request_id}",
+            f"answer t-{request_id} {request_id}",
+            f"got c-{request_id} {request_id}",
         )
         return address
 
-    def told(self, name: str, ident: str, route: str = "book") -> str:
-        """A request that goes nowhere, and its answer."""
-        self.do(name, f"open c-{name}-{ident}", f"ask c-{name}-{ident} {route} {ident}")
-        assert not self.all[name].dialled
-        return self.written(name, f"c-{name}-{ident}")
+    def reject(self, name: str, request_id: str, route: str = "book") -> str:
+        """Run a request that is not forwarded; returns its response."""
+        self.run_steps(name, f"open c-{name}-{request_id}", f"ask c-{name}-{request_id} {route} {request_id}")
+        assert not self.gateways[name].dialled
+        return self.take_written(name, f"c-{name}-{request_id}")
 
 
 @pytest.fixture
-def sites() -> Sites:
-    return Sites()
+def cluster() -> GatewayCluster:
+    return GatewayCluster()
 
 
-def where(sites: Sites, name: str) -> dict[str, Any]:
-    travel = sites.all[name].node.session_affinity
-    assert travel is not None
-    return travel.record_view("book", "acme", "acme")
+def record_view(cluster: GatewayCluster, name: str) -> dict[str, Any]:
+    affinity = cluster.gateways[name].node.session_affinity
+    assert affinity is not None
+    return affinity.record_view("book", "acme", "acme")
 
 
-def third(sites: Sites) -> str:
-    told = where(sites, "edge-1")
-    return next(name for name in PLACES if name not in (told["owner"], told["copy"]))
+def uninvolved_gateway(cluster: GatewayCluster) -> str:
+    view = record_view(cluster, "edge-1")
+    return next(name for name in GATEWAY_LOCATIONS if name not in (view["owner"], view["copy"]))
 
 
-def test_nothing_is_sent_before_owner_and_copy_have_it_as_open(sites: Sites) -> None:
-    site, told = third(sites), where(sites, "edge-1")
-    sites.all[site].step("open c1")
-    sites.all[site].step("ask c1 book b001")
-    assert not sites.all[site].dialled
-    sites.carry()
-    assert len(sites.all[site].dialled) == 1
-    for name in (told["owner"], told["copy"]):
-        assert where(sites, name)["record"]["fate"] == "open"
+def test_nothing_is_sent_before_owner_and_replica_have_recorded_the_attempt(cluster: GatewayCluster) -> None:
+    origin, view = uninvolved_gateway(cluster), record_view(cluster, "edge-1")
+    cluster.gateways[origin].step("open c1")
+    cluster.gateways[origin].step("ask c1 book b001")
+    assert not cluster.gateways[origin].dialled
+    cluster.deliver_messages()
+    assert len(cluster.gateways[origin].dialled) == 1
+    for name in (view["owner"], view["copy"]):
+        assert record_view(cluster, name)["record"]["fate"] == "open"
 
 
-def test_a_traveller_keeps_its_server_though_the_pool_changes(sites: Sites) -> None:
-    address = sites.served("edge-1", "b001")
-    for one in sites.all.values():
+def test_a_caller_keeps_its_server_across_gateways_when_the_pool_changes(cluster: GatewayCluster) -> None:
+    address = cluster.serve("edge-1", "b001")
+    for gateway in cluster.gateways.values():
         for number in range(4, 60):
-            one.step(f"server s{number}")
-    for _ in range(6):  # their shares grow
-        sites.time(1.0)
-    assert {sites.served(name, f"b00{n}") for n, name in enumerate(PLACES, 2)} == {address}
-    assert {sites.served(name, f"r00{n}", "read") for n, name in enumerate(PLACES, 2)} != set()
-
-
-def test_what_ran_is_told_and_not_run_again(sites: Sites) -> None:
-    sites.served("edge-1", "b001")
-    answer = sites.told("edge-3", "b001")
+            gateway.step(f"server s{number}")
+    for _ in range(6):  # the shares of the new servers grow
+        cluster.advance(1.0)
+    assert {cluster.serve(name, f"b00{suffix}") for suffix, name in enumerate(GATEWAY_LOCATIONS, 2)} == {
+        address
+    }
+    assert {
+        cluster.serve(name, f"r00{suffix}", "read") for suffix, name in enumerate(GATEWAY_LOCATIONS, 2)
+    } != set()
+
+
+def test_an_executed_exchange_is_reported_and_not_run_again(cluster: GatewayCluster) -> None:
+    cluster.serve("edge-1", "b001")
+    answer = cluster.reject("edge-3", "b001")
     assert answer.startswith("HTTP/1.1 409") and "X-Exchange-State: run" in answer
 
 
-def test_a_request_in_flight_at_the_old_site(sites: Sites) -> None:
-    sites.do("edge-1", "open c1", "ask c1 book b001")
-    sites.up("edge-1", "t1")
-    sites.do("edge-1", "sent t1 book b001")
-    answer = sites.told("edge-2", "b002")
+def test_a_request_in_flight_at_the_previous_gateway(cluster: GatewayCluster) -> None:
+    cluster.run_steps("edge-1", "open c1", "ask c1 book b001")
+    cluster.accept_dial("edge-1", "t1")
+    cluster.run_steps("edge-1", "sent t1 book b001")
+    answer = cluster.reject("edge-2", "b002")
     assert answer.startswith("HTTP/1.1 503") and "Retry-After" in answer
-    sites.do("edge-1", "c1 eof")  # its caller is gone; the answer is for the record
-    sites.do("edge-1", "answer t1 b001")
-    assert "X-Exchange-State: run" in sites.told("edge-3", "b001")
-    sites.served("edge-3", "b003")
-
-
-def test_a_server_that_has_ended_leaves_an_unknown_that_is_told_once(sites: Sites) -> None:
-    sites.do("edge-1", "open c1", "ask c1 book b001")
-    address = sites.up("edge-1", "t1")
-    sites.do("edge-1", "sent t1 book b001", "t1 reset")
-    assert sites.written("edge-1", "c1").startswith("HTTP/1.1 502")
-    for one in sites.all.values():
-        one.step(f"server s{address[-1]} state=gone")
-    sites.time(1.1)
-    answer = sites.told("edge-3", "b002")
+    cluster.run_steps("edge-1", "c1 eof")  # its client is gone; the outcome is recorded
+    cluster.run_steps("edge-1", "answer t1 b001")
+    assert "X-Exchange-State: run" in cluster.reject("edge-3", "b001")
+    cluster.serve("edge-3", "b003")
+
+
+def test_a_server_that_is_gone_leaves_an_unknown_fate_that_is_reported_once(cluster: GatewayCluster) -> None:
+    cluster.run_steps("edge-1", "open c1", "ask c1 book b001")
+    address = cluster.accept_dial("edge-1", "t1")
+    cluster.run_steps("edge-1", "sent t1 book b001", "t1 reset")
+    assert cluster.take_written("edge-1", "c1").startswith("HTTP/1.1 502")
+    for gateway in cluster.gateways.values():
+        gateway.step(f"server s{address[-1]} state=gone")
+    cluster.advance(1.1)
+    answer = cluster.reject("edge-3", "b002")
     assert answer.startswith("HTTP/1.1 409") and "X-Exchange-State: unknown\r\nX-Exchange: b001" in answer
-    assert sites.served("edge-3", "b003") != address
-
-
-def test_a_server_restarted_at_its_address_is_not_asked_for_the_one_before() -> None:
-    sites = Sites(askPath="/fate/")
-    sites.do("edge-1", "open c1", "ask c1 book b001")
-    address = sites.up("edge-1", "t1")
-    sites.do("edge-1", "sent t1 book b001", "t1 reset")
-    for one in sites.all.values():
-        one.step(f"server s{address[-1]} state=gone")
-        one.step(f"server s9 address={address}")
-    sites.time(1.1)
-    answer = sites.told("edge-3", "b001")  # nobody is dialled
+    assert cluster.serve("edge-3", "b003") != address
+
+
+def test_a_restarted_server_is_not_asked_about_the_previous_instance() -> None:
+    cluster = GatewayCluster(askPath="/fate/")
+    cluster.run_steps("edge-1", "open c1", "ask c1 book b001")
+    address = cluster.accept_dial("edge-1", "t1")
+    cluster.run_steps("edge-1", "sent t1 book b001", "t1 reset")
+    for gateway in cluster.gateways.values():
+        gateway.step(f"server s{address[-1]} state=gone")
+        gateway.step(f"server s9 address={address}")
+    cluster.advance(1.1)
+    answer = cluster.reject("edge-3", "b001")  # no connection is opened
     assert answer.startswith("HTTP/1.1 409") and "X-Exchange-State: unknown" in answer
-    sites.served("edge-3", "b002")
-
-
-def test_a_server_is_asked_by_the_id_of_its_life_before_anything_is_sent_anew() -> None:
-    sites = Sites(askPath="/fate/")
-    sites.do("edge-1", "open c1", "ask c1 book b001")
-    address = sites.up("edge-1", "t1")
-    sites.do("edge-1", "sent t1 book b001", "t1 reset")
-    sites.written("edge-1", "c1")
-    sites.do("edge-3", "open c2", "ask c2 book b002")
-    assert sites.up("edge-3", "t2") == address
-    asked = sites.written("edge-3", "t2")
-    assert asked.startswith("GET /fate/b001 HTTP/1.1") and f"X-Expected-Instance: s{address[-1]}" in asked
-    assert "X-Tenant-Name: acme" in asked and "Authorization" not in asked
-    ident = next(x for x in asked.split("\r\n") if x.startswith("X-Attempt-Id")).partition(": ")[2]
+    cluster.serve("edge-3", "b002")
+
+
+def test_a_server_is_asked_by_instance_id_before_anything_is_sent_again() -> None:
+    cluster = GatewayCluster(askPath="/fate/")
+    cluster.run_steps("edge-1", "open c1", "ask c1 book b001")
+    address = cluster.accept_dial("edge-1", "t1")
+    cluster.run_steps("edge-1", "sent t1 book b001", "t1 reset")
+    cluster.take_written("edge-1", "c1")
+    cluster.run_steps("edge-3", "open c2", "ask c2 book b002")
+    assert cluster.accept_dial("edge-3", "t2") == address
+    query = cluster.take_written("edge-3", "t2")
+    assert query.startswith("GET /fate/b001 HTTP/1.1") and f"X-Expected-Instance: s{address[-1]}" in query
+    assert "X-Tenant-Name: acme" in query and "Authorization" not in query
+    ident = next(line for line in query.split("\r\n") if line.startswith("X-Attempt-Id")).partition(": ")[2]
     head = f"HTTP/1.1 200 OK\\r\\nX-Attempt-Id: {ident}\\r\\nX-Server-Seal: s\\r\\nX-Exchange-State: not-run"
-    sites.do("edge-3", f"t2 > {head}\\r\\nContent-Length: 0\\r\\n\\r\\n", "time 0.1")
-    sites.up("edge-3", "t3") if sites.all["edge-3"].dialled else None
+    cluster.run_steps("edge-3", f"t2 > {head}\\r\\nContent-Length: 0\\r\\n\\r\\n", "time 0.1")
+    cluster.accept_dial("edge-3", "t3") if cluster.gateways["edge-3"].dialled else None
     link = next(
-        n for n in ("t2", "t3") if n in sites.all["edge-3"].links and sites.all["edge-3"].links[n].written
+        name
+        for name in ("t2", "t3")
+        if name in cluster.gateways["edge-3"].links and cluster.gateways["edge-3"].links[name].written
     )
-    sites.do("edge-3", f"sent {link} book b002", f"answer {link} b002", "got c2 b002")
+    cluster.run_steps("edge-3", f"sent {link} book b002", f"answer {link} b002", "got c2 b002")
 
 
-def test_a_record_that_can_not_be_had_is_refused_or_goes_by_placement(sites: Sites) -> None:
-    owner = where(sites, "edge-1")["owner"]
-    site = next(name for name in PLACES if name != owner)
-    sites.cut.add(owner)  # and nobody has seen it yet
-    sites.do(site, "open c1", "ask c1 book b001", "open c2", "ask c2 read r001", "time 0.15")
-    assert sites.written(site, "c1").startswith("HTTP/1.1 503")
-    sites.up(site, "t2")
-    sites.do(site, "sent t2 read r001", "answer t2 r001", "got c2 r001")
+def test_a_request_whose_record_is_unavailable_is_refused_or_placed_anew(cluster: GatewayCluster) -> None:
+    owner = record_view(cluster, "edge-1")["owner"]
+    origin = next(name for name in GATEWAY_LOCATIONS if name != owner)
+    cluster.cut_off.add(owner)  # not yet noticed by the other gateways
+    cluster.run_steps(origin, "open c1", "ask c1 book b001", "open c2", "ask c2 read r001", "time 0.15")
+    assert cluster.take_written(origin, "c1").startswith("HTTP/1.1 503")
+    cluster.accept_dial(origin, "t2")
+    cluster.run_steps(origin, "sent t2 read r001", "answer t2 r001", "got c2 r001")
 
 
-def test_a_site_that_stood_still_before_the_first_byte_sends_nothing(sites: Sites) -> None:
-    sites.do("edge-1", "open c1", "ask c1 book b001")
-    one = sites.all["edge-1"]
-    one.clock.loop.now += 3.0  # no timer has been called
-    (host, port) = one.dialled[0][1]
-    sites.do("edge-1", f"dial t1 {host}:{port}")
-    assert not sites.written("edge-1", "t1")
+def test_a_gateway_that_was_suspended_before_the_first_byte_sends_nothing(cluster: GatewayCluster) -> None:
+    cluster.run_steps("edge-1", "open c1", "ask c1 book b001")
+    gateway = cluster.gateways["edge-1"]
+    gateway.clock.loop.now += 3.0  # no timer has been called
+    (host, port) = gateway.dialled[0][1]
+    cluster.run_steps("edge-1", f"dial t1 {host}:{port}")
+    assert not cluster.take_written("edge-1", "t1")
 
 
-def test_an_operator_sees_and_moves_a_caller(sites: Sites) -> None:
-    address = sites.served("edge-1", "b001")
-    other = next(n for n in ("s1", "s2", "s3") if n[-1] != address[-1])
-    travel = sites.all["edge-2"].node.session_affinity
-    assert travel is not None
+def test_an_operator_sees_and_moves_a_caller(cluster: GatewayCluster) -> None:
+    address = cluster.serve("edge-1", "b001")
+    other = next(server for server in ("s1", "s2", "s3") if server[-1] != address[-1])
+    affinity = cluster.gateways["edge-2"].node.session_affinity
+    assert affinity is not None
 
-    async def move(to: str) -> tuple[int, dict[str, Any]]:
-        assert travel is not None
-        task = asyncio.ensure_future(travel.move_caller("book", "acme", "acme", to))
+    async def move(target: str) -> tuple[int, dict[str, Any]]:
+        assert affinity is not None
+        task = asyncio.ensure_future(affinity.move_caller("book", "acme", "acme", target))
         for _ in range(10):
             await asyncio.sleep(0)
-            sites.carry()
+            cluster.deliver_messages()
         return await task
 
-    sites.do("edge-2", "server s8", "server s8 state=draining")
-    status, told = asyncio.run(move("s8"))
-    assert status == 400 and told["errorText"].endswith("gets no requests now: draining")
-    status, told = asyncio.run(move(other))
-    assert status == 200 and told["moved"]["life"] == other
-    assert sites.served("edge-3", "b002")[-1] == other[-1]
-    assert where(sites, where(sites, "edge-1")["owner"])["record"]["life"] == other
-
-
-def test_a_route_that_does_not_ask_loads_and_changes_nothing() -> None:
-    one = Player()
-    assert one.node.session_affinity is None
-    assert not isinstance(one.node.core.gateway, SessionAffinity) and one.node.core.ports is one.node.ports
+    cluster.run_steps("edge-2", "server s8", "server s8 state=draining")
+    status, result = asyncio.run(move("s8"))
+    assert status == 400 and result["errorText"].endswith("gets no requests now: draining")
+    status, result = asyncio.run(move(other))
+    assert status == 200 and result["moved"]["life"] == other
+    assert cluster.serve("edge-3", "b002")[-1] == other[-1]
+    assert record_view(cluster, record_view(cluster, "edge-1")["owner"])["record"]["life"] == other
+
+
+def test_without_a_route_that_needs_it_nothing_is_loaded() -> None:
+    gateway = Player()
+    assert gateway.node.session_affinity is None
+    assert (
+        not isinstance(gateway.node.core.gateway, SessionAffinity)
+        and gateway.node.core.ports is gateway.node.ports
+    )
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -89,7 +89,7 @@
     node = scene.player.node
     node.subscription.pending_proofs[7] = node.clock.now()
     node.subscription.handle_message(
-        scene.player.wire, {"k": "proven", "t": 7, "index": scene.player.index, "age": age}
+        scene.player.connection, {"k": "proven", "t": 7, "index": scene.player.index, "age": age}
     )
 
 
@@ -135,13 +135,13 @@
         "evac": [],
         "e": [],
     }
-    player.tell(told)
+    player.send_change(told)
 
 
 @when("a change comes whose number doesn't follow")
 def gap(scene: Scene) -> None:
     scene.player.number += 1
-    cast(Any, scene.player.wire.transport).written = b""
+    cast(Any, scene.player.connection.transport).written = b""
     scene.play("orders {}")
 
 
@@ -190,7 +190,7 @@
 
 @then("the gateway asks for the whole")
 def asks(scene: Scene) -> None:
-    said = FrameDecoder().feed(cast(FakeTransport, scene.player.wire.transport).written)
+    said = FrameDecoder().feed(cast(FakeTransport, scene.player.connection.transport).written)
     assert {"k": "again", "version": scene.player.node.published_state.orders.version} in said
 
 
--- a/tests/transport/test_log_loads.py
+++ b/tests/transport/test_log_loads.py
@@ -1,4 +1,4 @@
-"""What a process loads to write its log: nothing that only prints in colours."""
+"""Opening the log must not import packages that only serve to print in colours."""
 
 from __future__ import annotations
 
@@ -15,6 +15,6 @@
 """
 
 
-def test_a_log_line_brings_no_colours_with_it() -> None:
+def test_opening_the_log_imports_no_terminal_packages() -> None:
     run = subprocess.run([sys.executable, "-c", SCRIPT], capture_output=True, text=True, check=True)
     assert "event=serves" in run.stderr and "node=n" in run.stderr
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -1,4 +1,4 @@
-"""Frames however they are cut, and calls at a door."""
+"""Framing of messages, and the HTTP server for calls."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 from latchspoke.transport.netstring import FrameDecoder, FrameError, encode_frame
 
 
-def test_frames_come_out_whole_wherever_the_stream_is_cut() -> None:
+def test_frames_are_decoded_however_the_stream_is_split() -> None:
     print("seed 1")
-    draw = Random(1)
-    messages = [{"k": "x" * draw.randrange(200), "n": n} for n in range(50)]
-    stream, frames, found = b"".join(encode_frame(each) for each in messages), FrameDecoder(), []
+    rng = Random(1)
+    messages = [{"k": "x" * rng.randrange(200), "n": n} for n in range(50)]
+    stream, decoder, decoded = b"".join(encode_frame(message) for message in messages), FrameDecoder(), []
     while stream:
-        cut = draw.randrange(1, 90)
-        found += frames.feed(stream[:cut])
-        stream = stream[cut:]
-    assert found == messages and not frames.buffer
+        size = rng.randrange(1, 90)
+        decoded += decoder.feed(stream[:size])
+        stream = stream[size:]
+    assert decoded == messages and not decoder.buffer
 
 
 @pytest.mark.parametrize(
     "data", [b"5:abcde", b"x:", b":{},", b"-1:a,", b"99999999999", b"2:{}x", b"1:{,", b"70000000:"]
 )
-def test_what_is_no_frame_ends_the_stream(data: bytes) -> None:
+def test_malformed_frames_raise_an_error(data: bytes) -> None:
     with pytest.raises(FrameError):
         FrameDecoder().feed(data + b",")
 
 
-def asked(data: bytes) -> bytes:
-    """What a door writes to a caller that sends this."""
+def exchange(data: bytes) -> bytes:
+    """What the server writes to a client that sends this."""
     loop = VirtualLoop(Network(1))
-    got: list[bytes] = []
+    received: list[bytes] = []
 
     def handler(method: str, target: str, body: bytes, caller: Caller) -> Any:
         async def later() -> Response:
@@ -51,9 +51,9 @@
 
     class Caller(asyncio.Protocol):
         def data_received(self, data: bytes) -> None:
-            got.append(data)
+            received.append(data)
 
-    async def story() -> None:
+    async def scenario() -> None:
         await loop.create_server(lambda: HttpServerConnection(handler), "h", 1)
         transport, _ = await loop.create_connection(Caller, "h", 1)
         for i in range(0, len(data), 7):
@@ -63,47 +63,47 @@
         await asyncio.sleep(1.0)
 
     try:
-        loop.run_until_complete(story())
+        loop.run_until_complete(scenario())
     finally:
         loop.close()
-    return b"".join(got)
+    return b"".join(received)
 
 
-def test_a_door_answers_calls_in_their_order() -> None:
+def test_calls_are_answered_in_order() -> None:
     later = b"GET /later HTTP/1.1\r\n\r\n"
     now = b"POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
-    told = asked(later + now + later + now)
-    assert [part.partition(b"\r\n\r\n")[2][:8] for part in told.split(b"HTTP/1.1 ")[1:]] == [
+    answer = exchange(later + now + later + now)
+    assert [part.partition(b"\r\n\r\n")[2][:8] for part in answer.split(b"HTTP/1.1 ")[1:]] == [
         b'{"later"', b'{"now":"', b'{"later"', b'{"now":"',
     ]  # fmt: skip
 
 
-def test_a_door_says_what_it_cannot_take_and_closes() -> None:
-    assert asked(b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 400 ")
-    told = asked(b"GET /bad HTTP/1.1\r\n\r\n")
-    assert told.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in told
+def test_malformed_and_failing_calls_are_answered_and_close_the_connection() -> None:
+    assert exchange(b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 400 ")
+    answer = exchange(b"GET /bad HTTP/1.1\r\n\r\n")
+    assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in answer
 
 
-def test_a_door_answers_the_call_under_way_before_it_tells_of_what_it_cannot_take() -> None:
-    """The caller took 400 for the answer to its call, which was carried out."""
-    told = asked(b"GET /later HTTP/1.1\r\n\r\n" + b"nonsense\r\n\r\n")
-    first, second = told.split(b"HTTP/1.1 ")[1:]
+def test_the_call_in_progress_is_answered_before_malformed_input_is_rejected() -> None:
+    """The client took 400 for the answer to its call, which had been executed."""
+    answer = exchange(b"GET /later HTTP/1.1\r\n\r\n" + b"nonsense\r\n\r\n")
+    first, second = answer.split(b"HTTP/1.1 ")[1:]
     assert first.startswith(b"200 ") and second.startswith(b"400 ") and b"Connection: close" in second
 
 
-def test_one_frame_may_exceed_what_waits_unread_but_not_two() -> None:
-    """A configuration of ten megabytes ended its connection with the heartbeat behind it, for ever."""
-    waiting = [0]
-    wire = MessageConnection(lambda wire, message: None, lambda wire, reason: None)
+def test_one_frame_may_exceed_the_write_buffer_limit_but_not_two() -> None:
+    """A large configuration ended its connection together with the heartbeat behind it, again and again."""
+    buffered_bytes = [0]
+    connection = MessageConnection(lambda connection, message: None, lambda connection, reason: None)
     transport = SimpleNamespace(
-        is_closing=lambda: False, get_write_buffer_size=lambda: waiting[0], abort=lambda: None,
-        write=lambda data: waiting.__setitem__(0, waiting[0] + len(data)),
+        is_closing=lambda: False, get_write_buffer_size=lambda: buffered_bytes[0], abort=lambda: None,
+        write=lambda data: buffered_bytes.__setitem__(0, buffered_bytes[0] + len(data)),
     )  # fmt: skip
-    wire.transport = cast(Any, transport)
-    assert wire.write(b"x" * (MAX_UNREAD_BYTES + 10)) and wire.write(b"beat")
-    assert wire.write(b"x" * 10), "still within one frame beyond the limit"
+    connection.transport = cast(Any, transport)
+    assert connection.write(b"x" * (MAX_UNREAD_BYTES + 10)) and connection.write(b"beat")
+    assert connection.write(b"x" * 10), "still within one frame beyond the limit"
     assert (
-        wire.write(b"x" * MAX_UNREAD_BYTES)
-        and not wire.write(b"beat")
-        and wire.reason == "peer does not read"
+        connection.write(b"x" * MAX_UNREAD_BYTES)
+        and not connection.write(b"beat")
+        and connection.reason == "peer does not read"
     )
