--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -34,7 +34,7 @@
     def arrived(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
         """Register a fully received request; the caller then calls ``begin``."""
         flow = self.flows[request.request] = Flow(request, message, client, now)
-        flow.timer = self.ports.schedule(flow.until, lambda late: self.expire(flow, late))
+        flow.timer = self.ports.schedule(flow.until, lambda when: self.expire(flow, when))
         self.stats["flows.taken"] += 1
         return flow
 
--- a/latchspoke/dataplane/downstream.py
+++ b/latchspoke/dataplane/downstream.py
@@ -89,8 +89,8 @@
         except httptools.HttpParserUpgrade:
             # The request may be complete and in flight; its response is then the last one here.
             self.reject(FramingError(0 if self.busy else 400, "upgrade"))
-        except ParserError as e:
-            self.reject(parse_error(e))
+        except ParserError as error:
+            self.reject(parse_error(error))
 
     def reject(self, fault: FramingError) -> None:
         """Answer malformed input with an error and close, after the request that is in flight."""
--- a/latchspoke/dataplane/explain.py
+++ b/latchspoke/dataplane/explain.py
@@ -49,23 +49,25 @@
     """Always draws 0.5, so that scores have no random part."""
 
     def random(self) -> float:
+        """Always 0.5."""
         return 0.5
 
 
 @contextmanager
-def without_randomness(stock: Stock) -> Iterator[None]:
-    rng, stock.draw = stock.draw, MidpointRandom()
+def without_randomness(balancer: Stock) -> Iterator[None]:
+    """Let scores be computed without their random part inside the context."""
+    rng, balancer.draw = balancer.draw, MidpointRandom()
     try:
         yield
     finally:
-        stock.draw = rng
+        balancer.draw = rng
 
 
 def explain(
     table: Table,
     request: ExplainRequest,
     now: float,
-    stock: Stock | None = None,
+    balancer: Stock | None = None,
     dispatcher: Dispatcher | None = None,
 ) -> dict[str, Any]:
     """Explain a request: ``outcome`` is the result, ``because`` a one-line reason, the rest the evidence."""
@@ -95,19 +97,19 @@
         result["quota"] = explain_quota(dispatcher, tenant, now)
     regions = homes_of(route.homes, tenant.homes if tenant is not None else frozenset())
     result["homes"] = None if regions is None else sorted(regions)
-    if stock is None:
+    if balancer is None:
         return result | {
             "outcome": "forwarded",
             "because": "by the configuration alone; no servers are known",
         }
-    with without_randomness(stock):
+    with without_randomness(balancer):
         result["servers"] = {
-            service: candidates(stock, service, route, regions, now) for service, _ in route.split
+            service: candidates(balancer, service, route, regions, now) for service, _ in route.split
         }
     if route.affinity is not None:
         caller = request.caller or caller_without_headers(route, request.path, tenant)
         if caller:
-            result["caller"] = explain_affinity(caller, route, stock, dispatcher, regions, now)
+            result["caller"] = explain_affinity(caller, route, balancer, dispatcher, regions, now)
     return result | outcome_of(result)
 
 
@@ -119,7 +121,7 @@
 
 
 def explain_affinity(
-    caller: str, route: Route, stock: Stock, dispatcher: Dispatcher | None, regions: frozenset[str] | None,
+    caller: str, route: Route, balancer: Stock, dispatcher: Dispatcher | None, regions: frozenset[str] | None,
     now: float,
 ) -> dict[str, Any]:  # fmt: skip
     """The server a caller is bound to and why; ``id``: its instance, if it is the caller's own server."""
@@ -127,7 +129,9 @@
     from barleyhub.affinity.order import key_of, service_of
 
     assert route.affinity is not None
-    berths = dispatcher.berths if dispatcher is not None and dispatcher.berths is not None else Berths(stock)
+    berths = (
+        dispatcher.berths if dispatcher is not None and dispatcher.berths is not None else Berths(balancer)
+    )
     service = service_of(key_of(caller.encode()), route.split)
     result = berths.explain(caller, route.affinity.near, service, regions, now)
     upstream = berths.sheds[service].upstreams.get(result["goes_to"] or "")
@@ -136,10 +140,12 @@
 
 
 def tenant_by_name(table: Table, name: str) -> Tenant | None:
+    """The tenant of this name, or None."""
     return next((tenant for tenant in table.tenants.values() if tenant.name == name), None)
 
 
 def explain_no_route(table: Table, request: ExplainRequest) -> dict[str, Any]:
+    """The outcome for a request that no route matches: unknown host, or no matching prefix."""
     prefixes = [
         route.prefix for route in table.routes.values() if plain_host(route.host) == plain_host(request.host)
     ]
@@ -151,6 +157,7 @@
 
 
 def explain_route(route: Route, table: Table, request: ExplainRequest) -> dict[str, Any]:
+    """The matched route; ``shorter_prefixes``: routes of the host that match as well, less specifically."""
     start, shares = 0.0, []
     for service, end in route.split:
         shares.append({"service": service, "share": round(end - start, 4)})
@@ -172,6 +179,7 @@
 
 
 def explain_quota(dispatcher: Dispatcher, tenant: Tenant, now: float) -> dict[str, Any]:
+    """The tenant's quota as known here; a tenant without recent requests has no account yet."""
     account = dispatcher.accounts.get(tenant.name)
     if account is None:
         return {"known": False, "gate": 1.0, "fits": True}
@@ -182,31 +190,33 @@
 
 
 def candidates(
-    stock: Stock, service: str, route: Route, regions: frozenset[str] | None, now: float
+    balancer: Stock, service: str, route: Route, regions: frozenset[str] | None, now: float
 ) -> list[dict[str, Any]]:
     """All servers of a service: the preferred one first, those that may not be taken last."""
-    usual_s = stock.usual.get(route.name, GUESS * route.aim)
+    usual_s = balancer.usual.get(route.name, GUESS * route.aim)
     servers = []
-    for upstream in stock.services.get(service, {}).values():
-        reasons = exclusion_reasons(stock, upstream, regions, now)
-        entry = server_view(stock, upstream, now) | {"barred": reasons}
-        wait = stock.headway.wait(service, upstream.region, now)
-        entry["expected_s"] = None if reasons else round(stock.score(upstream, usual_s, now, wait), 4)
+    for upstream in balancer.services.get(service, {}).values():
+        reasons = exclusion_reasons(balancer, upstream, regions, now)
+        entry = server_view(balancer, upstream, now) | {"barred": reasons}
+        wait = balancer.headway.wait(service, upstream.region, now)
+        entry["expected_s"] = None if reasons else round(balancer.score(upstream, usual_s, now, wait), 4)
         servers.append(entry)
     return sorted(servers, key=lambda item: (bool(item["barred"]), item["expected_s"] or 0.0, item["id"]))
 
 
 def exclusion_reasons(
-    stock: Stock, upstream: Upstream, regions: frozenset[str] | None, now: float
+    balancer: Stock, upstream: Upstream, regions: frozenset[str] | None, now: float
 ) -> list[str]:
     """Reason codes for which a server may not be taken at all."""
     reasons = [
-        code for code in avoidance_reasons(stock, upstream, now) if code in ("gone", "draining", "evacuated")
+        code
+        for code in avoidance_reasons(balancer, upstream, now)
+        if code in ("gone", "draining", "evacuated")
     ]
     if regions is not None and upstream.region not in regions:
         reasons.append("outside_homes")
-    if stock.cold(upstream, now):
-        allowance = stock.allowance(upstream)
+    if balancer.cold(upstream, now):
+        allowance = balancer.allowance(upstream)
         if not allowance:
             reasons.append("cold_dealt_to_others")
         elif not upstream.sent.free(allowance, now):
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -65,9 +65,11 @@
         self.upstream_pools, self.clock = upstream_pools, clock
 
     def forward(self, forward: Forward) -> None:
+        """Send a forward to its server."""
         self.upstream_pools.forward(forward)
 
     def drop(self, forward: Forward) -> None:
+        """Cancel a forward."""
         self.upstream_pools.drop(forward)
 
     def count(self, name: int, amount: float, life: float) -> None:
@@ -75,6 +77,7 @@
         self.usage_reports.send_due_reports(self.clock.now())
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
+        """Call ``call`` at a time (s, by the clock of the process)."""
         return self.clock.schedule(when, call)
 
 
@@ -95,6 +98,7 @@
     PORT_OFFSET = GATEWAY_PORT_OFFSET
 
     def build(self) -> None:
+        """Create the parts of the gateway and connect them."""
         settings, self.stats = self.settings, Stats()
         self.shared = Shared(self.clock, self.stats, Sockets(settings.descriptors - 200), Dialer(self.loop))
         bound = settings.bound
@@ -162,6 +166,7 @@
         self.registry_swept_at = self.started_at
 
     def meta(self, ready: bool) -> dict[str, Any]:
+        """What other members learn about this gateway."""
         settings = self.settings
         front = settings.listen.get("frontPlain", ("", 0))
         return {
@@ -183,6 +188,7 @@
     # Authorization.
 
     def now(self) -> float:
+        """Current time in seconds."""
         return self.clock.now()
 
     def current_epoch(self) -> Epoch | None:
@@ -222,6 +228,7 @@
         return control_sources + gateway_sources
 
     def state_changed(self, configuration_changed: bool, entries: list[Entry]) -> None:
+        """Apply a changed configuration and changed servers from the subscription."""
         now = self.clock.now()
         if configuration_changed:
             self.apply_configuration(now)
@@ -241,6 +248,7 @@
             self.state_changed(False, entries)
 
     def apply_configuration(self, now: float) -> None:
+        """Apply a new version of the configuration and the evacuated zones."""
         configuration = self.published_state.orders
         assert configuration.doc is not None or not configuration.version
         if configuration.doc is not None and (
@@ -278,6 +286,7 @@
             log("evacuated", zones=",".join(sorted(configuration.evacuated)))
 
     def apply_server(self, entry: Entry, now: float) -> None:
+        """Pass an update on a server to the balancer."""
         host, _, port = entry.address.rpartition(":")
         region = self.settings.zones.get(entry.zone, entry.zone)
         self.balancer.put(
@@ -355,6 +364,7 @@
             connection.send({"k": "proven", "t": proof_id})
 
     def membership_changed(self, change: News) -> None:
+        """React to changes of the membership; only joins and departures are logged."""
         if change.kind in ("joined", "gone", "changed"):
             self.schedule_gateways_update()
             self.update_readiness()
@@ -427,6 +437,7 @@
     # Messages and calls.
 
     def handle_message(self, connection: MessageConnection, message: Message) -> None:
+        """A message of another gateway: usage reports, subscriptions or session records."""
         if message.get("k") in ("c", "counts", "heir"):
             self.usage_reports.handle_message(connection, message)
         elif (
@@ -439,6 +450,7 @@
     def handle_request(
         self, method: str, target: str, body: bytes, caller: Caller = LOCAL_CALLER
     ) -> Response | Awaitable[Response]:
+        """Handle an HTTP call on the readiness address."""
         if target == "/caller":
             if self.session_affinity is None:
                 return 404, {"errorText": "no route's affinity travels"}
@@ -448,6 +460,7 @@
         return self.handle_query(method, target, body)
 
     def handle_query(self, method: str, target: str, body: bytes) -> tuple[int, Any]:
+        """Readiness, the status views and the reachability view."""
         path, _, query = target.partition("?")
         if path == "/reach":
             from latchspoke.reach import show
@@ -462,6 +475,7 @@
     # Lifecycle.
 
     async def start(self) -> None:
+        """Open the listeners and start the periodic work. Raises OSError."""
         settings = self.settings
         front_address, readiness_address = settings.listen["frontPlain"], settings.listen.get("readiness")
         create_server = self.loop.create_server
@@ -482,6 +496,7 @@
         self.serving_started(front=f"{front_address[0]}:{front_address[1]}")
 
     def sweep(self, now: float) -> None:
+        """Periodic work: expire connections and state, re-read settings, log counters."""
         self.clock.schedule(now + SWEEP_INTERVAL_S, self.sweep)
         self.upstream_pools.sweep(now)
         self.relay.sweep(now)
@@ -550,6 +565,7 @@
         self.clock.schedule(self.stopping_at + 0.05, self.drain)
 
     def drain(self, now: float) -> None:
+        """Check whether requests are finished or the grace period is over; then shut down."""
         grace_s = self.settings.bound("graceS", 6.0)
         elapsed = now - self.stopping_at
         accept_overdue = elapsed > grace_s * LISTEN_FRACTION + GRACE
@@ -572,6 +588,7 @@
             self.clock.schedule(now + 0.05, self.drain)
 
     def shut_down(self) -> None:
+        """Leave the membership and close everything."""
         if self.session_affinity is not None:
             self.session_affinity.hand_off(self.clock.now())
         self.membership_transport.leave()
--- a/latchspoke/dataplane/session_affinity.py
+++ b/latchspoke/dataplane/session_affinity.py
@@ -52,6 +52,7 @@
 
     @property
     def until(self) -> float:
+        """The earlier of both limits."""
         return min(self.epoch.until, self.latest) if self.epoch is not None else self.latest
 
     @until.setter
@@ -84,14 +85,17 @@
         self.on_state = on_state
 
     def served(self, response: object) -> None:
+        """Report the state that the response carries; anything unexpected counts as unknown."""
         assert isinstance(response, Response)
         states = [value for name, value in response.headers if name == b"x-exchange-state"]
         self.on_state(state_of(states[0]) if len(states) == 1 and response.status == 200 else State.UNKNOWN)
 
     def refused(self, retry_after: float | None) -> None:
+        """The server did not take the query: the fate is unknown."""
         self.on_state(State.UNKNOWN)
 
     def failed(self, failure: object | None) -> None:
+        """The query failed: the fate is unknown."""
         self.on_state(State.UNKNOWN)
 
 
@@ -130,15 +134,18 @@
         self.process_outputs(self.record_store.live(peers, now))
 
     def hand_off(self, now: float) -> None:
+        """Hand the records owned here to other gateways before shutdown."""
         self.process_outputs(self.record_store.leave(now))
 
     def server_known(self, instance_id: str) -> bool:
+        """Whether this server instance is known and not gone."""
         upstream = self.dispatcher.stock.upstreams.get(instance_id)
         return upstream is not None and upstream.state is not ServerState.GONE
 
     # Messages between gateways.
 
     def process_outputs(self, outputs: list[Out]) -> None:
+        """Deliver outputs of the record store: to waiting operators, and to the coordinator."""
         for result in [
             output for output in outputs if isinstance(output, Told) and output.ref in self.operator_calls
         ]:
@@ -159,19 +166,21 @@
             self.enqueue(other_steps)
 
     def enqueue(self, steps: Sequence[Step]) -> None:
+        """Queue steps behind the core's events; the core returns them to ``handle``."""
         self.core.give(CoordinatorSteps(steps), self.clock.now())  # type: ignore[arg-type]
 
     def send(self, gateway: str, message: Message) -> None:
-        counts = self.node.usage_reports
-        connection = counts.connections.get(gateway)
+        """Send a message to another gateway, or queue it until there is a connection."""
+        usage_reports = self.node.usage_reports
+        connection = usage_reports.connections.get(gateway)
         envelope = {"k": "w", "f": self.record_store.me, "m": message}
         if connection is not None and not self.queued_messages.get(gateway):
             connection.send(envelope)
-        elif gateway in counts.gateways:
+        elif gateway in usage_reports.gateways:
             queue = self.queued_messages.setdefault(gateway, [])
             queue.append(envelope)
             del queue[:-MAX_QUEUED_MESSAGES]
-            counts.connect(gateway, self.clock.now())
+            usage_reports.connect(gateway, self.clock.now())
 
     def flush(self, gateway: str) -> None:
         """Send the queued messages to a gateway whose connection is up."""
@@ -184,6 +193,7 @@
         self.process_outputs(self.record_store.heard(str(message["f"]), message["m"], self.clock.now()))
 
     def tick(self, now: float) -> None:
+        """Periodic work: timeouts of the coordinator, finished requests, and queued messages."""
         self.clock.schedule(now + TICK_INTERVAL_S, self.tick)
         self.run_steps(self.coordinator.tick(now))
         for request_id in [request_id for request_id in self.tracked if request_id not in self.core.flows]:
@@ -197,12 +207,14 @@
                 self.flush(gateway)
 
     def untrack(self, request_id: str) -> None:
+        """Stop managing a request."""
         self.tracked.pop(request_id, None)
         self.coordinator.end(request_id)
 
     # Interface of the dispatcher.
 
     def handle(self, event: api.Event | CoordinatorSteps, now: float) -> list[api.Action]:
+        """Handle events that concern session records; all others go to the dispatcher."""
         match event:
             case Call(route=route, caller=caller) if (
                 caller is not None and travel_settings(route) is not None
@@ -245,10 +257,12 @@
         self.apply_steps(steps, now)
 
     def lookup_overdue(self, request_id: str, now: float) -> None:
+        """The lookup of the record has timed out, unless the request has ended."""
         if request_id in self.tracked:
             self.run_steps(self.coordinator.late(request_id, now))
 
     def apply_steps(self, steps: Sequence[Step], now: float) -> None:
+        """Carry out steps of the coordinator; those for finished requests are skipped."""
         for step in steps:
             if isinstance(step, Letter):
                 self.send(step.to, step.message)
@@ -269,6 +283,7 @@
                     self.attempt_opened(tracked, opened, until, now)
 
     def dispatch(self, tracked: TrackedRequest, record: Bill | None, now: float) -> None:
+        """Pass the call to the dispatcher, bound to the server in its record, if any."""
         call, berths = tracked.call, self.dispatcher.berths
         if tracked.flow.closed:
             return
@@ -278,6 +293,7 @@
         self.actions += self.dispatcher.handle(replace(call, left=max(tracked.flow.until - now, 0.0)), now)
 
     def refuse(self, tracked: TrackedRequest, retry_after: float, reason: str, now: float) -> None:
+        """Refuse the call without executing it; ``retry_after`` in seconds."""
         route = tracked.call.route
         self.dispatcher.refusals.append((now, reason, route.name if route else "", tracked.call.customer))
         self.actions.append(Full(tracked.call.request, retry_after))
@@ -296,6 +312,7 @@
             )
 
     def attempt_ended(self, outcome: api.Outcome, now: float) -> None:
+        """Record the outcome of an attempt or of a fate query."""
         on_state = self.fate_queries.get(outcome.request)
         if on_state is not None:
             on_state(State.UNKNOWN)  # no effect if the query has been answered
@@ -313,6 +330,7 @@
     # Interface of the ports.
 
     def forward(self, forward: Forward) -> None:
+        """Hold the forward of a tracked request until its attempt is recorded as open."""
         tracked = self.tracked.get(forward.flow.request.request)
         upstream = self.dispatcher.stock.upstreams.get(forward.target)
         if tracked is None or upstream is None:
@@ -329,6 +347,7 @@
         )
 
     def attempt_opened(self, tracked: TrackedRequest, opened: bool, until: float, now: float) -> None:
+        """Send the held forward, or give it up if the attempt could not be recorded in time."""
         forward, tracked.pending_forward = tracked.pending_forward, None
         if forward is None or forward.ended:
             return
@@ -346,12 +365,15 @@
         self.ports.forward(forward)
 
     def drop(self, forward: Forward) -> None:
+        """As ``Ports.drop``."""
         self.ports.drop(forward)
 
     def count(self, name: int, amount: float, life: float) -> None:
+        """As ``Ports.count``."""
         self.ports.count(name, amount, life)
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
+        """As ``Ports.schedule``."""
         return self.ports.schedule(when, call)
 
     # Queries to servers.
@@ -436,6 +458,7 @@
         }
 
     def record_key(self, route: str, tenant: str, caller: str) -> tuple[str, bool]:
+        """The key of a session record, and whether affinity of the route spans gateways."""
         from barleyhub.affinity.order import key_of as caller_key
 
         table = self.node.downstream.table
@@ -443,6 +466,7 @@
         return key_of(route, tenant, caller_key(caller.encode())), travel_settings(configured) is not None
 
     def home_regions(self, route: str, tenant: str) -> tuple[str, ...]:
+        """The regions to which requests of this route and tenant are limited; empty: no limit."""
         table = self.node.downstream.table
         configured = table.routes.get(route) if table is not None else None
         tenants = table.tenants.values() if table is not None else ()
@@ -453,21 +477,23 @@
             )
         )
 
-    async def move_caller(self, route: str, tenant: str, caller: str, to: str) -> tuple[int, dict[str, Any]]:
+    async def move_caller(
+        self, route: str, tenant: str, caller: str, server_id: str
+    ) -> tuple[int, dict[str, Any]]:
         """Bind a caller to another server, unless an exchange is open or its fate is unknown."""
         key, affinity_travels = self.record_key(route, tenant, caller)
-        upstream = self.dispatcher.stock.upstreams.get(to)
+        upstream = self.dispatcher.stock.upstreams.get(server_id)
         table = self.node.downstream.table
         configured = table.routes.get(route) if table is not None else None
         if not affinity_travels or configured is None or configured.affinity is None or upstream is None:
             return 400, {"errorText": "no such route with travelling affinity, or no such server"}
         if not any(upstream.service == service for service, _ in configured.split):
-            return 400, {"errorText": f"{to} is not a server of that route"}
+            return 400, {"errorText": f"{server_id} is not a server of that route"}
         allowed_regions = frozenset(self.home_regions(route, tenant)) or None
         berths = self.dispatcher.berths
         reason = berths.barred(upstream, allowed_regions, self.clock.now()) if berths is not None else ""
         if reason:
-            return 400, {"errorText": f"{to} gets no requests now: {reason}"}
+            return 400, {"errorText": f"{server_id} gets no requests now: {reason}"}
         regions, settings = self.home_regions(route, tenant), configured.affinity.travels
         strict = settings is not None and settings.refuse and not configured.repeatable
         lifetime_s = self.coordinator.lasts(configured.affinity.exchange, strict)
@@ -477,12 +503,15 @@
         if result.word == "given" and result.bill is not None:
             if result.bill.unsettled:
                 return 409, {"errorText": "an exchange is open, or its fate is unknown"}
-            record, target = result.bill, Target(upstream.service, to, f"{upstream.host}:{upstream.port}")
+            record, target = (
+                result.bill,
+                Target(upstream.service, server_id, f"{upstream.host}:{upstream.port}"),
+            )
             result = await self.run_for_operator(
                 lambda call_id, now: self.record_store.open(call_id, record, target, now)[1]
             )
             if result.word == "kept" and result.bill is not None:
-                log("caller-moved", route=route, to=to, number="/".join(map(str, result.bill.number)))
+                log("caller-moved", route=route, to=server_id, number="/".join(map(str, result.bill.number)))
                 return 200, {"moved": record_fields(result.bill)}
         return 503, {"errorText": f"the record is unavailable now: {result.word}"}
 
@@ -502,6 +531,7 @@
 
 
 def record_fields(record: Bill) -> dict[str, Any]:
+    """A session record as shown to operators."""
     return {
         "number": list(record.number), "site": record.site, "service": record.service, "life": record.life,
         "address": record.place, "exchange": record.exchange, "attempt": record.attempt,
@@ -510,5 +540,6 @@
 
 
 def travel_settings(route: object) -> Travels | None:
+    """The settings of affinity across gateways, or None if the route has none."""
     affinity = getattr(route, "affinity", None)
     return affinity.travels if isinstance(affinity, Affinity) else None
--- a/latchspoke/dataplane/subscription.py
+++ b/latchspoke/dataplane/subscription.py
@@ -258,6 +258,7 @@
             log("feed-ended", source=connection.peer, why=reason)
 
     def stop(self) -> None:
+        """End ``run`` and close the connection."""
         self.stopped = True
         if self.connection is not None:
             self.connection.end("shutting down")
--- a/latchspoke/dataplane/upstream.py
+++ b/latchspoke/dataplane/upstream.py
@@ -114,8 +114,8 @@
         fault = ""
         try:
             self.parser.feed_data(data)
-        except (*ParserError, httptools.HttpParserUpgrade) as e:
-            fault = parse_error(e).reason
+        except (*ParserError, httptools.HttpParserUpgrade) as error:
+            fault = parse_error(error).reason
         if self.result is not None:
             # Not earlier: further data in the same read must not be taken for the next response.
             self.deliver(fault)
@@ -185,8 +185,8 @@
         body, pairs = self.body, self.header_pairs
         connection_header = headers.get(b"connection", b"").lower()
         if connection_header not in PLAIN_CONNECTION_VALUES:
-            hop = {token.strip() for token in connection_header.split(b",")}
-            pairs = [pair for pair in pairs if pair[0] not in hop]
+            hop_by_hop = {token.strip() for token in connection_header.split(b",")}
+            pairs = [pair for pair in pairs if pair[0] not in hop_by_hop]
         delimited = (
             b"content-length" in headers or headers.get(b"transfer-encoding", b"").lower() == b"chunked"
         )
@@ -322,24 +322,22 @@
         if upstream is None or upstream.state:
             self.core.ended(forward, api.Code.MOOT, now)
             return
-        upstream_pool = self.pools_by_instance.get(upstream.ident)
-        if upstream_pool is None or upstream_pool.upstream is not upstream:
-            if upstream_pool is not None:  # the server was considered gone and has returned
-                upstream_pool.close_idle("server_gone")
-            upstream_pool = self.pools_by_instance[upstream.ident] = UpstreamPool(upstream)
+        pool = self.pools_by_instance.get(upstream.ident)
+        if pool is None or pool.upstream is not upstream:
+            if pool is not None:  # the server was considered gone and has returned
+                pool.close_idle("server_gone")
+            pool = self.pools_by_instance[upstream.ident] = UpstreamPool(upstream)
         route = getattr(forward.flow.request, "route", None)
         cautious = now < self.cautious_until.get(upstream.service, 0.0) and not (
             route is not None and route.repeatable
         )
-        connection = (
-            upstream_pool.acquire(now, CAUTION_MAX_IDLE_S) if cautious else upstream_pool.acquire(now)
-        )
+        connection = pool.acquire(now, CAUTION_MAX_IDLE_S) if cautious else pool.acquire(now)
         if connection is not None:
             connection.forward = forward
             self.write(connection)
             return
         cap = self.connection_caps.get(upstream.service, 0)
-        if cap and upstream_pool.open >= max(
+        if cap and pool.open >= max(
             int(cap * CONNECTION_CAP_FRACTION / len(self.balancer.gateways)), MIN_CONNECTION_CAP
         ):
             self.shared.stats["servers.no_connection"] += 1
@@ -350,8 +348,8 @@
             self.core.ended(forward, api.Code.MOOT, now)
             return
         self.shared.stats["servers.opened"] += 1
-        upstream_pool.open += 1
-        connection = ServerConnection(self, upstream_pool, forward)
+        pool.open += 1
+        connection = ServerConnection(self, pool, forward)
         forward.link = connection
         region_extra = CROSS_REGION_CONNECT_EXTRA_S if upstream.region != self.balancer.region else 0.0
         connection.dial((upstream.host, upstream.port), CONNECT_TIMEOUT_S + region_extra)
@@ -402,18 +400,16 @@
 
     def sweep(self, now: float) -> None:
         """Close connections that have been idle too long, and forget servers that are gone."""
-        for ident, upstream_pool in list(self.pools_by_instance.items()):
-            upstream_pool.sweep(now)
-            if upstream_pool.upstream.state:
-                upstream_pool.close_idle("server_gone")
-                if not upstream_pool.open:
-                    del self.pools_by_instance[ident]
+        for instance_id, pool in list(self.pools_by_instance.items()):
+            pool.sweep(now)
+            if pool.upstream.state:
+                pool.close_idle("server_gone")
+                if not pool.open:
+                    del self.pools_by_instance[instance_id]
 
     def close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest, over all servers."""
-        idle_lists = [
-            upstream_pool.idle for upstream_pool in self.pools_by_instance.values() if upstream_pool.idle
-        ]
+        idle_lists = [pool.idle for pool in self.pools_by_instance.values() if pool.idle]
         if not idle_lists:
             return False
         min(idle_lists, key=lambda idle: idle[0].idle_since).pop(0).end("sockets")
--- a/latchspoke/dataplane/usage_reports.py
+++ b/latchspoke/dataplane/usage_reports.py
@@ -68,7 +68,7 @@
         """
         self.gateways = gateways
         self.eligible_owners = {
-            name: at for name, at in gateways.items() if name not in ineligible
+            name: address for name, address in gateways.items() if name not in ineligible
         } or gateways
         self.owned_quotas.cautious, self.owned_quotas.gateways = cautious, max(len(gateways), 1)
         self.owners.clear()
@@ -133,7 +133,7 @@
             if len(self.pending_reports) > 500:
                 self.pending_reports.pop(next(iter(self.pending_reports)))
             wire_reports = {
-                tenant: [counts.get(f) for f in REPORT_FIELDS] for tenant, counts in reports.items()
+                tenant: [counts.get(field) for field in REPORT_FIELDS] for tenant, counts in reports.items()
             }
             connection.send({"k": "c", "q": self.report_id, "t": wire_reports})
 
@@ -157,6 +157,8 @@
         task.add_done_callback(self.tasks.discard)
 
     async def open_connection(self, owner: str, host: str, port: int) -> None:
+        """Connect to an owner, then send it pending hand-offs and reports."""
+
         def on_closed(connection: MessageConnection, reason: str) -> None:
             if self.connections.get(owner) is connection:
                 del self.connections[owner]
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -31,15 +31,16 @@
 
 
 def age(at: float, now: float) -> float | None:
+    """Seconds since a time, or None if it was never set."""
     return round(now - at, 3) if math.isfinite(at) else None
 
 
-def avoidance_reasons(stock: Stock, upstream: Upstream, now: float) -> list[str]:
+def avoidance_reasons(balancer: Stock, upstream: Upstream, now: float) -> list[str]:
     """Reason codes for which a server gets no requests or fewer, most severe first."""
-    return list(standing(stock, upstream, now))
+    return list(standing(balancer, upstream, now))
 
 
-def server_view(stock: Stock, upstream: Upstream, now: float) -> dict[str, Any]:
+def server_view(balancer: Stock, upstream: Upstream, now: float) -> dict[str, Any]:
     """One server instance, with the evidence that this gateway has on it."""
     return {
         "id": upstream.ident,
@@ -49,7 +50,7 @@
         "region": upstream.region,
         "slots": upstream.slots,
         "state": STATES[int(upstream.state)],
-        "avoided": avoidance_reasons(stock, upstream, now),
+        "avoided": avoidance_reasons(balancer, upstream, now),
         "silent": upstream.silent,
         "cold_s": remaining(upstream.cold_until, now),
         "resting_s": remaining(upstream.rest_until, now),
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -29,10 +29,8 @@
 from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.log import log, open_log
 
-GATEWAY_PORT_OFFSET, CONTROL_PORT_OFFSET = (
-    0,
-    1,
-)  # within the internal port range
+# Within the internal port range.
+GATEWAY_PORT_OFFSET, CONTROL_PORT_OFFSET = 0, 1
 LOG_OPEN_DELAY_S = 1.0  # after the start
 FLUSH_DELAY_S = 0.02  # before exit, for the last bytes written
 
--- a/latchspoke/transport/connection.py
+++ b/latchspoke/transport/connection.py
@@ -30,7 +30,7 @@
         self.decoder = FrameDecoder()
         self.reason = ""
         self.closed = False
-        self.received_bytes = 0  # bytes
+        self.received_bytes = 0
         self.largest_unread_frame = 0  # bytes; a single frame may exceed the limit
         self.peer = ""
         self.tag: Any = None  # for use by the owner
