--- /dev/null
+++ b/latchspoke/dataplane/session_affinity.py
@@ -0,0 +1,548 @@
+"""Session affinity across gateways, loaded once a route asks for it.
+
+``SessionAffinity`` sits between the core and its collaborators: it takes the dispatcher's place towards the
+core and the ports' place towards the network, and passes on everything that does not concern it. Calls wait
+for their session record, forwards wait until their attempt is recorded as open, and outcomes go into the
+record. The decisions are made in ``latchspoke.session_records``.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import math
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING, Any
+
+from barleyhub import interface as api
+from barleyhub.interface import Code
+from barleyhub.line.balancer import UpstreamState as ServerState
+from barleyhub.line.balancer import allowed_regions
+from barleyhub.line.dispatch import NOT_EXECUTED, Dispatcher, NoCapacity, RoutedRequest
+from latchspoke.configuration.routes import Affinity, Route, Travels
+from latchspoke.core import Epoch, Flow, Forward, Timer
+from latchspoke.dataplane.exchange import ClientExchange
+from latchspoke.dataplane.upstream import Request, Response
+from latchspoke.membership.words import Member
+from latchspoke.session_records.bill import Bill, Fate, Peer, key_of
+from latchspoke.session_records.desk import Ask, Desk, Go, Later, Pass, Step, Tell, Terms
+from latchspoke.session_records.office import Answer as Told
+from latchspoke.session_records.office import Letter, Office, Out, Target
+from latchspoke.session_records.verdict import State, state_of
+from latchspoke.transport.connection import Message
+from latchspoke.transport.log import log
+
+if TYPE_CHECKING:
+    from latchspoke.dataplane.node import Node
+
+TICK_INTERVAL_S = 0.2
+SERVER_QUERY_TIMEOUT_S = 0.3  # for a server to report the fate of an attempt
+SETTLE_MARGIN_S = 1.0  # beyond the lease: all holders of a record have reported it or lost their right
+MAX_QUEUED_MESSAGES = 1000  # per gateway, while there is no connection to it
+OPERATOR_TIMEOUT_S = 2.0
+
+
+class BoundedEpoch(Epoch):
+    """An epoch that ends no later than a given time."""
+
+    def __init__(self, epoch: Epoch | None, until: float) -> None:
+        super().__init__(epoch.label if epoch is not None else "", until)
+        self.epoch, self.latest = epoch, until
+
+    @property
+    def until(self) -> float:
+        """The earlier of both limits."""
+        return min(self.epoch.until, self.latest) if self.epoch is not None else self.latest
+
+    @until.setter
+    def until(self, value: float) -> None:
+        pass
+
+
+@dataclass(slots=True)
+class TrackedRequest:
+    """A request whose session record is managed here."""
+
+    call: RoutedRequest
+    flow: Flow
+    pending_forward: Forward | None = None  # waits until its attempt is recorded as open
+    sent: bool = False  # the current attempt was passed to the upstream pools
+    dispatched: bool = False  # passed to the dispatcher
+
+
+@dataclass(frozen=True, slots=True)
+class CoordinatorSteps:
+    """Steps of the coordinator as an event in the core's queue."""
+
+    steps: Sequence[Step]
+
+
+class FateQueryClient:
+    """The client of a query to a server about the fate of an attempt."""
+
+    def __init__(self, on_state: Callable[[State], None]) -> None:
+        self.on_state = on_state
+
+    def served(self, response: object) -> None:
+        """Report the state that the response carries; anything unexpected counts as unknown."""
+        assert isinstance(response, Response)
+        states = [value for name, value in response.headers if name == b"x-exchange-state"]
+        self.on_state(state_of(states[0]) if len(states) == 1 and response.status == 200 else State.UNKNOWN)
+
+    def refused(self, retry_after: float | None) -> None:
+        """The server did not take the query: the fate is unknown."""
+        self.on_state(State.UNKNOWN)
+
+    def failed(self, failure: object | None) -> None:
+        """The query failed: the fate is unknown."""
+        self.on_state(State.UNKNOWN)
+
+
+class SessionAffinity:
+    """One per gateway; ``handle`` replaces the dispatcher's, ``forward`` and others replace the ports'."""
+
+    def __init__(self, node: Node) -> None:
+        self.node, self.clock = node, node.clock
+        self.dispatcher: Dispatcher = node.dispatcher
+        self.ports, self.core = node.ports, node.core
+        lease_s = node.lease.lasts if node.lease.lasts < 1e6 else 5.0
+        self.record_store = Office(
+            node.settings.name, node.instance_id, lease_s + SETTLE_MARGIN_S, self.clock.now(),
+            lambda: node.lease.until, node.stats, lease=node.lease.lasts if node.lease.lasts < 1e6 else 0.0,
+        )  # fmt: skip
+        self.coordinator = Desk(self.record_store, self.server_known)
+        self.tracked: dict[str, TrackedRequest] = {}
+        self.queued_messages: dict[str, list[Message]] = {}
+        self.fate_queries: dict[str, Callable[[State], None]] = {}
+        self.operator_calls: dict[str, asyncio.Future[Told]] = {}
+        self.actions: list[api.Action] = []
+        self.ids = itertools.count(1)
+        self.core.gateway = self  # type: ignore[assignment]
+        self.core.ports = self
+        node.usage_reports.on_connected = self.flush
+        self.clock.schedule(self.clock.now() + TICK_INTERVAL_S, self.tick)
+
+    # Membership.
+
+    def update_gateways(self, gateways: Mapping[str, Member], now: float) -> None:
+        """The set of live gateways has changed."""
+        peers = {
+            name: Peer(str(member.meta.get("zone")), str(member.meta.get("region")), member.life)
+            for name, member in gateways.items()
+        }
+        self.process_outputs(self.record_store.live(peers, now))
+
+    def hand_off(self, now: float) -> None:
+        """Hand the records owned here to other gateways before shutdown."""
+        self.process_outputs(self.record_store.leave(now))
+
+    def server_known(self, instance_id: str) -> bool:
+        """Whether this server instance is known and not gone."""
+        upstream = self.dispatcher.balancer.upstreams.get(instance_id)
+        return upstream is not None and upstream.state is not ServerState.GONE
+
+    # Messages between gateways.
+
+    def process_outputs(self, outputs: list[Out]) -> None:
+        """Deliver outputs of the record store: to waiting operators, and to the coordinator."""
+        for result in [
+            output for output in outputs if isinstance(output, Told) and output.ref in self.operator_calls
+        ]:
+            outputs.remove(result)
+            future = self.operator_calls.pop(result.ref)
+            if not future.done():
+                future.set_result(result)
+        self.coordinator.carry(outputs, self.clock.now())
+        self.run_steps(self.coordinator.given())
+
+    def run_steps(self, steps: list[Step]) -> None:
+        """Send messages at once; queue all other steps behind the core's events."""
+        for step in steps:
+            if isinstance(step, Letter):
+                self.send(step.to, step.message)
+        other_steps = [step for step in steps if not isinstance(step, Letter)]
+        if other_steps:
+            self.enqueue(other_steps)
+
+    def enqueue(self, steps: Sequence[Step]) -> None:
+        """Queue steps behind the core's events; the core returns them to ``handle``."""
+        self.core.give(CoordinatorSteps(steps), self.clock.now())  # type: ignore[arg-type]
+
+    def send(self, gateway: str, message: Message) -> None:
+        """Send a message to another gateway, or queue it until there is a connection."""
+        usage_reports = self.node.usage_reports
+        connection = usage_reports.connections.get(gateway)
+        envelope = {"k": "w", "f": self.record_store.me, "m": message}
+        if connection is not None and not self.queued_messages.get(gateway):
+            connection.send(envelope)
+        elif gateway in usage_reports.gateways:
+            queue = self.queued_messages.setdefault(gateway, [])
+            queue.append(envelope)
+            del queue[:-MAX_QUEUED_MESSAGES]
+            usage_reports.connect(gateway, self.clock.now())
+
+    def flush(self, gateway: str) -> None:
+        """Send the queued messages to a gateway whose connection is up."""
+        connection = self.node.usage_reports.connections.get(gateway)
+        for message in self.queued_messages.pop(gateway, ()) if connection is not None else ():
+            connection.send(message)  # type: ignore[union-attr]
+
+    def handle_message(self, message: Message) -> None:
+        """A message from another gateway. Raises KeyError, TypeError or ValueError if it is malformed."""
+        self.process_outputs(self.record_store.heard(str(message["f"]), message["m"], self.clock.now()))
+
+    def tick(self, now: float) -> None:
+        """Periodic work: timeouts of the coordinator, finished requests, and queued messages."""
+        self.clock.schedule(now + TICK_INTERVAL_S, self.tick)
+        self.run_steps(self.coordinator.tick(now))
+        for request_id in [request_id for request_id in self.tracked if request_id not in self.core.flows]:
+            self.untrack(request_id)
+        for gateway in list(self.queued_messages):
+            if gateway not in self.node.usage_reports.gateways:
+                del self.queued_messages[gateway]
+            elif gateway not in self.node.usage_reports.connections:
+                self.node.usage_reports.connect(gateway, now)
+            else:
+                self.flush(gateway)
+
+    def untrack(self, request_id: str) -> None:
+        """Stop managing a request."""
+        self.tracked.pop(request_id, None)
+        self.coordinator.end(request_id)
+
+    # Interface of the dispatcher.
+
+    def handle(self, event: api.Event | CoordinatorSteps, now: float) -> list[api.Action]:
+        """Handle events that concern session records; all others go to the dispatcher."""
+        match event:
+            case RoutedRequest(route=route, caller=caller) if (
+                caller is not None and travel_settings(route) is not None
+            ):
+                self.actions = []
+                self.look_up_record(event, now)
+                return self.actions
+            case CoordinatorSteps(steps):
+                self.actions = []
+                self.apply_steps(steps, now)
+                return self.actions
+            case api.Outcome(request=request) if request in self.tracked or request in self.fate_queries:
+                self.attempt_ended(event, now)
+            case api.Withdrawn(request=request) if (
+                request in self.tracked and not self.tracked[request].dispatched
+            ):
+                self.untrack(request)
+                return []
+        return self.dispatcher.handle(event, now)
+
+    def look_up_record(self, call: RoutedRequest, now: float) -> None:
+        """Look up the session record, before any decision on the call."""
+        flow = self.core.flows[call.request]
+        settings = travel_settings(call.route)
+        assert settings is not None and call.caller is not None and call.route is not None
+        tenant = call.tenant
+        regions = allowed_regions(call.route.homes, tenant.homes if tenant is not None else frozenset())
+        headers: dict[bytes, bytes] = getattr(flow.client, "headers", {})
+        request = flow.message
+        assert isinstance(request, Request)
+        exchange_id = headers.get(settings.exchange, b"") or request.attempt_id
+        strict = settings.refuse and not call.route.repeatable
+        terms = Terms(
+            tuple(sorted(regions or ())), call.caller.exchange_s, settings.look, strict, bool(settings.ask)
+        )
+        self.tracked[call.request] = TrackedRequest(call, flow)
+        key = key_of(call.route.name, tenant.name if tenant is not None else "", call.caller.key)
+        steps = self.coordinator.arrive(call.request, key, exchange_id.decode("latin-1"), terms, now)
+        self.clock.schedule(now + settings.look, lambda when: self.lookup_overdue(call.request, when))
+        self.apply_steps(steps, now)
+
+    def lookup_overdue(self, request_id: str, now: float) -> None:
+        """The lookup of the record has timed out, unless the request has ended."""
+        if request_id in self.tracked:
+            self.run_steps(self.coordinator.late(request_id, now))
+
+    def apply_steps(self, steps: Sequence[Step], now: float) -> None:
+        """Carry out steps of the coordinator; those for finished requests are skipped."""
+        for step in steps:
+            if isinstance(step, Letter):
+                self.send(step.to, step.message)
+                continue
+            tracked = self.tracked.get(step.ref)
+            if tracked is None:
+                continue
+            match step:
+                case Go(bill=record):
+                    self.dispatch(tracked, record, now)
+                case Later(pause=retry_after, why=reason):
+                    self.refuse(tracked, retry_after, reason, now)
+                case Tell(state=state, exchange=exchange_id):
+                    self.report_state(tracked, state, exchange_id)
+                case Ask(life=instance_id, attempt=attempt_id):
+                    self.query_server(tracked, instance_id, attempt_id, now)
+                case Pass(ok=opened, until=until):
+                    self.attempt_opened(tracked, opened, until, now)
+
+    def dispatch(self, tracked: TrackedRequest, record: Bill | None, now: float) -> None:
+        """Pass the call to the dispatcher, bound to the server in its record, if any."""
+        call, berths = tracked.call, self.dispatcher.affinity
+        if tracked.flow.closed:
+            return
+        if record is not None and record.life and berths is not None and call.caller is not None:
+            berths.pins[call.service, call.caller.key] = record.life, now + call.caller.exchange_s
+        tracked.dispatched = True
+        self.actions += self.dispatcher.handle(replace(call, left=max(tracked.flow.until - now, 0.0)), now)
+
+    def refuse(self, tracked: TrackedRequest, retry_after: float, reason: str, now: float) -> None:
+        """Refuse the call without executing it; ``retry_after`` in seconds."""
+        route = tracked.call.route
+        self.dispatcher.refusals.append((now, reason, route.name if route else "", tracked.call.customer))
+        self.actions.append(NoCapacity(tracked.call.request, retry_after))
+
+    def report_state(self, tracked: TrackedRequest, state: State, exchange_id: str) -> None:
+        """Answer 409 with the state of an exchange; this attempt was not executed."""
+        flow = self.core.final(tracked.call.request, "flows.refused")
+        if flow is not None:
+            headers = f"X-Exchange-State: {state.value}\r\nX-Exchange: {exchange_id}\r\n".encode("latin-1")
+            assert isinstance(flow.client, ClientExchange)
+            flow.client.write_empty_response(409, None, headers)
+            log(
+                "exchange-told",
+                state=state.value,
+                route=tracked.call.route.name if tracked.call.route else "",
+            )
+
+    def attempt_ended(self, outcome: api.Outcome, now: float) -> None:
+        """Record the outcome of an attempt or of a fate query."""
+        on_state = self.fate_queries.get(outcome.request)
+        if on_state is not None:
+            on_state(State.UNKNOWN)  # no effect if the query has been answered
+            return
+        tracked = self.tracked[outcome.request]
+        code = outcome.code
+        fate = Fate.ANSWERED if code in (Code.OK, Code.ERROR) else Fate.MAY_RUN
+        if code in NOT_EXECUTED or not tracked.sent:
+            fate = Fate.NOT_RUN
+        tracked.pending_forward, tracked.sent = None, False
+        for step in self.coordinator.outcome(outcome.request, fate, now):
+            if isinstance(step, Letter):
+                self.send(step.to, step.message)
+
+    # Interface of the ports.
+
+    def forward(self, forward: Forward) -> None:
+        """Hold the forward of a tracked request until its attempt is recorded as open."""
+        tracked = self.tracked.get(forward.flow.request.request)
+        upstream = self.dispatcher.balancer.upstreams.get(forward.target)
+        if tracked is None or upstream is None:
+            self.ports.forward(forward)
+            return
+        tracked.pending_forward = forward
+        request_id, request = tracked.call.request, tracked.flow.message
+        assert isinstance(request, Request)
+        address, attempt_id = f"{upstream.host}:{upstream.port}", request.attempt_id.decode("latin-1")
+        self.run_steps(
+            self.coordinator.attempt(
+                request_id, upstream.service, upstream.ident, address, self.clock.now(), attempt_id
+            )
+        )
+
+    def attempt_opened(self, tracked: TrackedRequest, opened: bool, until: float, now: float) -> None:
+        """Send the held forward, or give it up if the attempt could not be recorded in time."""
+        forward, tracked.pending_forward = tracked.pending_forward, None
+        if forward is None or forward.ended:
+            return
+        if not opened or forward.until <= now:
+            self.core.ended(forward, Code.MOOT, now)
+            return
+        if not math.isinf(until):
+            epoch = (
+                tracked.flow.epoch.epoch
+                if isinstance(tracked.flow.epoch, BoundedEpoch)
+                else tracked.flow.epoch
+            )
+            tracked.flow.epoch = BoundedEpoch(epoch, until)
+        tracked.sent = True
+        self.ports.forward(forward)
+
+    def drop(self, forward: Forward) -> None:
+        """As ``Ports.drop``."""
+        self.ports.drop(forward)
+
+    def count(self, name: int, amount: float, life: float) -> None:
+        """As ``Ports.count``."""
+        self.ports.count(name, amount, life)
+
+    def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
+        """As ``Ports.schedule``."""
+        return self.ports.schedule(when, call)
+
+    # Queries to servers.
+
+    def query_server(self, tracked: TrackedRequest, instance_id: str, attempt_id: str, now: float) -> None:
+        """Ask a server about the fate of an attempt, with ``GET askPath + attempt``; reports one result."""
+        settings, source = travel_settings(tracked.call.route), tracked.flow.message
+        assert settings is not None and isinstance(source, Request)
+        request_id, query_attempt_id = (
+            tracked.call.request,
+            b"ask-%d-%b" % (next(self.ids), self.record_store.site.encode()),
+        )
+        path = settings.ask + attempt_id
+        host = tracked.call.route.host if isinstance(tracked.call.route, Route) else ""
+        head = (
+            f"GET {path} HTTP/1.1\r\nHost: {host}\r\n".encode("latin-1")
+            + b"X-Attempt-Id: %b\r\n" % query_attempt_id
+        )
+        query_id = f"ask {next(self.ids)}"
+        call = api.Request(
+            query_id,
+            tracked.call.customer,
+            tracked.call.service,
+            tracked.call.plan,
+            0.0,
+            SERVER_QUERY_TIMEOUT_S,
+            1,
+        )
+        flow = Flow(
+            call,
+            Request(b"GET", query_attempt_id, head, source.tenant, b""),
+            FateQueryClient(lambda state: on_state(state)),
+            now,
+        )
+        flow.epoch, flow.out = tracked.flow.epoch, 1
+        forward = Forward(flow, instance_id, now, now + SERVER_QUERY_TIMEOUT_S)
+
+        def on_state(state: State) -> None:
+            if self.fate_queries.pop(query_id, None) is not None:
+                self.enqueue(self.coordinator.asked(request_id, state, self.clock.now()))
+
+        def overdue(when: float) -> None:
+            if not forward.ended:
+                self.ports.drop(forward)
+                forward.ended = True
+                on_state(State.UNKNOWN)
+
+        self.fate_queries[query_id] = on_state
+        self.clock.schedule(now + SERVER_QUERY_TIMEOUT_S, overdue)
+        self.ports.forward(forward)
+
+    # Operators.
+
+    def sizes(self) -> dict[str, int]:
+        """Number of records held as owner or replica, of callers served here, and of waiting items."""
+        store = self.record_store
+        return {
+            "records": len(store.bills), "hands": len(store.hands), "unconfirmed_fates": len(store.words),
+            "requests": len(self.tracked), "letters_waiting": sum(map(len, self.queued_messages.values())),
+        }  # fmt: skip
+
+    def record_view(self, route: str, tenant: str, caller: str) -> dict[str, Any]:
+        """A caller's session record as held here, and its owner."""
+        key, travels = self.record_key(route, tenant, caller)
+        now, regions = self.clock.now(), self.home_regions(route, tenant)
+        owner, replica = self.record_store.eras[-1].pair(key, regions)
+        stores = {"record": self.record_store.bills, "hand": self.record_store.hands}
+        records = {}
+        for name, store in stores.items():
+            entry = store.get(key)
+            if entry is not None and now < entry.until:
+                records[name] = record_fields(entry.bill) | {
+                    "left_s": round(entry.until - now, 3), "open_s": round(now - entry.since, 3),
+                }  # fmt: skip
+        return {
+            "key": key,
+            "travels": travels,
+            "owner": owner,
+            "copy": replica,
+            "homes": list(regions),
+            **records,
+        }
+
+    def record_key(self, route: str, tenant: str, caller: str) -> tuple[str, bool]:
+        """The key of a session record, and whether affinity of the route spans gateways."""
+        from barleyhub.affinity.rendezvous import caller_key
+
+        table = self.node.downstream.table
+        configured = table.routes.get(route) if table is not None else None
+        return key_of(route, tenant, caller_key(caller.encode())), travel_settings(configured) is not None
+
+    def home_regions(self, route: str, tenant: str) -> tuple[str, ...]:
+        """The regions to which requests of this route and tenant are limited; empty: no limit."""
+        table = self.node.downstream.table
+        configured = table.routes.get(route) if table is not None else None
+        tenants = table.tenants.values() if table is not None else ()
+        tenant_regions = next((item.homes for item in tenants if item.name == tenant), frozenset[str]())
+        return tuple(
+            sorted(
+                allowed_regions(configured.homes if configured is not None else frozenset(), tenant_regions)
+                or ()
+            )
+        )
+
+    async def move_caller(
+        self, route: str, tenant: str, caller: str, server_id: str
+    ) -> tuple[int, dict[str, Any]]:
+        """Bind a caller to another server, unless an exchange is open or its fate is unknown."""
+        key, affinity_travels = self.record_key(route, tenant, caller)
+        upstream = self.dispatcher.balancer.upstreams.get(server_id)
+        table = self.node.downstream.table
+        configured = table.routes.get(route) if table is not None else None
+        if not affinity_travels or configured is None or configured.affinity is None or upstream is None:
+            return 400, {"errorText": "no such route with travelling affinity, or no such server"}
+        if not any(upstream.service == service for service, _ in configured.split):
+            return 400, {"errorText": f"{server_id} is not a server of that route"}
+        allowed_regions = frozenset(self.home_regions(route, tenant)) or None
+        berths = self.dispatcher.affinity
+        reason = (
+            berths.unusable_reason(upstream, allowed_regions, self.clock.now()) if berths is not None else ""
+        )
+        if reason:
+            return 400, {"errorText": f"{server_id} gets no requests now: {reason}"}
+        regions, settings = self.home_regions(route, tenant), configured.affinity.travels
+        strict = settings is not None and settings.refuse and not configured.repeatable
+        lifetime_s = self.coordinator.lasts(configured.affinity.exchange, strict)
+        result = await self.run_for_operator(
+            lambda call_id, now: self.record_store.take(call_id, key, regions, lifetime_s, now)
+        )
+        if result.word == "given" and result.bill is not None:
+            if result.bill.unsettled:
+                return 409, {"errorText": "an exchange is open, or its fate is unknown"}
+            record, target = (
+                result.bill,
+                Target(upstream.service, server_id, f"{upstream.host}:{upstream.port}"),
+            )
+            result = await self.run_for_operator(
+                lambda call_id, now: self.record_store.open(call_id, record, target, now)[1]
+            )
+            if result.word == "kept" and result.bill is not None:
+                log("caller-moved", route=route, to=server_id, number="/".join(map(str, result.bill.number)))
+                return 200, {"moved": record_fields(result.bill)}
+        return 503, {"errorText": f"the record is unavailable now: {result.word}"}
+
+    async def run_for_operator(self, action: Callable[[str, float], list[Out]]) -> Told:
+        """Run an action on the record store and wait for its result."""
+        call_id = f"person {next(self.ids)}"
+        future = self.operator_calls[call_id] = asyncio.get_running_loop().create_future()
+        self.process_outputs(action(call_id, self.clock.now()))
+        try:
+            async with asyncio.timeout(OPERATOR_TIMEOUT_S):
+                result: Told = await future
+                return result
+        except TimeoutError:
+            return Told(call_id, "unsure")
+        finally:
+            self.operator_calls.pop(call_id, None)
+
+
+def record_fields(record: Bill) -> dict[str, Any]:
+    """A session record as shown to operators."""
+    return {
+        "number": list(record.number), "site": record.site, "service": record.service, "life": record.life,
+        "address": record.place, "exchange": record.exchange, "attempt": record.attempt,
+        "fate": record.fate.name.lower().replace("_", "-"), "opener": record.opener,
+    }  # fmt: skip
+
+
+def travel_settings(route: object) -> Travels | None:
+    """The settings of affinity across gateways, or None if the route has none."""
+    affinity = getattr(route, "affinity", None)
+    return affinity.travels if isinstance(affinity, Affinity) else None
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -1,6 +1,6 @@
-"""What a gateway shows of itself: ``GET /status`` and ``GET /metrics``. Reads, and changes nothing.
+"""The read-only views of a gateway: ``GET /status`` and ``GET /metrics``.
 
-Keys of tenants are no part of it: tenants go by their names.
+Tenants appear under their names; their API keys are never shown.
 """
 
 from __future__ import annotations
@@ -15,32 +15,33 @@
 from barleyhub.line.dispatch import Dispatcher
 from latchspoke.outliers.show import evidence
 from latchspoke.reach.graph import standing
-from latchspoke.transport.metrics import Family, page
+from latchspoke.transport.metrics import MetricFamily, render
 
 if TYPE_CHECKING:
     from latchspoke.dataplane.node import Node
-    from latchspoke.dataplane.travel import Travel
+    from latchspoke.dataplane.session_affinity import SessionAffinity
 
 STATES = ("ready", "draining", "gone")
-REFUSALS = 30  # of the last ones are shown
+MAX_REFUSALS = 30  # most recent refusals shown
 
 
-def left(until: float, now: float) -> float:
-    """Seconds until then; 0 where it is past or never was."""
+def remaining(until: float, now: float) -> float:
+    """Seconds until a time; 0 if it has passed or was never set."""
     return round(max(until - now, 0.0), 3) if math.isfinite(until) else 0.0
 
 
 def age(at: float, now: float) -> float | None:
+    """Seconds since a time, or None if it was never set."""
     return round(now - at, 3) if math.isfinite(at) else None
 
 
-def avoided(stock: Balancer, upstream: Upstream, now: float) -> list[str]:
-    """Why it gets nothing, or less than its part: reason codes, the hardest first."""
-    return list(standing(stock, upstream, now))
+def avoidance_reasons(balancer: Balancer, upstream: Upstream, now: float) -> list[str]:
+    """Reason codes for which a server gets no requests or fewer, most severe first."""
+    return list(standing(balancer, upstream, now))
 
 
-def server(stock: Balancer, upstream: Upstream, now: float) -> dict[str, Any]:
-    """One life of a server, with the evidence that this gateway has."""
+def server_view(balancer: Balancer, upstream: Upstream, now: float) -> dict[str, Any]:
+    """One server instance, with the evidence that this gateway has on it."""
     return {
         "id": upstream.ident,
         "service": upstream.service,
@@ -49,10 +50,10 @@
         "region": upstream.region,
         "slots": upstream.slots,
         "state": STATES[int(upstream.state)],
-        "avoided": avoided(stock, upstream, now),
+        "avoided": avoidance_reasons(balancer, upstream, now),
         "silent": upstream.silent,
-        "cold_s": left(upstream.cold_until, now),
-        "resting_s": left(upstream.backoff_until, now),
+        "cold_s": remaining(upstream.cold_until, now),
+        "resting_s": remaining(upstream.backoff_until, now),
         "out": upstream.in_flight,
         "errors": round(upstream.health.share(now), 3),
         "pace": round(upstream.health.pace, 3),
@@ -60,17 +61,17 @@
     }
 
 
-def told(node: Node, now: float) -> dict[str, dict[str, Any]]:
-    """By server: the evidence of others, and the share of failures that it makes here (0: none)."""
+def evidence_view(node: Node, now: float) -> dict[str, dict[str, Any]]:
+    """By server: evidence from other gateways, and the failure share that it leads to here (0: none)."""
     return {
-        ident: evidence(node.examiner.evidence(ident, now))
-        | {"share": round(node.stock.outlier_shares.get(ident, 0.0), 3)}
-        for ident in sorted(node.examiner.received)
+        instance_id: evidence(node.examiner.evidence(instance_id, now))
+        | {"share": round(node.balancer.outlier_shares.get(instance_id, 0.0), 3)}
+        for instance_id in sorted(node.examiner.received)
     }
 
 
-def quotas(dispatcher: Dispatcher, now: float) -> dict[str, dict[str, Any]]:
-    """Tenants with a limit that came through here lately."""
+def quota_views(dispatcher: Dispatcher, now: float) -> dict[str, dict[str, Any]]:
+    """Tenants with a rate limit that recently sent requests here."""
     return {
         name: {
             "rate_per_s": account.rate,
@@ -86,42 +87,47 @@
     }
 
 
-def budgets(dispatcher: Dispatcher) -> dict[str, dict[str, float]]:
-    """Further tries that this gateway may still pay for, by service."""
+def budget_views(dispatcher: Dispatcher) -> dict[str, dict[str, float]]:
+    """Retry budgets by service: attempts this gateway may still spend."""
     return {
-        service: {"level": round(tries.tokens, 3), "most": round(tries.capacity, 3)}
-        for service, tries in sorted(dispatcher.retry_budgets.items())
+        service: {"level": round(budget.tokens, 3), "most": round(budget.capacity, 3)}
+        for service, budget in sorted(dispatcher.retry_budgets.items())
     }
 
 
-def refusals(dispatcher: Dispatcher, now: float) -> list[dict[str, Any]]:
-    """The last ones, the newest first."""
+def refusal_views(dispatcher: Dispatcher, now: float) -> list[dict[str, Any]]:
+    """The most recent refusals, newest first."""
     return [
-        {"s_ago": round(now - at, 3), "reason": reason, "route": route, "tenant": tenant}
-        for at, reason, route, tenant in list(dispatcher.refusals)[: -REFUSALS - 1 : -1]
+        {"s_ago": round(now - when, 3), "reason": reason, "route": route, "tenant": tenant}
+        for when, reason, route, tenant in list(dispatcher.refusals)[: -MAX_REFUSALS - 1 : -1]
     ]
 
 
 def status(node: Node) -> dict[str, Any]:
-    """The whole view."""
-    now, settings, orders, lease = node.clock.now(), node.settings, node.board.orders, node.lease
-    source = node.feed.source if node.feed.wire is not None else None
+    """The complete status view."""
+    now, settings, configuration, lease = (
+        node.clock.now(),
+        node.settings,
+        node.published_state.orders,
+        node.lease,
+    )
+    source = node.subscription.source if node.subscription.connection is not None else None
     table = node.downstream.table
     return {
         "name": settings.name,
         "role": "edge",
         "zone": settings.zone,
         "region": settings.region,
-        "life": node.life,
+        "life": node.instance_id,
         "ready": node.ready,
         "stopping": node.downstream.stopping,
-        "version": f"{orders.version:08x}",
+        "version": f"{configuration.version:08x}",
         "acts_by": f"{table.version:08x}" if table is not None else None,
-        "index": orders.index,
-        "evacuated": sorted(orders.evacuated),
+        "index": configuration.index,
+        "evacuated": sorted(configuration.evacuated),
         "lease": {
             "held": now < lease.until,
-            "left_s": left(lease.until, now),
+            "left_s": remaining(lease.until, now),
             "proven_s_ago": age(lease.proven_at, now),
         },
         "source": None
@@ -131,91 +137,106 @@
             "address": f"{source.address[0]}:{source.address[1]}",
             "gateway": source.gateway,
         },
-        "gateways": list(node.stock.gateways),
+        "gateways": list(node.balancer.gateways),
         "clients": len(node.downstream.clients),
-        "in_hand": node.downstream.busy,
-        "servers": [server(node.stock, w, now) for w in node.stock.upstreams.values()],
-        "evidence": told(node, now),
-        "usual_s": {route: round(s, 4) for route, s in sorted(node.stock.route_latency.items())},
-        "quotas": quotas(node.dispatcher, now),
-        "budgets": budgets(node.dispatcher),
-        "refusals": refusals(node.dispatcher, now),
+        "in_hand": node.downstream.in_flight,
+        "servers": [
+            server_view(node.balancer, upstream, now) for upstream in node.balancer.upstreams.values()
+        ],
+        "evidence": evidence_view(node, now),
+        "usual_s": {
+            route: round(seconds, 4) for route, seconds in sorted(node.balancer.route_latency.items())
+        },
+        "quotas": quota_views(node.dispatcher, now),
+        "budgets": budget_views(node.dispatcher),
+        "refusals": refusal_views(node.dispatcher, now),
         "counters": dict(sorted(node.stats.items())),
-    } | ({} if node.travel is None else {"travel": node.travel.sizes()})
+    } | ({} if node.session_affinity is None else {"travel": node.session_affinity.sizes()})
 
 
-def metrics(seen: dict[str, Any]) -> str:
-    """The text format of a view."""
-    servers = Family("latchspoke_servers", "Servers that this gateway knows, by service and state.")
-    shunned = Family("latchspoke_servers_avoided", "Servers that get less or nothing, by reason code.")
+def metrics(view: dict[str, Any]) -> str:
+    """The metrics page of a status view."""
+    servers = MetricFamily("latchspoke_servers", "Servers that this gateway knows, by service and state.")
+    avoided = MetricFamily("latchspoke_servers_avoided", "Servers that get less or nothing, by reason code.")
     states: dict[tuple[str, str], int] = {}
     reasons: dict[str, int] = {}
-    for each in seen["servers"]:
-        key = each["service"], each["state"]
+    for server in view["servers"]:
+        key = server["service"], server["state"]
         states[key] = states.get(key, 0) + 1
-        for reason in each["avoided"]:
+        for reason in server["avoided"]:
             reasons[reason] = reasons.get(reason, 0) + 1
     for (service, state), count in sorted(states.items()):
         servers.add(count, service=service, state=state)
     for reason, count in sorted(reasons.items()):
-        shunned.add(count, reason=reason)
-    room = Family("latchspoke_quota_room", "Units left to a tenant, as this gateway knows.")
-    gate = Family("latchspoke_quota_gate", "Share of a tenant's requests that the gate lets pass.")
-    for tenant, quota in seen["quotas"].items():
-        room.add(quota["room"], tenant=tenant)
-        gate.add(quota["gate"], tenant=tenant)
-    tries = Family("latchspoke_tries_left", "Further tries to a service that this gateway may pay for.")
-    for service, budget in seen["budgets"].items():
-        tries.add(budget["level"], service=service)
-    events = Family("latchspoke_events_total", "Counted events; the README names them.", "counter")
-    for event, count in seen["counters"].items():
+        avoided.add(count, reason=reason)
+    quota_room = MetricFamily("latchspoke_quota_room", "Units left to a tenant, as this gateway knows.")
+    quota_gate = MetricFamily(
+        "latchspoke_quota_gate", "Share of a tenant's requests that the gate lets pass."
+    )
+    for tenant, quota in view["quotas"].items():
+        quota_room.add(quota["room"], tenant=tenant)
+        quota_gate.add(quota["gate"], tenant=tenant)
+    retries_left = MetricFamily(
+        "latchspoke_tries_left", "Further tries to a service that this gateway may pay for."
+    )
+    for service, budget in view["budgets"].items():
+        retries_left.add(budget["level"], service=service)
+    events = MetricFamily("latchspoke_events_total", "Counted events; the README names them.", "counter")
+    for event, count in view["counters"].items():
         events.add(count, event=event)
-    plain = [
-        Family("latchspoke_ready", "1 while this gateway is ready.").add(seen["ready"]),
-        Family("latchspoke_config_version", "The configuration in force.").add(int(seen["version"], 16)),
-        Family("latchspoke_config_index", "Place of the operator's last word.").add(seen["index"]),
-        Family("latchspoke_lease_left_seconds", "How long it may act with keys.").add(
-            seen["lease"]["left_s"]
+    gauges = [
+        MetricFamily("latchspoke_ready", "1 while this gateway is ready.").add(view["ready"]),
+        MetricFamily("latchspoke_config_version", "The configuration in force.").add(
+            int(view["version"], 16)
+        ),
+        MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(view["index"]),
+        MetricFamily("latchspoke_lease_left_seconds", "How long it may act with keys.").add(
+            view["lease"]["left_s"]
         ),
-        Family("latchspoke_gateways", "Live gateways that this one knows.").add(len(seen["gateways"])),
-        Family("latchspoke_clients", "Open connections of clients.").add(seen["clients"]),
-        Family("latchspoke_requests_in_hand", "Requests not yet answered.").add(seen["in_hand"]),
+        MetricFamily("latchspoke_gateways", "Live gateways that this one knows.").add(len(view["gateways"])),
+        MetricFamily("latchspoke_clients", "Open connections of clients.").add(view["clients"]),
+        MetricFamily("latchspoke_requests_in_hand", "Requests not yet answered.").add(view["in_hand"]),
     ]
-    return page([*plain, servers, shunned, room, gate, tries, events])
+    return render([*gauges, servers, avoided, quota_room, quota_gate, retries_left, events])
+
 
+def handle_caller_request(
+    affinity: SessionAffinity, body: bytes
+) -> tuple[int, Any] | Awaitable[tuple[int, Any]]:
+    """A caller's session record, or binding the caller to another server.
 
-def caller(travel: Travel, body: bytes) -> tuple[int, Any] | Awaitable[tuple[int, Any]]:
-    """A caller's record, or another server for it: ``route``, ``tenant``, ``caller`` and perhaps ``to``."""
+    The body has ``route``, ``caller``, optionally ``tenant`` and ``to`` (the instance to move to).
+    """
     try:
-        asked: dict[str, str] = msgspec.json.decode(body, type=dict[str, str])
-        route, tenant, who = asked["route"], asked.get("tenant", ""), asked["caller"]
-    except (KeyError, msgspec.DecodeError) as e:
-        return 400, {"errorText": f"route and caller are asked for, as texts: {e}"}
-    if asked.get("to"):
-        return travel.move(route, tenant, who, asked["to"])
-    return 200, travel.whereabouts(route, tenant, who)
+        fields: dict[str, str] = msgspec.json.decode(body, type=dict[str, str])
+        route, tenant, caller = fields["route"], fields.get("tenant", ""), fields["caller"]
+    except (KeyError, msgspec.DecodeError) as error:
+        return 400, {"errorText": f"route and caller are required, as strings: {error}"}
+    if fields.get("to"):
+        return affinity.move_caller(route, tenant, caller, fields["to"])
+    return 200, affinity.record_view(route, tenant, caller)
 
 
-def answer(node: Node, path: str, body: bytes) -> tuple[int, Any]:
-    """What is asked on the readiness address beside readiness."""
+def handle_request(node: Node, path: str, body: bytes) -> tuple[int, Any]:
+    """Answer a view request other than readiness."""
     if path == "/status":
         return 200, status(node)
     if path == "/metrics":
         return 200, metrics(status(node))
-    from latchspoke.dataplane.explain import AskError, explain, read_ask
+    from latchspoke.dataplane.explain import ExplainRequestError, explain, read_explain_request
 
     try:
-        ask = read_ask(msgspec.json.decode(body))
-    except (AskError, msgspec.DecodeError) as e:
-        return 400, {"errorText": str(e)}
+        request = read_explain_request(msgspec.json.decode(body))
+    except (ExplainRequestError, msgspec.DecodeError) as error:
+        return 400, {"errorText": str(error)}
     if node.downstream.table is None:
         return 503, {"errorText": "there is no configuration yet"}
     now = node.clock.now()
-    found = explain(node.downstream.table, ask, now, node.stock, node.dispatcher)
-    others = told(node, now)
-    for each in (server for those in found.get("servers", {}).values() for server in those):
-        if each["id"] in others:
-            each["evidence"] = others[each["id"]]
+    result = explain(node.downstream.table, request, now, node.balancer, node.dispatcher)
+    evidence = evidence_view(node, now)
+    for entry in (item for servers in result.get("servers", {}).values() for item in servers):
+        if entry["id"] in evidence:
+            entry["evidence"] = evidence[entry["id"]]
     if not node.ready:
-        found["not_ready"] = True
-    return 200, found
+        result["not_ready"] = True
+    return 200, result
--- /dev/null
+++ b/latchspoke/transport/connection.py
@@ -0,0 +1,114 @@
+"""Persistent connections that carry netstrings of JSON in both directions."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import Any, cast
+
+from latchspoke.transport.netstring import FrameDecoder, FrameError, encode_frame
+
+Message = dict[str, Any]
+MessageHandler = Callable[["MessageConnection", Message], None]
+CloseHandler = Callable[["MessageConnection", str], None]
+MAX_UNREAD_BYTES = 8 * 1024 * 1024  # in the write buffer before a peer that does not read is dropped
+USER_TIMEOUT_MS = 2500  # TCP_USER_TIMEOUT
+
+
+class MessageConnection(asyncio.Protocol):
+    """One connection. ``on_message`` gets each message, ``on_closed`` the reason for the end, once."""
+
+    def __init__(
+        self,
+        on_message: MessageHandler,
+        on_closed: CloseHandler,
+        on_open: Callable[[MessageConnection], None] | None = None,
+    ) -> None:
+        self.on_message, self.on_closed, self.on_open = on_message, on_closed, on_open
+        self.transport: asyncio.Transport | None = None
+        self.decoder = FrameDecoder()
+        self.reason = ""
+        self.closed = False
+        self.received_bytes = 0
+        self.largest_unread_frame = 0  # bytes; a single frame may exceed the limit
+        self.peer = ""
+        self.tag: Any = None  # for use by the owner
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set socket options and notify the owner."""
+        self.transport = cast(asyncio.Transport, transport)
+        peer = transport.get_extra_info("peername")
+        self.peer = f"{peer[0]}:{peer[1]}" if peer else "?"
+        raw_socket = transport.get_extra_info("socket")
+        if raw_socket is not None:
+            # A peer that has lost power sends no reset; without this, data sent to it would wait for minutes.
+            raw_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+            raw_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        if self.on_open is not None:
+            self.on_open(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Decode messages; malformed input ends the connection."""
+        self.received_bytes += len(data)
+        try:
+            messages = self.decoder.feed(data)
+        except FrameError as error:
+            self.end(str(error))
+            return
+        for message in messages:
+            if self.closed:
+                return
+            if isinstance(message, dict):
+                self.on_message(self, message)
+            else:
+                self.end("message is not a JSON object")
+
+    def send(self, message: object) -> bool:
+        """Send a message. Returns whether it was queued; it may still be lost if the connection ends."""
+        return self.write(encode_frame(message))
+
+    def write(self, data: bytes) -> bool:
+        """Send an encoded frame, as for messages that go to many peers."""
+        transport = self.transport
+        if transport is None or self.closed or transport.is_closing():
+            return False
+        unread = transport.get_write_buffer_size()
+        if unread <= MAX_UNREAD_BYTES:
+            self.largest_unread_frame = 0
+        elif unread > MAX_UNREAD_BYTES + self.largest_unread_frame:
+            self.end("peer does not read")
+            return False
+        self.largest_unread_frame = max(self.largest_unread_frame, len(data))
+        transport.write(data)
+        return True
+
+    def end(self, reason: str) -> None:
+        """Abort the connection; ``reason`` is passed to the owner."""
+        self.reason = self.reason or reason
+        if self.transport is not None:
+            self.transport.abort()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Record the reason and notify the owner."""
+        self.reason = self.reason or (f"connection lost: {exc}" if exc else "closed by the peer")
+        self.notify_closed()
+
+    def notify_closed(self) -> None:
+        """Call ``on_closed``, once."""
+        if not self.closed:
+            self.closed = True
+            self.on_closed(self, self.reason)
+
+
+async def dial(connection: MessageConnection, host: str, port: int, timeout_s: float) -> bool:
+    """Open a connection within ``timeout_s``. On failure, calls ``on_closed`` and returns False."""
+    loop = asyncio.get_running_loop()
+    try:
+        async with asyncio.timeout(timeout_s):
+            await loop.create_connection(lambda: connection, host, port)
+    except (OSError, TimeoutError) as error:
+        connection.reason = connection.reason or f"connection failed: {error!r}"
+        connection.notify_closed()
+        return False
+    return True
--- a/tests/affinity/test_explain.py
+++ b/tests/affinity/test_explain.py
@@ -14,7 +14,7 @@
 from barleyhub.line.balancer import Balancer, Upstream, UpstreamState
 from barleyhub.line.dispatch import Dispatcher
 from latchspoke.configuration import compile_table
-from latchspoke.dataplane.explain import Ask, explain
+from latchspoke.dataplane.explain import ExplainRequest, explain
 from latchspoke.pool.command import pool_app
 
 ACTION = {"service": "s", "affinity": {"callerFrom": ["header:X-Member", "path:2"], "exchangeS": 9}}
@@ -35,7 +35,7 @@
     table = compile_table(cast(Any, DOC))
 
     def explained(**ask: str) -> dict[str, Any]:
-        return explain(table, Ask("h", "/a/bob", **ask), 1.0, balancer, dispatcher)
+        return explain(table, ExplainRequest("h", "/a/bob", **ask), 1.0, balancer, dispatcher)
 
     first = explained()
     assert first["caller"]["caller"] == "bob" and first["caller"]["id"] in first["because"]
@@ -47,7 +47,7 @@
     upstream.backoff_until = 0.0
     dispatcher.affinity.pins["s", caller_key(b"bob")] = "i3", 4.0
     assert explained()["caller"]["id"] == "i3" and "exchange is open" in explained()["because"]
-    assert "caller" not in explain(table, Ask("h", "/a/"), 1.0, balancer, dispatcher)
+    assert "caller" not in explain(table, ExplainRequest("h", "/a/"), 1.0, balancer, dispatcher)
 
 
 SERVERS = [
--- a/tests/line/test_quota.py
+++ b/tests/line/test_quota.py
@@ -18,11 +18,11 @@
 from barleyhub.line.dispatch import Dispatcher, RoutedRequest, TotalsReceived
 from barleyhub.line.quota import Account, QuotaOwner
 from latchspoke.configuration.routes import NO_HOMES, Route, Tenant
-from latchspoke.dataplane.counts import STEP, Counts
-from latchspoke.dataplane.node import HOSTS_ANEW, YOUNG, hosts_nothing
+from latchspoke.dataplane.node import DEFAULT_QUOTA_WINDOW_S, NEW_OWNER_CAUTION_S, cannot_own_quotas
+from latchspoke.dataplane.usage_reports import REPORT_INTERVAL_S, UsageReports
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import EPOCH, VirtualClock
-from latchspoke.transport.wire import Wire
+from latchspoke.transport.connection import MessageConnection
 
 RATE, BURST, WINDOW_S = 70.0, 70.0, 5.0
 MAX_ADMITTED = (RATE * WINDOW_S + BURST) * 1.1 + 20
@@ -49,16 +49,16 @@
         balancer.put(Upstream("s", "pool", "h", 1, "a", "r", 9, UpstreamState.READY), 0.0)
         self.dispatcher = Dispatcher(balancer, cluster.rng, 0.2, 62.0)
         if starts > len(cluster.names):
-            self.dispatcher.burst_unknown_until = cluster.clock.now() + YOUNG
-        self.counts = Counts(name, f"{starts}", cluster.clock, self.dispatcher, self.handle)
+            self.dispatcher.burst_unknown_until = cluster.clock.now() + DEFAULT_QUOTA_WINDOW_S
+        self.counts = UsageReports(name, f"{starts}", cluster.clock, self.dispatcher, self.handle)
 
     def set_view(self, names: list[str]) -> None:
         CURRENT_GATEWAY.set(self.name)
         not_owning_until, now = self.cluster.not_owning_until, self.cluster.clock.now()
         self.dispatcher.set_gateways(dict.fromkeys(names, "a"), now)
-        just_started = not_owning_until.get(self.name, -math.inf) + HOSTS_ANEW > now
+        just_started = not_owning_until.get(self.name, -math.inf) + NEW_OWNER_CAUTION_S > now
         not_owning = {other for other in names if not_owning_until.get(other, -math.inf) > now}
-        self.counts.live({other: (other, 1) for other in names}, just_started, not_owning)
+        self.counts.update_gateways({other: (other, 1) for other in names}, just_started, not_owning)
 
     def send_request(self) -> None:
         self.cluster.request_count += 1
@@ -90,7 +90,7 @@
         self.clock = VirtualClock(self.loop)
         self.names = [f"g{i}" for i in range(count)]
         self.gateways: dict[str, Gateway] = {}
-        self.wires: dict[str, list[Wire]] = {}
+        self.wires: dict[str, list[MessageConnection]] = {}
         self.admitted_at: list[float] = []
         self.starts = 0
         self.not_owning_until: dict[str, float] = {}  # restarted or draining gateways own no totals
@@ -102,11 +102,13 @@
         gateway = self.gateways[name] = Gateway(self, name, self.starts)
         self.wires[name] = []
 
-        def on_connect(wire: Wire) -> None:
+        def on_connect(wire: MessageConnection) -> None:
             self.wires[name].append(wire)
 
         server = self.loop.create_server(
-            lambda: Wire(gateway.counts.count, lambda wire, why: None, on_connect), name, 1
+            lambda: MessageConnection(gateway.counts.handle_message, lambda wire, why: None, on_connect),
+            name,
+            1,
         )
         self.loop.run_until_complete(server) if not self.loop.is_running() else self.loop.create_task(server)
         gateway.set_view(self.names)
@@ -115,9 +117,9 @@
         """Kill and start a gateway; it owns totals again after a grace period."""
         if name in self.gateways:
             self.kill(name, detected=False)
-        self.not_owning_until[name] = self.clock.now() + YOUNG
+        self.not_owning_until[name] = self.clock.now() + DEFAULT_QUOTA_WINDOW_S
         self.start(name)
-        for delay in (0.0, YOUNG, YOUNG + HOSTS_ANEW):
+        for delay in (0.0, DEFAULT_QUOTA_WINDOW_S, DEFAULT_QUOTA_WINDOW_S + NEW_OWNER_CAUTION_S):
             for other in self.gateways:
                 self.loop.call_later(delay + self.rng.uniform(0.0, 0.6), self.update_view, other)
 
@@ -142,7 +144,7 @@
     def kill(self, name: str, detected: bool = True) -> None:
         gateway = self.gateways.pop(name)
         self.loop.network.listeners.pop((name, 1))
-        for wire in [*self.wires[name], *gateway.counts.wires.values()]:
+        for wire in [*self.wires[name], *gateway.counts.connections.values()]:
             wire.end("killed")
         if detected:
             self.loop.call_later(DETECTION_S, self.update_views)
@@ -172,7 +174,7 @@
         self.loop.close()
 
     async def generate_load(self, seconds: float, load: float) -> None:
-        step = STEP / 5
+        step = REPORT_INTERVAL_S / 5
         for tick in range(int(seconds / step)):
             await asyncio.sleep(step)
             now = self.clock.now()
@@ -182,7 +184,7 @@
                 for name, gateway in self.gateways.items():
                     CURRENT_GATEWAY.set(name)
                     gateway.dispatcher.expire(now)
-                    gateway.counts.step(now)
+                    gateway.counts.send_due_reports(now)
 
     def max_admitted(self, window: float = WINDOW_S, since: float = 0.0) -> int:
         """Most requests admitted within any window of that length."""
@@ -342,17 +344,19 @@
     """Delivered later, it would be taken for the current state."""
     cluster = Cluster(1)
     counts = cluster.gateways["g1"].counts
-    counts.host.apply_report("g2", "1", "t", {"r": RATE, "b": BURST, "o": 1.0, "a": 1.0}, cluster.clock.now())
+    counts.owned_quotas.apply_report(
+        "g2", "1", "t", {"r": RATE, "b": BURST, "o": 1.0, "a": 1.0}, cluster.clock.now()
+    )
     addresses = {name: (name, 1) for name in cluster.names}
     others = [name for name in cluster.names if name != "g1"]
     cluster.partition(["g1"], others)
 
     async def play() -> None:
         CURRENT_GATEWAY.set("g1")
-        counts.live(addresses, late={"g1"})
-        assert counts.heirs
+        counts.update_gateways(addresses, ineligible={"g1"})
+        assert counts.handoffs
         await asyncio.sleep(1.0)
-        assert not counts.heirs
+        assert not counts.handoffs
 
     cluster.loop.run_until_complete(play())
     cluster.loop.close()
@@ -417,9 +421,11 @@
     counts = cluster.gateways["g1"].counts
     addresses = {name: (name, 1) for name in cluster.names}
     owner = counts.owner("t")
-    counts.live(addresses, late={owner})
+    counts.update_gateways(addresses, ineligible={owner})
     assert counts.owner("t") != owner
-    counts.live(addresses, late=set(addresses))  # all have been restarted, so one must own the totals
+    counts.update_gateways(
+        addresses, ineligible=set(addresses)
+    )  # all have been restarted, so one must own the totals
     assert counts.owner("t") == owner
     cluster.loop.close()
 
@@ -441,4 +447,4 @@
 def test_totals_have_an_owner_after_all_gateways_restart(
     meta: dict[str, bool], others_running: bool, owns_nothing: bool
 ) -> None:
-    assert hosts_nothing(meta, others_running) is owns_nothing
+    assert cannot_own_quotas(meta, others_running) is owns_nothing
