--- a/barleyhub/affinity/keeper.py
+++ b/barleyhub/affinity/keeper.py
@@ -82,7 +82,7 @@
             and (homes is None or upstream.region in homes)
             and now >= upstream.rest_until
             and not self.stock.cold(upstream, now)
-            and upstream.own.share(now) < FAILING
+            and upstream.own.current_error_rate(now) < FAILING
         )
 
     def pick(
--- a/barleyhub/line/dispatch.py
+++ b/barleyhub/line/dispatch.py
@@ -318,7 +318,7 @@
         ((upstream, _),) = job.out.values()
         if self.send(job, now):
             self.counts["tries.second"] += 1
-            upstream.own.note(True, 0.1, 8.0, now)
+            upstream.own.record_outcome(True, 0.1, 8.0, now)
 
     def on_outcome(self, event: api.Outcome, now: float) -> None:
         job = self.jobs.get(event.request)
--- a/barleyhub/line/stock.py
+++ b/barleyhub/line/stock.py
@@ -189,14 +189,14 @@
         """Expected time, in s, with what the way there costs; ``wait``: at the servers of its region."""
         sharing = self.zone_gateways.get(upstream.zone, 0) if upstream.zone == self.zone else 1.5
         load = upstream.out * max(sharing, 1) / max(upstream.slots, 1)
-        pace = usual * upstream.own.pace
+        pace = usual * upstream.own.slowdown
         if upstream.since and now - upstream.since[0] > LATE * pace:
             pace = max(pace, (now - upstream.since[0]) / 2)
         time = pace * (1 + LOAD_COST * load + QUEUE_COST * max(load - 1.0, 0.0))
         if upstream.zone != self.zone:
             time += ZONE_COST * usual if upstream.region == self.region else REGION_COST * usual + self.far
         time += wait
-        cost = ERROR_COST * upstream.own.share(now)
+        cost = ERROR_COST * upstream.own.current_error_rate(now)
         if self.told and upstream.ident in self.told:
             cost = max(cost, TOLD_COST * self.told[upstream.ident])
         time *= 1 + cost
@@ -231,13 +231,13 @@
         self.usual[route] = usual + (took - usual) * USUAL_GAIN
         far = self.far if upstream.region != self.region else 0.0
         self.headway.answered(upstream.service, upstream.region, route, took - far, self.usual[route], now)
-        upstream.own.pace += (min(took / max(usual, 0.001), 5.0) - upstream.own.pace) * GAIN
-        upstream.own.note(False, ERROR_GAIN, FORGET, now)
+        upstream.own.slowdown += (min(took / max(usual, 0.001), 5.0) - upstream.own.slowdown) * GAIN
+        upstream.own.record_outcome(False, ERROR_GAIN, FORGET, now)
         upstream.rests, upstream.rest_until, upstream.answered_at = 0, -math.inf, now
 
     def failed(self, upstream: Upstream, now: float, unreachable: bool, weight: float = 1.0) -> None:
         """It gave no answer, or a wrong one."""
-        upstream.own.note(True, ERROR_GAIN * weight, FORGET, now)
+        upstream.own.record_outcome(True, ERROR_GAIN * weight, FORGET, now)
         if unreachable:
             upstream.rest_until = now + min(REST[0] * 2**upstream.rests, REST[1]) * (
                 0.8 + 0.4 * self.draw.random()
@@ -248,7 +248,7 @@
     def full(self, upstream: Upstream, now: float) -> None:
         """It turned a request away."""
         upstream.full_until = now + 0.3
-        upstream.own.pace = min(upstream.own.pace * 1.3, 5.0)
+        upstream.own.slowdown = min(upstream.own.slowdown * 1.3, 5.0)
 
 
 def homes_of(route: frozenset[str], tenant: frozenset[str]) -> frozenset[str] | None:
--- a/barleyhub/quotas.py
+++ b/barleyhub/quotas.py
@@ -1,4 +1,4 @@
-"""What a customer's account lets in, and when the counter is asked for its totals."""
+"""Admission by tenant quotas: accounts, and when the shared counter is called for their totals."""
 
 from __future__ import annotations
 
@@ -6,107 +6,111 @@
 from dataclasses import replace
 
 from barleyhub import interface as api
-from barleyhub.state import DRAIN, AccountState, GatewayState, Job, Tally, kept
+from barleyhub.state import DRAIN_RATIO, AccountState, GatewayState, Job, SharedCounter, decay
 
-ROOM, ROOM_UNITS = 1.1, 0.5  # the room: so many bursts and so many of the largest requests more
-PERIOD_MAX = 48.0  # s; names are forgotten 60 s after their first call at the latest
-PERIOD_DEPTHS = 20.0  # a period lasts at most this many depths: amounts grow by e for each
-AMOUNT_MOST = 1e9  # the counter turns away any larger amount: two units at the end of a period
-OPEN_DEPTH = 0.2  # share of the mean aim; depth for plans that limit only what is out at once
-OPEN_ROOM = 0.7  # attempts under a concurrency limit at which what is likely out is too much
-SURGE = 3.0  # times the rate: what the others may have sent unseen since the last total
-OTHERS = 8  # gateways of a set, at most, for which one's own refusals speak
-ASK_GAIN, ASK_CUT, ASK_LEAST = 1.05, 0.85, 0.15  # chance of asking the counter: up, down, at least
-ASK_UNITS = 1.0  # of the largest requests in a room; the chance of asking is their share at least
-MEMORY = 60.0  # s; a customer idle for this long is forgotten
+CAPACITY_BURSTS, CAPACITY_REQUESTS = 1.1, 0.5  # an account's capacity, as multiples of each
+MAX_PERIOD_S = 48.0  # the counter service forgets a name 60 s after its first call at the latest
+MAX_PERIOD_DECAY_TIMES = 20.0  # weights grow by a factor of e per decay time
+MAX_COUNTER_AMOUNT = 1e9  # the counter service rejects larger amounts
+NO_RATE_DECAY = 0.2  # decay time of plans without a rate, as a share of the mean target latency
+CONCURRENCY_MARGIN = 0.7  # attempts below a concurrency limit at which it counts as reached
+UNSEEN_RATE_MULTIPLE = 3.0  # multiple of the rate that other gateways may have admitted since the last total
+MAX_SAMPLED_GATEWAYS = 8  # gateways whose refusals are estimated from local ones, at most
+SAMPLING_GROWTH, SAMPLING_CUT, MIN_SAMPLING_RATE = 1.05, 0.85, 0.15
+SAMPLED_REQUESTS = 1.0  # a request as large as the capacity over this always calls the counter
+IDLE_ACCOUNT_TTL_S = 60.0
 
 
 class Account(AccountState):
-    """The paper's rule for one customer: units offered and admitted, room, gate."""
+    """One customer's quota: offered and admitted units against the capacity."""
 
     __slots__ = ()
 
-    def gate(self, units: float) -> float:
-        """Appendix B: room over the units offered over one depth, clamped to 0..1."""
-        # What was refused here and is not told yet is taken for a sample of what the set refused.
-        unseen = self.turned.pending * (min(self.spread, OTHERS) - 1)
-        offered = self.expected(self.admitted) + self.expected(self.turned) + unseen + units
-        return min(self.room / max(offered, units), 1.0)
-
-    def fits(self, job: Job, stay: float) -> bool:
-        """Whether the admitted total and this gateway's own since then have not passed the room."""
-        load = self.expected(self.admitted) - job.counted + job.request.units
-        # Little's law: what is out is what was admitted lately times its usual stay.
-        out = max((load - 1) * stay / self.depth, self.out)
-        most = self.plan.concurrency - OPEN_ROOM if self.plan.concurrency else math.inf
-        return load <= self.room and out <= most
-
-    def sure(self, units: float, now: float) -> bool:
-        """Whether all that may have come in unseen since the last total would fit the room too."""
+    def admission_probability(self, units: float) -> float:
+        """The capacity over the units offered within one decay time, at most 1."""
+        # Local refusals are taken as a sample of those at the customer's other gateways.
+        unseen = self.refused.unreported * (min(self.spread, MAX_SAMPLED_GATEWAYS) - 1)
+        offered = self.expected_usage(self.admitted) + self.expected_usage(self.refused) + unseen + units
+        return min(self.capacity / max(offered, units), 1.0)
+
+    def fits(self, job: Job, latency: float) -> bool:
+        """Whether the expected usage stays within the capacity and the concurrency limit."""
+        load = self.expected_usage(self.admitted) - job.counted_units + job.request.units
+        # Little's law: requests in flight are the recent admission rate times the latency.
+        in_flight = max((load - 1) * latency / self.decay_time, self.in_flight)
+        limit = self.plan.concurrency - CONCURRENCY_MARGIN if self.plan.concurrency else math.inf
+        return load <= self.capacity and in_flight <= limit
+
+    def surely_fits(self, units: float, now: float) -> bool:
+        """Whether the capacity also covers all that others may have admitted since the last total."""
         if not self.plan.rate or self.plan.ceiling_rate or self.admitted.read_at == -math.inf:
             return False
-        unseen = SURGE * self.plan.rate * (now - self.admitted.read_at) * (1 - 1 / self.spread)
-        return self.expected(self.admitted) + units + unseen <= self.room
+        unseen = UNSEEN_RATE_MULTIPLE * self.plan.rate * (now - self.admitted.read_at) * (1 - 1 / self.spread)
+        return self.expected_usage(self.admitted) + units + unseen <= self.capacity
 
 
 class Quotas(GatewayState):
-    """Customers' accounts, and when the counter is asked for their totals."""
+    """The accounts of all customers, and the calls of the shared counter."""
 
     accounts: dict[str, Account]
-    calls: dict[int, tuple[Account, Tally]]
+    counter_calls: dict[int, tuple[Account, SharedCounter]]
 
-    def chance(self, account: Account) -> float:
-        """How likely the counter is asked; plans that may not go without a total come first."""
-        chance = max(self.asking, min(ASK_UNITS * self.settings.largest / account.room, 1.0))
-        chance = 1.0 if account.plan.ceiling_rate else chance
-        return (ASK_LEAST if self.silent else chance) * self.settings.counter
+    def sampling_rate_of(self, account: Account) -> float:
+        """The probability of a counter call; 1 for plans with a ceiling, which need exact totals."""
+        rate = max(self.sampling_rate, min(SAMPLED_REQUESTS * self.settings.largest / account.capacity, 1.0))
+        rate = 1.0 if account.plan.ceiling_rate else rate
+        return (MIN_SAMPLING_RATE if self.counter_down else rate) * self.settings.counter
 
-    def ask(self, account: Account, tally: Tally, now: float, why: str) -> None:
-        """Tell what is pending and ask for the total, one call at a time."""
-        if tally.flying is not None:
+    def call_counter(self, account: Account, counter: SharedCounter, now: float, reason: str) -> None:
+        """Report unreported units and ask for the total; one call at a time for each counter."""
+        if counter.in_flight is not None:
             return
-        self.counts[f"counter.for_{why}"] += 1
-        tally.period, tally.asked_at = int(now // account.period), now
-        amount = account.tell(tally, now, AMOUNT_MOST)
-        name = account.name(tally)
-        self.calls[name] = (account, tally)
-        self.actions.append(api.AddCount(name, amount, account.period + 10))
-
-    def on_late(self, event: api.CountAnswer, now: float) -> None:
-        """A total after its time is as true as any, though nobody waits for it any more."""
-        account, tally = self.overdue.pop(event.name, (None, None))
-        if account is not None and tally is not None and account.name(tally) == event.name:
+        self.stats[f"counter.for_{reason}"] += 1
+        counter.period, counter.requested_at = int(now // account.period_length), now
+        amount = account.begin_report(counter, now, MAX_COUNTER_AMOUNT)
+        name = account.counter_name(counter)
+        self.counter_calls[name] = (account, counter)
+        self.actions.append(api.AddCount(name, amount, account.period_length + 10))
+
+    def apply_late_total(self, event: api.CountAnswer, now: float) -> None:
+        """Use the total of a timed-out call, if its counter still goes by that name."""
+        account, counter = self.late_calls.pop(event.name, (None, None))
+        if account is not None and counter is not None and account.counter_name(counter) == event.name:
             account.advance(now)
-            account.learn(tally, event.total, now)
+            account.apply_total(counter, event.total, now)
 
-    def open(self, request: api.Request, plan: api.PlanSettings, now: float) -> Account:
-        """A customer not seen lately."""
+    def open_account(self, request: api.Request, plan: api.PlanSettings, now: float) -> Account:
+        """Create the account of a customer under a plan."""
         largest, spread = self.settings.largest, max(request.spread, 1)
-        room = ROOM * plan.burst + ROOM_UNITS * largest if plan.rate else math.inf
-        depth = room / (DRAIN * plan.rate) if plan.rate else OPEN_DEPTH * self.aim
-        period = min(PERIOD_MAX, PERIOD_DEPTHS * depth)
-        account = Account(request.customer, plan, spread, now, depth, room, period)
-        account.fill(largest)
-        account.mark = f"\n{depth:.9g}"
-        if plan.ceiling_rate and plan.name in self.switched:
-            # What was used under the figures before may be all of the room, and the ceiling must hold.
-            account.suppose(account.admitted, room * kept(now - self.switched[plan.name], depth), now)
+        capacity = CAPACITY_BURSTS * plan.burst + CAPACITY_REQUESTS * largest if plan.rate else math.inf
+        decay_time = (
+            capacity / (DRAIN_RATIO * plan.rate) if plan.rate else NO_RATE_DECAY * self.target_latency
+        )
+        period_length = min(MAX_PERIOD_S, MAX_PERIOD_DECAY_TIMES * decay_time)
+        account = Account(request.customer, plan, spread, now, decay_time, capacity, period_length)
+        account.initialize_allowances(largest)
+        account.name_suffix = f"\n{decay_time:.9g}"
+        if plan.ceiling_rate and plan.name in self.plan_changed_at:
+            # All of the capacity may have been used under the previous limits, and the ceiling must hold.
+            account.assume_usage(
+                account.admitted, capacity * decay(now - self.plan_changed_at[plan.name], decay_time), now
+            )
         self.accounts[request.customer] = account
         return account
 
-    def account(self, request: api.Request, plan: api.PlanSettings, now: float) -> Account:
-        """The customer's account, from now on the last of all; the first is forgotten when long idle."""
+    def account_for(self, request: api.Request, plan: api.PlanSettings, now: float) -> Account:
+        """The customer's account, moved to the end; drops the least recently used one if it has been idle."""
         known = self.accounts.get(request.customer)
         if known is not None and known.plan.name != plan.name:
-            # Who uses another's name under a plan of his own has his own account.
+            # A request under another plan must not change the account that goes by this name.
             request = replace(request, customer=f"{request.customer}\n{plan.name}")
-        account = self.accounts.pop(request.customer, None) or self.open(request, plan, now)
+        account = self.accounts.pop(request.customer, None) or self.open_account(request, plan, now)
         if account.plan != plan:
-            old, account = account, self.open(request, plan, now)
+            old, account = account, self.open_account(request, plan, now)
             old.advance(now)
-            account.carry(old)
+            account.inherit_usage(old)
         self.accounts[request.customer] = account
         first = next(iter(self.accounts))
-        if not self.accounts[first].busy and now - self.accounts[first].at > MEMORY:
+        if not self.accounts[first].active and now - self.accounts[first].updated_at > IDLE_ACCOUNT_TTL_S:
             del self.accounts[first]
         return account
--- a/barleyhub/state.py
+++ b/barleyhub/state.py
@@ -1,4 +1,4 @@
-"""What barleyhub.choice remembers: plain records and how they fade, with no decision in them."""
+"""State of barleyhub.choice: records of accounts, servers and requests, and how they decay; no decisions."""
 
 from __future__ import annotations
 
@@ -12,389 +12,461 @@
 
 from barleyhub import interface as api
 
-DRAIN = 1.2  # times the rate at which a full room drains; the average is stricter than a store
-ERROR_GAIN = 0.3  # weight of an outcome in a share of errors, a tenth of it for a group
-# Connections break, and answers come spoilt, on the way from any server alike: to shun the one that was
-# hit loads the others unevenly. One that has died can't be connected to, which counts in full.
-RESET_GAIN = 0.03  # weight of a reset
-ERROR_LEAST = 0.002  # a share of errors below this is none
-SHARE_STEP = 0.2  # s; a faded share of errors holds for so long
-FORGET = 20.0  # s; faults fade over this time, so that who failed is tried again
-REPORT_DEPTH = 0.5  # s; what a load report says fades over this time
-OVERDUE_MOST = 64  # calls timed out of which a total is still hoped for
-# s; depth of the mean of attempts out: some usual answers. In a surge a longer one lets in the more.
-BUSY_DEPTH = 0.7
-FRESH = 2.0  # depths; totals are averaged over this to know a customer's habit
-CAP_START = 1 / 3  # of a gateway's part of a ceiling at first; the rest is the most it holds
-
-
-class Learnt(TypedDict):
-    """What one process of a gateway tells the one that takes over."""
+# Multiple of a plan's rate at which a full account drains. An exponential average admits less than a token
+# bucket of the same rate.
+DRAIN_RATIO = 1.2
+ERROR_SMOOTHING = 0.3  # smoothing factor of a server's error rate; a tenth of it for its group
+# Connections break on the way from any server, so a reset says little about the server that it hit, and
+# avoiding it would load the others unevenly. A dead server refuses connections, which counts in full.
+RESET_SMOOTHING = 0.03
+MIN_ERROR_RATE = 0.002  # lower error rates count as 0
+ERROR_RATE_CACHE_S = 0.2
+ERROR_DECAY_S = 20.0  # time constant of error rates: a server that failed is tried again after a while
+LOAD_REPORT_DECAY_S = 0.5
+MAX_LATE_CALLS = 64  # timed-out counter calls whose late answers are still accepted
+MEAN_IN_FLIGHT_DECAY_S = 0.7
+MEAN_USAGE_DECAY_TIMES = 2.0  # time constant of an account's mean usage, as a multiple of its decay time
+INITIAL_CEILING_SHARE = 1 / 3  # of a gateway's share of a ceiling at first; the rest is the most it holds
+
+
+class LearnedState(TypedDict):
+    """Estimates that one process of a gateway hands to the process that replaces it."""
 
     limit: float
     latency: float
     slow: float
     busy: float
     ratios: dict[str, float]
-    servers: dict[str, list[float]]  # start (Unix s), pace, share of errors
-    pools: list[tuple[str, list[float]]]  # zone and kind; pace, share of errors, units, sizes, time
+    servers: dict[str, list[float]]  # start (Unix s), latency ratio, error rate
+    # Zone and kind; latency ratio, error rate, answered units, size-weighted units, server time (s).
+    pools: list[tuple[str, list[float]]]
 
 
-# The method that takes each kind of event.
+# Names of the handler methods by event class.
 HANDLERS = {kind.__name__: f"on_{kind.__name__.lower()}" for kind in get_args(api.Event)}
 
 
-def kept(gap: float, depth: float) -> float:
-    """The weight left of what was known a gap ago, in an average over depth."""
-    return math.exp(-max(gap, 0.0) / depth)
+def decay(elapsed: float, decay_time: float) -> float:
+    """The weight left after this time (s) in an exponential average with this time constant (s)."""
+    return math.exp(-max(elapsed, 0.0) / decay_time)
 
 
 @dataclass(slots=True, eq=False)
-class Tally:
-    """One shared count of a customer; amounts fade with the customer's depth."""
+class SharedCounter:
+    """One counter that all gateways of a customer share; its units decay with the account's decay time."""
 
     kind: str
-    level: float = 0.0
-    mean: float = 0.0
-    pending: float = 0.0
-    flying: float | None = None
+    usage: float = 0.0  # units by the last total, as of read_at
+    mean_usage: float = 0.0
+    unreported: float = 0.0  # units counted here and not yet sent to the counter service
+    in_flight: float | None = None  # units in the call that is under way
     period: int = -1
     read_at: float = -math.inf
-    asked_at: float = -math.inf
-    base: float = 0.0  # used before the period or the figures of now, whose totals don't hold it
-    base_at: float = -math.inf
+    requested_at: float = -math.inf
+    carried_usage: float = 0.0  # used before this period or plan, and so not part of its totals
+    carried_at: float = -math.inf
 
 
 @dataclass(slots=True, eq=False)
 class AccountState:
-    """One customer: its counts, its ceiling, what is out here, who waits for a total."""
+    """One customer: its counters, local allowances, attempts in flight and requests awaiting a total."""
 
     customer: str
     plan: api.PlanSettings
-    spread: int
-    at: float
-    depth: float
-    room: float
-    period: float
-    alone: float = 0.0
-    alone_most: float = 0.0
-    ceiling: float = 0.0
-    admitted: Tally = field(default_factory=lambda: Tally("admitted"))
-    turned: Tally = field(default_factory=lambda: Tally("turned"))
-    out: int = 0
-    waiting: list[Job] = field(default_factory=list)
-    mark: str = ""  # of the counts' names, under figures that came later than the settings
+    spread: int  # gateways that serve this customer
+    updated_at: float
+    decay_time: float  # s
+    capacity: float  # units
+    period_length: float  # s
+    local_allowance: float = 0.0
+    max_local_allowance: float = 0.0
+    ceiling_allowance: float = 0.0
+    admitted: SharedCounter = field(default_factory=lambda: SharedCounter("admitted"))
+    refused: SharedCounter = field(default_factory=lambda: SharedCounter("turned"))
+    in_flight: int = 0
+    awaiting_total: list[Job] = field(default_factory=list)
+    name_suffix: str = ""  # tells counters under changed limits from those under the initial settings
 
     @property
-    def busy(self) -> bool:
-        """Whether anything of this customer is out or held here."""
-        return bool(self.out or self.waiting)
-
-    def fill(self, largest: float) -> None:
-        """This gateway's own parts at the start."""
-        # A part is at least one request, or a calm customer of a wide set would be refused.
-        self.alone = self.alone_most = max(self.plan.burst / self.spread, largest)
-        self.ceiling = max(self.plan.ceiling_burst - self.room, 0.0) / self.spread * CAP_START
+    def active(self) -> bool:
+        """Whether any request of this customer is in flight or waits here."""
+        return bool(self.in_flight or self.awaiting_total)
+
+    def initialize_allowances(self, largest: float) -> None:
+        """Set this gateway's share of the plan, in units; ``largest`` is the largest request."""
+        # At least one request, or the first one of a customer with a large spread would be refused.
+        self.local_allowance = self.max_local_allowance = max(self.plan.burst / self.spread, largest)
+        self.ceiling_allowance = (
+            max(self.plan.ceiling_burst - self.capacity, 0.0) / self.spread * INITIAL_CEILING_SHARE
+        )
 
     def advance(self, now: float) -> None:
-        """Fade what is not told yet to now, and let this gateway's own parts refill."""
-        gap, self.at, plan = max(now - self.at, 0.0), now, self.plan
-        left = kept(gap, self.depth)
-        self.admitted.pending, self.turned.pending = self.admitted.pending * left, self.turned.pending * left
-        self.alone = min(self.alone + plan.rate / self.spread * gap, self.alone_most)
-        # The quota's own units may be spent elsewhere on a total: only what is over them is split.
-        rate = max(plan.ceiling_rate - DRAIN * plan.rate, 0.0) / self.spread
-        most = max(plan.ceiling_burst - self.room, 0.0) / self.spread
-        self.ceiling = min(self.ceiling + rate * gap, most * (1 - CAP_START))
-
-    def carry(self, old: AccountState) -> None:
-        """Take over from the account under other figures: what was used counts on, nothing is given anew."""
-        for tally, before in ((self.admitted, old.admitted), (self.turned, old.turned)):
-            # A longer depth remembers more of the same use than the old level could.
-            used = old.expected(before) - before.pending
-            used *= max(self.depth / old.depth, 1.0)
-            tally.pending = before.pending + (before.flying or 0.0)
-            self.suppose(tally, max(used, tally.base), old.at)
-        self.alone = min(old.alone, self.alone_most)
-        self.ceiling = min(old.ceiling, max(self.plan.ceiling_burst - self.room, 0.0) / self.spread)
+        """Decay unreported units and refill the local allowances up to ``now``."""
+        elapsed, self.updated_at, plan = max(now - self.updated_at, 0.0), now, self.plan
+        remaining = decay(elapsed, self.decay_time)
+        self.admitted.unreported, self.refused.unreported = (
+            self.admitted.unreported * remaining,
+            self.refused.unreported * remaining,
+        )
+        self.local_allowance = min(
+            self.local_allowance + plan.rate / self.spread * elapsed, self.max_local_allowance
+        )
+        # Other gateways may admit the quota's own units on a total, so only the rest of the ceiling is split.
+        rate = max(plan.ceiling_rate - DRAIN_RATIO * plan.rate, 0.0) / self.spread
+        most = max(plan.ceiling_burst - self.capacity, 0.0) / self.spread
+        self.ceiling_allowance = min(
+            self.ceiling_allowance + rate * elapsed, most * (1 - INITIAL_CEILING_SHARE)
+        )
+
+    def inherit_usage(self, old: AccountState) -> None:
+        """Take over the usage of the account under the previous limits, so that no burst is granted twice."""
+        for counter, previous in ((self.admitted, old.admitted), (self.refused, old.refused)):
+            # With a longer decay time, more of the same usage still counts.
+            used = old.expected_usage(previous) - previous.unreported
+            used *= max(self.decay_time / old.decay_time, 1.0)
+            counter.unreported = previous.unreported + (previous.in_flight or 0.0)
+            self.assume_usage(counter, max(used, counter.carried_usage), old.updated_at)
+        self.local_allowance = min(old.local_allowance, self.max_local_allowance)
+        self.ceiling_allowance = min(
+            old.ceiling_allowance, max(self.plan.ceiling_burst - self.capacity, 0.0) / self.spread
+        )
 
     @staticmethod
-    def suppose(tally: Tally, used: float, now: float) -> None:
-        """So much was used that no total will tell of; it fades like any."""
-        tally.level = tally.mean = tally.base = used
-        tally.read_at = tally.base_at = now
-
-    def expected(self, tally: Tally) -> float:
-        """The total now: the last one fades, while the others are taken to go on as usual."""
-        fresh = kept(self.at - tally.read_at, self.depth)
-        return tally.mean + (tally.level - tally.mean) * fresh + tally.pending
-
-    def weight(self, tally: Tally, now: float) -> float:
-        """What a unit adds now: later ones weigh more, so that a total is an average that fades."""
-        return math.exp((now - tally.period * self.period) / self.depth)
-
-    def tell(self, tally: Tally, now: float, most: float) -> float:
-        """Put what is pending in flight and give its amount; what passes the most is told with the next."""
-        weight = self.weight(tally, now)
-        tally.flying = min(max(tally.pending, -most / weight), most / weight)
-        tally.pending -= tally.flying
-        return tally.flying * weight
-
-    def learn(self, tally: Tally, total: float, now: float) -> None:
-        """Take in a total; a name's first one in a period adds to what is left of the last."""
-        gap, fresh = now - tally.read_at, tally.read_at < tally.period * self.period
-        if fresh:
-            # Also later totals of this period hold nothing of what was used before it.
-            tally.base, tally.base_at = tally.level * kept(gap, self.depth), now
-        elif tally is self.turned:
-            # Refusals only narrow the gate: those of long ago, counted on, would shut out what fits.
-            tally.base = 0.0
-        before = tally.base * kept(now - tally.base_at, self.depth) if tally.base else 0.0
-        level = before + total / self.weight(tally, now)
-        tally.mean += (level - tally.mean) * (1 - kept(gap, FRESH * self.depth))
-        tally.level, tally.read_at = level, now
-
-    def name(self, tally: Tally) -> int:
-        """The count's name in its period: a stable digest, the same at all gateways."""
-        text = f"{self.customer}\n{tally.kind}\n{self.plan.name}\n{tally.period}{self.mark}"
+    def assume_usage(counter: SharedCounter, used: float, now: float) -> None:
+        """Set usage that the counter's totals do not include; it decays like any other."""
+        counter.usage = counter.mean_usage = counter.carried_usage = used
+        counter.read_at = counter.carried_at = now
+
+    def expected_usage(self, counter: SharedCounter) -> float:
+        """The estimated total now: the last one decays towards the mean; unreported units come on top."""
+        fresh = decay(self.updated_at - counter.read_at, self.decay_time)
+        return counter.mean_usage + (counter.usage - counter.mean_usage) * fresh + counter.unreported
+
+    def weight(self, counter: SharedCounter, now: float) -> float:
+        """What one unit adds now: weights grow over a period, so that a total is a decaying average."""
+        return math.exp((now - counter.period * self.period_length) / self.decay_time)
+
+    def begin_report(self, counter: SharedCounter, now: float, max_amount: float) -> float:
+        """Move unreported units into flight and return their weighted amount, limited to ``max_amount``."""
+        weight = self.weight(counter, now)
+        counter.in_flight = min(max(counter.unreported, -max_amount / weight), max_amount / weight)
+        counter.unreported -= counter.in_flight
+        return counter.in_flight * weight
+
+    def apply_total(self, counter: SharedCounter, total: float, now: float) -> None:
+        """Update the usage from a total; the first one of a period adds to the decayed usage before it."""
+        elapsed, first_in_period = (
+            now - counter.read_at,
+            counter.read_at < counter.period * self.period_length,
+        )
+        if first_in_period:
+            # No total of this period includes what was used before it.
+            counter.carried_usage, counter.carried_at = (
+                counter.usage * decay(elapsed, self.decay_time),
+                now,
+            )
+        elif counter is self.refused:
+            # Old refusals must not keep refusing requests that would fit by now.
+            counter.carried_usage = 0.0
+        carried = (
+            counter.carried_usage * decay(now - counter.carried_at, self.decay_time)
+            if counter.carried_usage
+            else 0.0
+        )
+        usage = carried + total / self.weight(counter, now)
+        counter.mean_usage += (usage - counter.mean_usage) * (
+            1 - decay(elapsed, MEAN_USAGE_DECAY_TIMES * self.decay_time)
+        )
+        counter.usage, counter.read_at = usage, now
+
+    def counter_name(self, counter: SharedCounter) -> int:
+        """The counter's name in its period: a digest that is the same at all gateways."""
+        text = f"{self.customer}\n{counter.kind}\n{self.plan.name}\n{counter.period}{self.name_suffix}"
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
 
 
 @dataclass(slots=True, eq=False)
 class Health:
-    """Faults and times of servers taken together, or of one; 1.0 is the usual time."""
+    """Error rate and latency of a server or of a group of servers."""
 
-    at: float
-    errors: float = 0.0
-    pace: float = 1.0
-    faded: float = 0.0
-    faded_at: float = -math.inf
+    updated_at: float
+    error_rate: float = 0.0  # as of updated_at
+    slowdown: float = 1.0  # latency relative to the usual one
+    cached_error_rate: float = 0.0
+    cached_at: float = -math.inf
 
-    def share(self, now: float) -> float:
-        """The share of errors, faded; worked out anew only now and then, as it fades over seconds."""
-        if not self.errors:
+    def current_error_rate(self, now: float) -> float:
+        """The decayed error rate, cached for a moment, since every choice of a server reads it."""
+        if not self.error_rate:
             return 0.0
-        if now - self.faded_at > SHARE_STEP:
-            self.faded, self.faded_at = self.errors * kept(now - self.at, FORGET), now
-        return self.faded
-
-    def settle(self, pace: float, errors: float, now: float) -> None:
-        """Begin with what somebody else has learnt."""
-        self.pace, self.errors, self.at, self.faded_at = pace, errors, now, -math.inf
-
-    def note(self, bad: bool, gain: float, depth: float, now: float) -> None:
-        """Take one outcome into the share of errors, which fades over depth."""
-        self.errors = self.errors * kept(now - self.at, depth) * (1 - gain) + gain * bad
-        self.errors = self.errors if self.errors > ERROR_LEAST else 0.0
-        self.at, self.faded_at = now, -math.inf
+        if now - self.cached_at > ERROR_RATE_CACHE_S:
+            self.cached_error_rate, self.cached_at = (
+                self.error_rate * decay(now - self.updated_at, ERROR_DECAY_S),
+                now,
+            )
+        return self.cached_error_rate
+
+    def restore(self, slowdown: float, error_rate: float, now: float) -> None:
+        """Start from another process's estimates."""
+        self.slowdown, self.error_rate, self.updated_at, self.cached_at = (
+            slowdown,
+            error_rate,
+            now,
+            -math.inf,
+        )
+
+    def record_outcome(self, failed: bool, smoothing: float, decay_time: float, now: float) -> None:
+        """Add one outcome to the error rate, which decays over ``decay_time`` (s)."""
+        self.error_rate = (
+            self.error_rate * decay(now - self.updated_at, decay_time) * (1 - smoothing) + smoothing * failed
+        )
+        self.error_rate = self.error_rate if self.error_rate > MIN_ERROR_RATE else 0.0
+        self.updated_at, self.cached_at = now, -math.inf
 
 
 @dataclass(slots=True, eq=False)
-class Pool(Health):
-    """Servers of one zone and kind: also the units answered by warm ones, and their time."""
+class ServerGroup(Health):
+    """Servers of one zone and kind; also the units that warm ones answered, and the time they took."""
 
-    warm: int = 0
-    counted_at: float = 0.0
-    units: float = 1.0
-    sizes: float = 1.0
-    time: float = 1.0
+    warm_count: int = 0
+    accounted_at: float = 0.0
+    answered_units: float = 1.0
+    size_weighted_units: float = 1.0
+    server_time: float = 1.0  # s, summed over the warm servers
 
     @classmethod
-    def supposed(cls, units: float, time: float, now: float) -> Pool:
-        """So many units in place of experience, where one is supposed to take a warm server this time."""
-        return cls(now, units=units, sizes=units, time=units * time)
-
-    def recount(self, depth: float, now: float) -> None:
-        """Bring the time up to now; the warm ones are to be counted anew."""
-        self.answered(0.0, 0.0, depth, now)
-        self.warm = 0
-
-    def answered(self, units: float, size: float, depth: float, now: float) -> None:
-        """Add units answered by a warm server of this size; without warm ones all stands still."""
-        if self.warm:
-            left = kept(now - self.counted_at, depth)
-            self.units = self.units * left + units
-            self.sizes = self.sizes * left + units * size
-            self.time = self.time * left + self.warm * depth * (1 - left)
-        self.counted_at = now
-
-    def rate(self, size: float) -> float:
-        """Units a second that a warm server answered: one of this size, if it is smaller than they."""
-        return min(size * self.units / self.sizes, 1.0) * self.units / self.time
+    def with_prior(cls, units: float, time: float, now: float) -> ServerGroup:
+        """A group that starts with so many answered units, each of which took a warm server this time (s)."""
+        return cls(now, answered_units=units, size_weighted_units=units, server_time=units * time)
+
+    def reset_warm_count(self, decay_time: float, now: float) -> None:
+        """Account for the time up to ``now`` before the warm servers are counted anew."""
+        self.record_answer(0.0, 0.0, decay_time, now)
+        self.warm_count = 0
+
+    def record_answer(self, units: float, size: float, decay_time: float, now: float) -> None:
+        """Add units answered by a warm server of this size; without warm servers nothing changes."""
+        if self.warm_count:
+            remaining = decay(now - self.accounted_at, decay_time)
+            self.answered_units = self.answered_units * remaining + units
+            self.size_weighted_units = self.size_weighted_units * remaining + units * size
+            self.server_time = self.server_time * remaining + self.warm_count * decay_time * (1 - remaining)
+        self.accounted_at = now
+
+    def unit_rate(self, size: float) -> float:
+        """Units per second of a warm server; fewer for one of smaller size than those that answered."""
+        return (
+            min(size * self.answered_units / self.size_weighted_units, 1.0)
+            * self.answered_units
+            / self.server_time
+        )
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One server, judged from this gateway's own traffic and from those it stands with."""
+    """One server, judged by this gateway's own traffic to it and to its group."""
 
     entry: api.ServerEntry
-    own: Health
-    group: Pool
-    heard_at: float
-    out: int = 0
-    faults: dict[str, Health] = field(default_factory=dict)
-    report: dict[str, float] = field(default_factory=dict)
-    reported_at: float = -math.inf
-
-    def told(self, report: dict[str, float], now: float) -> None:
-        """Take a load report. Servers repeat one until the next is due: its age counts from the first."""
-        if report and report != self.report:
-            self.report, self.reported_at = report, now
+    health: Health
+    group: ServerGroup
+    unanswered_since: float  # last outcome, or the first attempt after an idle time
+    in_flight: int = 0
+    health_by_label: dict[str, Health] = field(default_factory=dict)  # by class or plan name
+    load_report: dict[str, float] = field(default_factory=dict)
+    load_report_at: float = -math.inf
+
+    def update_load_report(self, report: dict[str, float], now: float) -> None:
+        """Store a load report. A server repeats one until the next, so its age counts from the first."""
+        if report and report != self.load_report:
+            self.load_report, self.load_report_at = report, now
 
     def backlog(self, now: float) -> float:
-        """Requests that wait there, of all gateways, as far as the last report still says."""
-        waiting = self.report.get("backlog", 0.0)
-        return waiting * kept(now - self.reported_at, REPORT_DEPTH) if waiting else 0.0
-
-    def note(self, fault: bool, named: tuple[tuple[str, bool], ...], now: float, reset: bool = False) -> None:
-        """Take an outcome into the shares of errors; a name counts once it has been at fault here."""
-        gain = RESET_GAIN if reset else ERROR_GAIN
-        self.own.note(fault, gain, FORGET, now)
-        self.group.note(fault, gain / 10, FORGET, now)
-        for name, bad in named:
-            if bad or name in self.faults:
-                self.faults.setdefault(name, Health(now)).note(bad, gain, FORGET, now)
-
-    def errors(self, names: tuple[str, ...], now: float) -> float:
-        """The shares of errors of this server, those it stands with, and these names on it, faded."""
-        # Asked of every server for every attempt, and most have none by name.
-        total = self.own.share(now) + self.group.share(now)
-        for name in names if self.faults else ():
-            if name in self.faults:
-                total += self.faults[name].share(now)
+        """Requests of all gateways that wait there, by the last load report, decayed with its age."""
+        waiting = self.load_report.get("backlog", 0.0)
+        return waiting * decay(now - self.load_report_at, LOAD_REPORT_DECAY_S) if waiting else 0.0
+
+    def record_outcome(
+        self, failed: bool, failed_by_label: tuple[tuple[str, bool], ...], now: float, reset: bool = False
+    ) -> None:
+        """Add an outcome to the error rates; a label has its own rate from its first failure on."""
+        smoothing = RESET_SMOOTHING if reset else ERROR_SMOOTHING
+        self.health.record_outcome(failed, smoothing, ERROR_DECAY_S, now)
+        self.group.record_outcome(failed, smoothing / 10, ERROR_DECAY_S, now)
+        for label, label_failed in failed_by_label:
+            if label_failed or label in self.health_by_label:
+                self.health_by_label.setdefault(label, Health(now)).record_outcome(
+                    label_failed, smoothing, ERROR_DECAY_S, now
+                )
+
+    def error_rate(self, labels: tuple[str, ...], now: float) -> float:
+        """The sum of the decayed error rates of this server, its group and these labels."""
+        # Read for every candidate of every attempt, and most servers have no rates by label.
+        total = self.health.current_error_rate(now) + self.group.current_error_rate(now)
+        for label in labels if self.health_by_label else ():
+            if label in self.health_by_label:
+                total += self.health_by_label[label].current_error_rate(now)
         return total
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request in hand."""
+    """A request without a final answer yet, or with an attempt in flight."""
 
     request: api.Request
-    kind: api.ClassSettings
+    service: api.ClassSettings
     account: AccountState
-    arrived: float
+    arrived_at: float
     deadline: float
-    counted: float
-    tries: int  # attempts allowed when it came
+    counted_units: float  # units added to the admitted counter for it
+    try_limit: int  # by the settings when it arrived
     attempts: int = 0
-    done: bool = False
-    ran: bool = False
-    out: Server | None = None
+    withdrawn: bool = False
+    may_have_run: bool = False
+    current_server: Server | None = None  # of the attempt in flight
     sent_at: float = -math.inf
-    slow: bool = False
-    first: api.ServerEntry | None = None
-    first_at: float = math.inf
+    counted_slow: bool = False  # whether the attempt in flight has counted as a slow answer
+    first_server: api.ServerEntry | None = None
+    first_sent_at: float = math.inf
     tried: list[str] = field(default_factory=list)
-    aside: Container[str] = ()  # servers that it may not go to
+    excluded_servers: Container[str] = ()
 
-    def send(self, server: Server, now: float) -> None:
-        """An attempt goes out."""
-        if not self.ran:
-            self.first, self.first_at = server.entry, now
+    def start_attempt(self, server: Server, now: float) -> None:
+        """Record an attempt that is sent."""
+        if not self.may_have_run:
+            self.first_server, self.first_sent_at = server.entry, now
         self.attempts += 1
-        self.out, self.sent_at, self.slow = server, now, False
+        self.current_server, self.sent_at, self.counted_slow = server, now, False
         self.tried.append(server.entry.server)
-        self.account.out += 1
-        server.heard_at = server.heard_at if server.out else now
-        server.out += 1
-
-    def back(self, server: Server) -> Server:
-        """The attempt out at this server is over."""
-        self.out = None
-        server.out -= 1
-        self.account.out = max(self.account.out - 1, 0)
+        self.account.in_flight += 1
+        server.unanswered_since = server.unanswered_since if server.in_flight else now
+        server.in_flight += 1
+
+    def end_attempt(self, server: Server) -> Server:
+        """Record that the attempt in flight at this server is over."""
+        self.current_server = None
+        server.in_flight -= 1
+        self.account.in_flight = max(self.account.in_flight - 1, 0)
         return server
 
 
 @dataclass(slots=True, eq=False)
 class GatewayState:
-    """What a gateway remembers beside its customers."""
+    """State of a gateway apart from its accounts."""
 
     settings: api.Settings = field(init=False)
     classes: dict[str, api.ClassSettings] = field(init=False)
-    aim: float = 0.0  # s; the mean of the classes
+    target_latency: float = 0.0  # s; mean of all classes
     plans: dict[str, api.PlanSettings] = field(default_factory=dict)
-    switched: dict[str, float] = field(default_factory=dict)  # when a plan's figures changed last
-    blocked: Container[str] = ()  # customers, by rules with versions
-    aside: Container[str] = ()  # servers, by rules with versions
-    banned: Container[str] = ()  # servers, by hand
-    returned: Mapping[str, tuple[float, float]] = field(default_factory=dict)  # servers, by hand: out, back
+    plan_changed_at: dict[str, float] = field(default_factory=dict)
+    blocked_customers: Container[str] = ()  # by versioned rules
+    excluded_servers: Container[str] = ()  # by versioned rules
+    in_maintenance: Container[str] = ()  # taken out by an operator
+    returned_servers: Mapping[str, tuple[float, float]] = field(
+        default_factory=dict
+    )  # taken out, put back at
     random: Random = field(init=False)
-    counts: Counter[str] = field(init=False)
-    fitting: dict[tuple[str, bool], float] = field(default_factory=dict)
-    silent: bool = False  # the counter
-    mine: list[Server] = field(default_factory=list)  # this gateway's arc
-    holders: float = 1.0  # gateways that send to one server
+    stats: Counter[str] = field(init=False)
+    fit_rates: dict[tuple[str, bool], float] = field(default_factory=dict)
+    counter_down: bool = False
+    subset: list[Server] = field(default_factory=list)  # this gateway's subset
+    shared_by: float = 1.0
     servers: dict[str, Server] = field(default_factory=dict)
-    fleet: list[Server] = field(default_factory=list)
+    warm: list[Server] = field(default_factory=list)
     cold: list[Server] = field(default_factory=list)
-    drawn_at: float = -math.inf
-    groups: dict[tuple[str, str], Pool] = field(default_factory=dict)
+    cold_credit_since: float = -math.inf  # cold servers have not been given their share since then
+    groups: dict[tuple[str, str], ServerGroup] = field(default_factory=dict)
     jobs: dict[str, Job] = field(default_factory=dict)
     actions: list[api.Action] = field(default_factory=list)
-    asking: float = 1.0
-    fails: int = 0
-    out: int = 0
-    busy: float = 0.0
-    busy_at: float = 0.0
-    limit: float = 0.0  # attempts out a warm server, by all gateways
-    latency: float = 0.0  # the usual time of an answer, and the classes' parts of it
-    ratios: dict[str, float] = field(default_factory=dict)
-    slow: float = 0.0
-    heard_at: float = 0.0
-    sent: defaultdict[str, deque[tuple[Job, float]]] = field(default_factory=lambda: defaultdict(deque))
-    overdue: dict[int, tuple[AccountState, Tally]] = field(default_factory=dict)
-
-    def learnt(self, now: float) -> Learnt:
-        """What another process of this gateway would else have to learn by itself."""
+    sampling_rate: float = 1.0  # of a counter call
+    counter_failures: int = 0  # in a row
+    in_flight: int = 0  # attempts
+    mean_in_flight: float = 0.0
+    mean_in_flight_at: float = 0.0
+    in_flight_limit: float = 0.0  # attempts per warm server, by all gateways together
+    latency: float = 0.0  # s; estimate over all classes
+    slowdowns: dict[str, float] = field(default_factory=dict)  # class's latency over that estimate
+    slow_share: float = 0.0  # of answers
+    limit_adapted_at: float = 0.0
+    sent_attempts: defaultdict[str, deque[tuple[Job, float]]] = field(
+        default_factory=lambda: defaultdict(deque)
+    )
+    late_calls: dict[int, tuple[AccountState, SharedCounter]] = field(default_factory=dict)
+
+    def export_learned(self, now: float) -> LearnedState:
+        """The estimates that the process replacing this one starts from."""
         return {
-            "limit": self.limit,
+            "limit": self.in_flight_limit,
             "latency": self.latency,
-            "slow": self.slow,
-            "busy": self.busy,
-            "ratios": dict(self.ratios),
+            "slow": self.slow_share,
+            "busy": self.mean_in_flight,
+            "ratios": dict(self.slowdowns),
             "servers": {
-                name: [server.entry.launched, server.own.pace, server.own.share(now)]
+                name: [
+                    server.entry.launched,
+                    server.health.slowdown,
+                    server.health.current_error_rate(now),
+                ]
                 for name, server in self.servers.items()
             },
             "pools": [
-                ("\n".join(stand), [pool.pace, pool.share(now), pool.units, pool.sizes, pool.time])
-                for stand, pool in self.groups.items()
+                (
+                    "\n".join(zone_and_kind),
+                    [
+                        group.slowdown,
+                        group.current_error_rate(now),
+                        group.answered_units,
+                        group.size_weighted_units,
+                        group.server_time,
+                    ],
+                )
+                for zone_and_kind, group in self.groups.items()
             ],
         }
 
-    def recall(self, learnt: Learnt, now: float) -> None:
-        """Go on from what the other process has learnt, as far as the servers are the same."""
-        self.limit, self.latency, self.slow = learnt["limit"], learnt["latency"], learnt["slow"]
-        # What is out at the other one does not count here, but neither is the gateway idle.
-        self.busy, self.busy_at = learnt["busy"], now
-        self.ratios |= learnt["ratios"]
-        for name, (launched, pace, errors) in learnt["servers"].items():
+    def restore_learned(self, learned: LearnedState, now: float) -> None:
+        """Start from another process's estimates, for servers that have not restarted since."""
+        self.in_flight_limit, self.latency, self.slow_share = (
+            learned["limit"],
+            learned["latency"],
+            learned["slow"],
+        )
+        # The other process's attempts do not count here, but the gateway as a whole is not idle.
+        self.mean_in_flight, self.mean_in_flight_at = learned["busy"], now
+        self.slowdowns |= learned["ratios"]
+        for name, (launched, slowdown, error_rate) in learned["servers"].items():
             server = self.servers.get(name)
             if server is not None and server.entry.launched == launched:
-                server.own.settle(pace, errors, now)
-        for stand, (pace, errors, units, sizes, time) in learnt["pools"]:
-            zone, _, kind = stand.partition("\n")
-            if pool := self.groups.get((zone, kind)):
-                pool.settle(pace, errors, now)
-                pool.units, pool.sizes, pool.time, pool.counted_at = units, sizes, time, now
-
-    def hope(self, name: int, account: AccountState, tally: Tally) -> None:
-        """A call timed out whose total may still come."""
-        self.overdue[name] = (account, tally)
-        if len(self.overdue) > OVERDUE_MOST:
-            del self.overdue[next(iter(self.overdue))]
-
-    def occupy(self, change: int, now: float) -> None:
-        """Count the attempts out, and their mean lately: at full size one is out or none."""
-        fade = kept(now - self.busy_at, BUSY_DEPTH)
-        self.busy, self.busy_at = self.busy * fade + self.out * (1 - fade), now
-        self.out += change
-
-    def unanswered(self, kind: str, since: float) -> Iterator[Job]:
-        """The jobs whose attempt went out before then and is still out; each attempt is looked at once."""
-        sent = self.sent[kind]
-        while sent and sent[0][1] < since:
-            job, at = sent.popleft()
-            if job.out is not None and job.sent_at == at:
+                server.health.restore(slowdown, error_rate, now)
+        for zone_and_kind, (slowdown, error_rate, units, sizes, time) in learned["pools"]:
+            zone, _, kind = zone_and_kind.partition("\n")
+            if group := self.groups.get((zone, kind)):
+                group.restore(slowdown, error_rate, now)
+                group.answered_units, group.size_weighted_units, group.server_time, group.accounted_at = (
+                    units,
+                    sizes,
+                    time,
+                    now,
+                )
+
+    def expect_late_total(self, name: int, account: AccountState, counter: SharedCounter) -> None:
+        """Keep a timed-out call, whose total may still come."""
+        self.late_calls[name] = (account, counter)
+        if len(self.late_calls) > MAX_LATE_CALLS:
+            del self.late_calls[next(iter(self.late_calls))]
+
+    def change_in_flight(self, change: int, now: float) -> None:
+        """Update the number of attempts in flight and its recent mean."""
+        remaining = decay(now - self.mean_in_flight_at, MEAN_IN_FLIGHT_DECAY_S)
+        self.mean_in_flight, self.mean_in_flight_at = (
+            self.mean_in_flight * remaining + self.in_flight * (1 - remaining),
+            now,
+        )
+        self.in_flight += change
+
+    def pop_unanswered(self, class_name: str, sent_before: float) -> Iterator[Job]:
+        """The jobs whose attempt was sent before then (s) and is in flight; yields each attempt once."""
+        sent = self.sent_attempts[class_name]
+        while sent and sent[0][1] < sent_before:
+            job, sent_at = sent.popleft()
+            if job.current_server is not None and job.sent_at == sent_at:
                 yield job
--- a/latchspoke/ctl/offline.py
+++ b/latchspoke/ctl/offline.py
@@ -44,6 +44,10 @@
     )  # fmt: skip
     stock.put(upstream, 0.0)
     upstream.rest_until = each["resting_s"] or -math.inf
-    upstream.out, upstream.own.pace, upstream.own.errors = int(each["out"]), each["pace"], each["errors"]
+    upstream.out, upstream.own.slowdown, upstream.own.error_rate = (
+        int(each["out"]),
+        each["pace"],
+        each["errors"],
+    )
     if each["answered_s_ago"] is not None:
         upstream.answered_at = -each["answered_s_ago"]
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -54,8 +54,8 @@
         "cold_s": left(upstream.cold_until, now),
         "resting_s": left(upstream.rest_until, now),
         "out": upstream.out,
-        "errors": round(upstream.own.share(now), 3),
-        "pace": round(upstream.own.pace, 3),
+        "errors": round(upstream.own.current_error_rate(now), 3),
+        "pace": round(upstream.own.slowdown, 3),
         "answered_s_ago": age(upstream.answered_at, now),
     }
 
--- a/latchspoke/net/figures.py
+++ b/latchspoke/net/figures.py
@@ -35,7 +35,7 @@
     names = []
     for name, target in node.group.targets.items():
         server = gateway.servers.get(name)
-        barred = name in gateway.banned or name in gateway.aside
-        if server is None or not target.active or barred or server.own.share(now) >= SHUNNED:
+        barred = name in gateway.in_maintenance or name in gateway.excluded_servers
+        if server is None or not target.active or barred or server.health.current_error_rate(now) >= SHUNNED:
             names.append(name)
     return names
--- a/latchspoke/net/kin.py
+++ b/latchspoke/net/kin.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from barleyhub.state import Learnt
+from barleyhub.state import LearnedState
 from latchspoke.config import Address
 
 log = logging.getLogger(__name__)
@@ -137,7 +137,7 @@
         finally:
             fcntl.lockf(self.locks, fcntl.LOCK_UN, 1, SLOTS)
 
-    def leave_learnt(self, learnt: Learnt) -> None:
+    def leave_learnt(self, learnt: LearnedState) -> None:
         """For the process that is starting beside this one."""
         beside = self.path.with_suffix(f".{os.getpid()}")
         try:
@@ -146,7 +146,7 @@
         except OSError as e:
             log.error("what was learnt can't be left: %s", e)
 
-    def learnt(self) -> Learnt | None:
+    def learnt(self) -> LearnedState | None:
         """What the other process knew a moment ago, if it has told and it makes sense."""
         path = self.path.with_suffix(".learnt")
         try:
@@ -167,7 +167,7 @@
     return n
 
 
-def read_learnt(o: Any) -> Learnt:
+def read_learnt(o: Any) -> LearnedState:
     """Raises ValueError, KeyError, TypeError or AttributeError where it makes no sense."""
     above = 1e-9  # what is divided by
 
--- a/latchspoke/net/serve.py
+++ b/latchspoke/net/serve.py
@@ -175,7 +175,7 @@
         self.shared.sockets.share(1 + others)
         self.kin.junior = self.kin.junior and others > 0
         if others and self.serving and not self.kin.junior:
-            self.kin.leave_learnt(self.core.gateway.learnt(now))
+            self.kin.leave_learnt(self.core.gateway.export_learned(now))
 
     def sweep(self, now: float) -> None:
         self.clock.schedule(now + SWEEP, self.sweep)
@@ -318,7 +318,7 @@
         if node.kin is None or node.listener.stopping:
             return
         if learnt := node.kin.learnt():
-            node.core.gateway.recall(learnt, node.clock.now())
+            node.core.gateway.restore_learned(learnt, node.clock.now())
             log.info(
                 "%s goes on from what the other process has learnt: limit %.3g, answers %.3g s, %d servers",
                 node.config.name, learnt["limit"], learnt["latency"], len(learnt["servers"]),
--- a/latchspoke/reach/graph.py
+++ b/latchspoke/reach/graph.py
@@ -71,11 +71,11 @@
         found.append("cold")
     if now < upstream.doubt_until:
         found.append("doubtful")
-    if upstream.own.errors and upstream.own.share(now) > ERRING:
+    if upstream.own.error_rate and upstream.own.current_error_rate(now) > ERRING:
         found.append("erring")
     if upstream.ident in stock.told:
         found.append("failing_elsewhere")
-    if upstream.own.pace > (SLOW_AGAIN if "slow" in was else SLOW):
+    if upstream.own.slowdown > (SLOW_AGAIN if "slow" in was else SLOW):
         found.append("slow")
     return tuple(found)
 
@@ -194,7 +194,8 @@
         return Change(
             now, upstream.ident, upstream.service, upstream.zone,
             known.codes if known is not None else None, codes,
-            round(upstream.own.share(now), 3), round(upstream.own.pace, 2), round(stock_told, 3),
+            round(upstream.own.current_error_rate(now), 3), round(upstream.own.slowdown, 2),
+            round(stock_told, 3),
         )  # fmt: skip
 
     def counted(self, since: float, now: float) -> tuple[float, dict[tuple[str, str], array[int]]]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -76,8 +76,8 @@
     def told(self, total: float, plan: str = "plan", **more: Any) -> list[api.Action]:
         """Ask, and answer each call that the request waits for with this faded total."""
         actions = self.ask(plan=plan, **more)
-        while self.gateway.calls:
-            account, tally = next(iter(self.gateway.calls.values()))
+        while self.gateway.counter_calls:
+            account, tally = next(iter(self.gateway.counter_calls.values()))
             actions = actions + self.answer(Code.OK, total * account.weight(tally, self.now), took=0.0)
         return actions
 
@@ -92,7 +92,7 @@
     def answer(self, code: api.Code, total: float = 0.0, took: float = 0.003) -> list[api.Action]:
         """Answer the counter call that is out longest."""
         self.now += took
-        name = next(iter(self.gateway.calls))
+        name = next(iter(self.gateway.counter_calls))
         return self.give(api.CountAnswer(name, code, took, total))
 
 
--- a/tests/opsdays/test_door.py
+++ b/tests/opsdays/test_door.py
@@ -139,12 +139,12 @@
     world.call("PUT /maintenance/enter/s1")
     world.player.clock.advance(0.5)
     world.call("PUT /maintenance/exit/s1")
-    assert gateway.warmth(gateway.servers["s1"], now()) == pytest.approx(0.2)
+    assert gateway.warmup_capacity(gateway.servers["s1"], now()) == pytest.approx(0.2)
     assert [server.entry.server for server in gateway.cold] == ["s1"]
     world.listed(f"s1:1:{int((now() - 0.25) * 1000)}")
-    assert gateway.warmth(gateway.servers["s1"], now()) == pytest.approx(0.4)
+    assert gateway.warmup_capacity(gateway.servers["s1"], now()) == pytest.approx(0.4)
     world.player.clock.advance(1.1)
-    assert gateway.warmth(gateway.servers["s1"], now()) == 1.0
+    assert gateway.warmup_capacity(gateway.servers["s1"], now()) == 1.0
 
 
 def test_a_ban_that_can_t_be_kept_is_not_taken(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/opsdays/test_two_processes.py
+++ b/tests/opsdays/test_two_processes.py
@@ -196,11 +196,22 @@
     old.node.server = cast(asyncio.Server, old)
     old.node.ready()
     was, now = old.node.core.gateway, old.player.clock.now()
-    was.limit, was.latency, was.slow, was.busy, was.ratios["read"] = 2.5, 0.1, 0.25, 7.0, 1.5
-    was.servers["s1"].own.settle(4.0, 0.5, now)
+    was.in_flight_limit, was.latency, was.slow_share, was.mean_in_flight, was.slowdowns["read"] = (
+        2.5,
+        0.1,
+        0.25,
+        7.0,
+        1.5,
+    )
+    was.servers["s1"].health.restore(4.0, 0.5, now)
     pool = was.servers["s1"].group
-    pool.settle(1.2, 0.1, now)
-    pool.units, pool.sizes, pool.time, pool.counted_at = 240.0, 240.0, 24.0, now
+    pool.restore(1.2, 0.1, now)
+    pool.answered_units, pool.size_weighted_units, pool.server_time, pool.accounted_at = (
+        240.0,
+        240.0,
+        24.0,
+        now,
+    )
     assert new.node.kin.learnt() is None  # not while it is alone
     old.node.kin.others = lambda: 1  # type: ignore[method-assign]
     old.player.clock.advance(0.11)
@@ -211,15 +222,15 @@
     new.listed("s2:2:0", "s3:3:1700000000000", "s1:1:0")
     learnt["servers"]["s3"][1] = 9.0
     heir = new.node.core.gateway
-    heir.recall(learnt, now)
-    assert (heir.limit, heir.latency, heir.slow, heir.busy) == (2.5, 0.1, 0.25, 7.0)
-    assert heir.servers["s1"].own.pace == 4.0 and heir.servers["s1"].own.share(now) == pytest.approx(
-        0.5, rel=0.01
-    )
-    assert heir.servers["s3"].own.pace == 1.0
+    heir.restore_learned(learnt, now)
+    assert (heir.in_flight_limit, heir.latency, heir.slow_share, heir.mean_in_flight) == (2.5, 0.1, 0.25, 7.0)
+    assert heir.servers["s1"].health.slowdown == 4.0 and heir.servers["s1"].health.current_error_rate(
+        now
+    ) == pytest.approx(0.5, rel=0.01)
+    assert heir.servers["s3"].health.slowdown == 1.0
     # What a cold server is given is a part of what the warm ones were seen to do.
     entry = heir.servers["s2"].entry
-    assert heir.rate(entry) == pytest.approx(was.rate(entry)) == pytest.approx(10.0)
+    assert heir.unit_rate(entry) == pytest.approx(was.unit_rate(entry)) == pytest.approx(10.0)
 
     path = new.node.kin.path.with_suffix(".learnt")
     stand = learnt["pools"][0][0]
@@ -249,11 +260,11 @@
     # They name the same counts, and what one may still spend of a ceiling at its start the other never holds.
     request = api.Request("r", "c", "read", "basic", units=1.0, left=3.0, spread=2)
     plan = api.PlanSettings("basic", rate=1.0, burst=2.0, ceiling_rate=4.0, ceiling_burst=40.0)
-    first, second = (world.node.core.gateway.open(request, plan, 5.0) for world in (old, new))
-    assert first.name(first.admitted) == second.name(second.admitted)
-    share = (plan.ceiling_burst - first.room) / first.spread
+    first, second = (world.node.core.gateway.open_account(request, plan, 5.0) for world in (old, new))
+    assert first.counter_name(first.admitted) == second.counter_name(second.admitted)
+    share = (plan.ceiling_burst - first.capacity) / first.spread
     first.advance(1000.0)
-    assert first.ceiling + second.ceiling <= share + 1e-9
+    assert first.ceiling_allowance + second.ceiling_allowance <= share + 1e-9
 
 
 def test_two_processes_keep_a_customer_s_quota_as_one() -> None:
--- a/tests/reach/test_graph.py
+++ b/tests/reach/test_graph.py
@@ -62,14 +62,14 @@
     known, graph = stock("b1", "b2"), Graph(0.0)
     assert [(c.ident, c.was, c.codes) for c in graph.look(known, 0.0)] == [("b1", None, ()), ("b2", None, ())]
     one = known.upstreams["b1"]
-    one.own.pace = 2.1
+    one.own.slowdown = 2.1
     known.failed(known.upstreams["b2"], 0.5, unreachable=True)
     changes = {c.ident: c for c in graph.look(known, 0.5)}
     assert changes["b1"].codes == ("slow",) and changes["b1"].pace == 2.1
     assert changes["b2"].codes == ("unreachable", "doubtful", "erring") and changes["b2"].errors == 0.25
-    one.own.pace = 1.9
+    one.own.slowdown = 1.9
     assert "b1" not in {c.ident for c in graph.look(known, 0.6)}
-    one.own.pace = 1.4
+    one.own.slowdown = 1.4
     assert {c.ident: c.was for c in graph.look(known, 0.7)}["b1"] == ("slow",)
     known.drop("b1")
     assert [(c.ident, c.codes) for c in graph.look(known, 0.8)] == [("b1", ("gone",))]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -208,7 +208,7 @@
     fleet.play(SINCE - 1.0)
     fleet.silent_until = SINCE + 0.01
     fleet.play(SINCE)
-    assert sum(len(a.waiting) for g in fleet.gateways for a in g.accounts.values()) > 100
+    assert sum(len(a.awaiting_total) for g in fleet.gateways for a in g.accounts.values()) > 100
     fleet.replace_servers(kept=KEEP)
     fleet.play(END)
     assert fleet.worst() <= 1.0
@@ -226,9 +226,9 @@
         bench.end(send, Code.OK if send.server.startswith("a") else Code.UNREACHABLE)
     back = [replace(e, launched=bench.now) if e.zone == "b" else e for e in warm]
     bench.listed(*back, form=api.ListForm.CHANGES)
-    lost, other = (bench.gateway.groups[zone, ""].rate(1.0) for zone in "ba")
+    lost, other = (bench.gateway.groups[zone, ""].unit_rate(1.0) for zone in "ba")
     assert lost < 0.1 * other
-    assert bench.gateway.rate(back[-1]) >= 0.4 * other
+    assert bench.gateway.unit_rate(back[-1]) >= 0.4 * other
 
 
 def test_many_cold_servers_beside_few_warm_ones_all_get_theirs() -> None:
@@ -240,7 +240,7 @@
         bench.end(send, Code.OK)
     warm = [entry(f"s{k}", launched=0.0) for k in range(2)]
     bench.listed(*warm, *(entry(f"cold{k}", launched=bench.now) for k in range(10)))
-    rate, sent, begun = bench.gateway.rate(entry("cold0")), Counter[str](), bench.now
+    rate, sent, begun = bench.gateway.unit_rate(entry("cold0")), Counter[str](), bench.now
     for _ in range(120):
         (send,) = bench.ask()
         assert isinstance(send, api.Send)
@@ -255,7 +255,7 @@
     """Averaged over a minute, they got half of what they could do while the warm ones were full."""
     fleet = Fleet(gateways=1)
     fleet.play(40.0, rate=WARM * 2.0)
-    calm = fleet.gateways[0].rate(entry("s0"))
+    calm = fleet.gateways[0].unit_rate(entry("s0"))
     fleet.play(56.0, rate=WARM * 10.0)
     assert calm == pytest.approx(2.0, rel=0.3)
-    assert fleet.gateways[0].rate(entry("s0")) > 8.0
+    assert fleet.gateways[0].unit_rate(entry("s0")) > 8.0
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -17,24 +17,24 @@
     bench = Bench()
     bench.ask(plan="plan")
     bench.answer(Code.TIMEOUT, took=0.05)
-    assert bench.gateway.accounts["c"].admitted.pending <= 0.0
+    assert bench.gateway.accounts["c"].admitted.unreported <= 0.0
 
 
 def test_a_refused_call_is_told_with_the_next() -> None:
     bench = Bench()
     bench.ask(plan="plan")
     bench.answer(Code.FULL)
-    assert bench.gateway.accounts["c"].admitted.pending == pytest.approx(1.0, abs=0.1)
+    assert bench.gateway.accounts["c"].admitted.unreported == pytest.approx(1.0, abs=0.1)
 
 
 def test_a_crowded_counter_is_asked_less_and_not_taken_for_silent() -> None:
     bench = Bench()
     for _ in range(2):
         bench.ask(plan="wide")
-        if bench.gateway.calls:
+        if bench.gateway.counter_calls:
             bench.answer(Code.FULL)
-    assert bench.gateway.asking < 1.0
-    assert not bench.gateway.silent
+    assert bench.gateway.sampling_rate < 1.0
+    assert not bench.gateway.counter_down
 
 
 def test_a_silent_counter_is_said_once_and_refuses_not_everybody() -> None:
@@ -44,17 +44,17 @@
     for i in range(60):
         bench.now += 1.0
         actions += bench.ask(plan="plan", customer=f"c{i}", spread=300)
-        while bench.gateway.calls:
+        while bench.gateway.counter_calls:
             actions += bench.answer(Code.TIMEOUT, took=0.05)
         for send in only(actions, api.Send)[ended:]:
             bench.end(send, Code.OK)
         ended = len(only(actions, api.Send))
-    assert [a.text for a in only(actions, api.Log)] == ["counter silent"]
+    assert [a.text for a in only(actions, api.Log)] == ["counter not answering"]
     assert len(only(actions, api.Send)) >= 30
-    while bench.gateway.silent:
+    while bench.gateway.counter_down:
         bench.now += 1.0
         actions += bench.told(1.0, customer="back", spread=300)
-    assert only(actions, api.Log)[-1].text == "counter back"
+    assert only(actions, api.Log)[-1].text == "counter answering again"
 
 
 def test_those_who_ask_count_for_those_who_could_not() -> None:
@@ -62,10 +62,10 @@
     told = asked = 0.0
     for seed in range(400):
         bench = Bench(seed=seed)
-        bench.gateway.asking = 0.4
+        bench.gateway.sampling_rate = 0.4
         bench.ask(plan="wide", spread=300)
         job = next(iter(bench.gateway.jobs.values()))
-        told, asked = told + job.counted, asked + (job.counted > 0)
+        told, asked = told + job.counted_units, asked + (job.counted_units > 0)
     assert 110 < asked < 210
     assert abs(told - 400) < 100
 
@@ -73,16 +73,16 @@
 def test_without_totals_requests_go_by_how_those_like_them_fared() -> None:
     bench = Bench(counter=False)
     for backed in (True, False):
-        bench.gateway.fitting["plan", backed] = 0.0
+        bench.gateway.fit_rates["plan", backed] = 0.0
     assert only(bench.ask(plan="plan"), api.Refuse)
-    bench.gateway.fitting["plan", False] = bench.gateway.fitting["plan", True] = 0.9
+    bench.gateway.fit_rates["plan", False] = bench.gateway.fit_rates["plan", True] = 0.9
     assert only(bench.ask(plan="plan"), api.Send)
 
 
 def test_refusals_are_told_in_batches() -> None:
     bench = Bench()
     calls = [only(bench.told(50.0), api.AddCount) for _ in range(12)]
-    turned = bench.gateway.accounts["c"].turned
+    turned = bench.gateway.accounts["c"].refused
     assert turned.read_at > 0 and sum(map(len, calls)) < 36
 
 
@@ -127,7 +127,7 @@
     """In overload half of all calls were made for requests that were refused all the same, and a
     further call each took their units back: that crowded the counter of a large fleet."""
     bench = Bench()
-    bench.gateway.out, bench.gateway.busy = 1000, 1000.0
+    bench.gateway.in_flight, bench.gateway.mean_in_flight = 1000, 1000.0
     actions = bench.ask(plan="plan")
     assert [type(action) for action in actions] == [api.Refuse]
-    assert not bench.gateway.calls
+    assert not bench.gateway.counter_calls
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -88,7 +88,9 @@
     held = Set(replace(PLAN, rate=4.0, burst=12.0, over_cost=0.6), seed)
     held.run(16.0, 40.0)
     account = held.gates[0].gateway.accounts["c"]
-    assert held.began // account.period != held.now // account.period, "a period has begun meanwhile"
+    assert held.began // account.period_length != held.now // account.period_length, (
+        "a period has begun meanwhile"
+    )
     assert max(held.between(n, n + 2) for n in range(6, 15)) < 2 * 4.0 + 8.0
 
 
@@ -127,11 +129,13 @@
     bench.give(rules(replace(CAPPED, rate=3.0)))
     bench.ask(plan="capped", customer="new")
     account = bench.gateway.accounts["new"]
-    assert account.expected(account.admitted) - account.admitted.pending == pytest.approx(account.room)
-    bench.now += 3 * account.depth
+    assert account.expected_usage(account.admitted) - account.admitted.unreported == pytest.approx(
+        account.capacity
+    )
+    bench.now += 3 * account.decay_time
     bench.ask(plan="capped", customer="later")
     later = bench.gateway.accounts["later"]
-    assert later.expected(later.admitted) - later.admitted.pending < 0.1 * later.room
+    assert later.expected_usage(later.admitted) - later.admitted.unreported < 0.1 * later.capacity
 
 
 def test_the_same_figures_again_change_nothing() -> None:
@@ -143,13 +147,13 @@
     assert bench.gateway.accounts["c"] is account
     bench.give(rules(replace(PLAN, rate=3.0)))
     bench.ask(plan="plan")
-    assert bench.gateway.accounts["c"].mark != account.mark
+    assert bench.gateway.accounts["c"].name_suffix != account.name_suffix
 
 
 def test_what_is_blocked_is_refused_and_nobody_else(bench: Bench) -> None:
     bench.give(rules(blocked=("c",)))
     assert only(bench.ask(), api.Refuse) and not only(bench.ask(customer="d"), api.Refuse)
-    assert bench.gateway.counts["refused.blocked"] == 1
+    assert bench.gateway.stats["refused.blocked"] == 1
     bench.give(rules())
     assert only(bench.ask(), api.Send)
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -14,15 +14,15 @@
 
 def account(bench: Bench, plan: str = "plan", spread: int = 3) -> Account:
     request = api.Request("r", "c", "read", plan, 1.0, 3.0, spread)
-    return bench.gateway.open(request, bench.gateway.plans[plan], bench.now)
+    return bench.gateway.open_account(request, bench.gateway.plans[plan], bench.now)
 
 
 def test_gate_is_room_over_offered_clamped() -> None:
     made = account(Bench())
-    made.room = 3.0
-    assert made.gate(1.0) == 1.0
-    made.turned.level = made.turned.mean = 5.0
-    assert made.gate(1.0) == pytest.approx(0.5)
+    made.capacity = 3.0
+    assert made.admission_probability(1.0) == 1.0
+    made.refused.usage = made.refused.mean_usage = 5.0
+    assert made.admission_probability(1.0) == pytest.approx(0.5)
 
 
 def test_what_is_admitted_averages_room_over_offered() -> None:
@@ -31,10 +31,10 @@
     for seed in range(400):
         bench = Bench(seed=seed, servers=30)
         made = account(bench, spread=300)
-        made.admitted.level = made.admitted.mean = 1.0
-        made.turned.level = made.turned.mean = made.room / 0.4 - 2.0
-        made.admitted.read_at = made.turned.read_at = bench.now
-        assert 0.0 < made.gate(1.0) < 1.0
+        made.admitted.usage = made.admitted.mean_usage = 1.0
+        made.refused.usage = made.refused.mean_usage = made.capacity / 0.4 - 2.0
+        made.admitted.read_at = made.refused.read_at = bench.now
+        assert 0.0 < made.admission_probability(1.0) < 1.0
         admitted += len(only(bench.told(2.0, spread=300), api.Send))
     assert abs(admitted - 160) <= 40
 
@@ -65,7 +65,7 @@
         actions = bench.answer(Code.OK, total, took=0.0)
         sent += len(only(actions, api.Send))
         total += sum(a.amount for a in only(actions, api.AddCount))
-    room = account(Bench()).room
+    room = account(Bench()).capacity
     assert room - 1 <= sent <= room
 
 
@@ -74,33 +74,33 @@
     bench = Bench()
     made = account(bench)
     tally = made.admitted
-    tally.period = int(bench.now // made.period)
-    early, later = made.weight(tally, bench.now), made.weight(tally, bench.now + made.depth)
+    tally.period = int(bench.now // made.period_length)
+    early, later = made.weight(tally, bench.now), made.weight(tally, bench.now + made.decay_time)
     assert later / early == pytest.approx(math.e)
-    made.learn(tally, 4.0 * early, bench.now)
-    assert tally.level == pytest.approx(4.0)
-    made.learn(tally, 4.0 * early, bench.now + made.depth)
-    assert tally.level == pytest.approx(4.0 / math.e)
+    made.apply_total(tally, 4.0 * early, bench.now)
+    assert tally.usage == pytest.approx(4.0)
+    made.apply_total(tally, 4.0 * early, bench.now + made.decay_time)
+    assert tally.usage == pytest.approx(4.0 / math.e)
 
 
 def test_a_new_period_adds_to_what_is_left_of_the_last() -> None:
     bench = Bench()
     made = account(bench)
     tally = made.admitted
-    tally.period = int(bench.now // made.period)
-    end = (tally.period + 1) * made.period
-    tally.level, tally.read_at, made.at = 4.0, end - made.depth, end
+    tally.period = int(bench.now // made.period_length)
+    end = (tally.period + 1) * made.period_length
+    tally.usage, tally.read_at, made.updated_at = 4.0, end - made.decay_time, end
     tally.period += 1
-    made.learn(tally, 0.0, end)
-    assert tally.level == pytest.approx(4.0 / math.e)
+    made.apply_total(tally, 0.0, end)
+    assert tally.usage == pytest.approx(4.0 / math.e)
 
 
 def test_concurrency_counts_what_is_likely_out_here_and_elsewhere() -> None:
     bench = Bench()
     assert only(bench.told(1.0, plan="open"), api.Send)
-    bench.gateway.accounts["c"].out = 0
+    bench.gateway.accounts["c"].in_flight = 0
     assert only(bench.told(1.1, plan="open"), api.Send)
-    bench.gateway.latency = bench.gateway.accounts["c"].depth
+    bench.gateway.latency = bench.gateway.accounts["c"].decay_time
     assert only(bench.told(4.0, plan="open"), api.Refuse)
 
 
@@ -111,6 +111,6 @@
 
 def test_what_the_servers_had_no_room_for_does_not_close_the_gate() -> None:
     bench = Bench()
-    bench.gateway.out = 1000  # half of it counts at once, all of it after a while
+    bench.gateway.in_flight = 1000  # half of it counts at once, all of it after a while
     assert only(bench.told(1.0), api.Refuse)
-    assert bench.gateway.accounts["c"].turned.pending == 0.0
+    assert bench.gateway.accounts["c"].refused.unreported == 0.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 import pytest
 
 from barleyhub import interface as api
-from barleyhub.fleet import LIMIT_LEAST
+from barleyhub.fleet import MIN_LIMIT
 from barleyhub.interface import Code, Repeat
 from tests.conftest import SAFE, Bench, entry, only
 
@@ -163,9 +163,9 @@
 
 def test_the_limit_never_falls_under_what_shows_a_recovery(bench: Bench) -> None:
     for _ in range(60):
-        bench.gateway.adapt(1.0, bench.now)
+        bench.gateway.adapt_limit(1.0, bench.now)
         bench.now += 1.0
-    assert bench.gateway.limit == LIMIT_LEAST
+    assert bench.gateway.in_flight_limit == MIN_LIMIT
     bench.now += 5.0
     assert only(bench.ask(), api.Send)
 
@@ -173,22 +173,22 @@
 def test_the_limit_goes_by_what_the_servers_can_do() -> None:
     """Six in ten servers leave and come back cold: what all could bear would jam those that are left."""
     bench = Bench(servers=12, counter=False)
-    before = bench.gateway.bounds(bench.now)
+    before = bench.gateway.in_flight_bound(bench.now)
     cold = [entry(f"n{i}", launched=bench.now) for i in range(6)]
     bench.listed(*(entry(f"s{i}") for i in range(6)), *cold)
     part = (6 + 6 * bench.gateway.settings.start_capacity) / 12
-    assert bench.gateway.bounds(bench.now) == pytest.approx(before * part)
+    assert bench.gateway.in_flight_bound(bench.now) == pytest.approx(before * part)
 
 
 def test_a_surge_is_not_let_in_beyond_the_limit_until_a_mean_has_seen_it() -> None:
     """A fleet that lets in twice its limit for a second has jammed its servers for five."""
     bench = Bench(servers=12, gateways=3, counter=False)
-    most = bench.gateway.bounds(bench.now)
+    most = bench.gateway.in_flight_bound(bench.now)
     peak = 0
     for _ in range(150):
         bench.ask()
         bench.now += 0.01
-        peak = max(peak, bench.gateway.out)
+        peak = max(peak, bench.gateway.in_flight)
     assert peak < 3 * most
 
 
@@ -209,10 +209,10 @@
         after[wait] = 0
         for seed in range(200):
             bench = Bench(seed=seed, servers=60, gateways=300, counter=False)
-            bench.gateway.limit = 2.5  # half an attempt here
-            bench.gateway.occupy(1, bench.now)
+            bench.gateway.in_flight_limit = 2.5  # half an attempt here
+            bench.gateway.change_in_flight(1, bench.now)
             bench.now += wait
-            bench.gateway.occupy(0, bench.now)
+            bench.gateway.change_in_flight(0, bench.now)
             after[wait] += len(only(bench.ask(), api.Send))
     assert after[20.0] < after[0.0] / 2
 
@@ -222,7 +222,7 @@
     bench.now += 0.9
     for _ in range(5):
         bench.ask("add")
-    assert bench.gateway.slow == pytest.approx(0.15)
+    assert bench.gateway.slow_share == pytest.approx(0.15)
 
 
 def test_cold_servers_get_their_warmths_share_from_all_gateways_together() -> None:
@@ -239,16 +239,16 @@
     for _ in range(3):
         for send in only(bench.ask("add"), api.Send):
             bench.end(send, Code.TIMEOUT, took=0.5)
-    silent = [s for s in bench.gateway.fleet if "add" in s.faults]
+    silent = [s for s in bench.gateway.warm if "add" in s.health_by_label]
     assert silent
-    assert all(s.own.errors == 0.0 and "read" not in s.faults for s in silent)
+    assert all(s.health.error_rate == 0.0 and "read" not in s.health_by_label for s in silent)
 
 
 def test_a_full_for_one_plan_is_kept_with_server_and_plan(bench: Bench) -> None:
     send = only(bench.ask(plan="wide"), api.Send)[0]
     bench.end(send, Code.FULL, took=0.01)
     server = bench.gateway.servers[send.server]
-    assert server.faults["wide"].errors > 0 and "plan" not in server.faults
+    assert server.health_by_label["wide"].error_rate > 0 and "plan" not in server.health_by_label
 
 
 def test_a_customer_long_idle_is_forgotten(bench: Bench) -> None:
--- a/tests/test_totals.py
+++ b/tests/test_totals.py
@@ -15,21 +15,21 @@
         and the gate of a customer that had sent one stayed shut."""
         for seed in range(50):
             bench = Bench(seed=seed)
-            bench.gateway.asking = 0.01
+            bench.gateway.sampling_rate = 0.01
             bench.ask(plan="plan")
             account = bench.gateway.accounts["c"]
-            self.assertEqual(account.admitted.pending + (account.admitted.flying or 0.0), 1.0)
+            self.assertEqual(account.admitted.unreported + (account.admitted.in_flight or 0.0), 1.0)
 
     def test_the_more_is_untold_the_sooner_it_is_told(self) -> None:
         asked = {1: 0, 4: 0}
         for untold in asked:
             for seed in range(200):
                 bench = Bench(seed=seed)
-                bench.gateway.asking = 0.01
+                bench.gateway.sampling_rate = 0.01
                 bench.ask(plan="plan")
                 account = bench.gateway.accounts["c"]
-                bench.gateway.calls.clear()
-                account.admitted.flying, account.admitted.pending = None, untold - 1.0
+                bench.gateway.counter_calls.clear()
+                account.admitted.in_flight, account.admitted.unreported = None, untold - 1.0
                 asked[untold] += len(only(bench.ask(plan="plan"), api.AddCount))
         self.assertGreater(asked[4], 2 * asked[1])
 
@@ -41,21 +41,21 @@
         total = 5.0 * account.weight(account.admitted, bench.now)
         for _ in range(2):  # a second one of the same call is nobody's
             bench.give(api.CountAnswer(call.name, Code.OK, 0.07, total, late=True))
-            self.assertAlmostEqual(account.admitted.level, 5.0)
+            self.assertAlmostEqual(account.admitted.usage, 5.0)
             total = 0.0
 
     def test_a_shut_gate_does_not_rest_on_totals_older_than_a_depth(self) -> None:
         """A gate near 0 lets nobody through to ask, so it would stay shut by what was true long ago."""
         bench = Bench()
-        bench.gateway.asking = 0.0
+        bench.gateway.sampling_rate = 0.0
         bench.told(1.0)
         account = bench.gateway.accounts["c"]
-        account.turned.level = account.turned.mean = 1e6
-        account.admitted.read_at = account.turned.read_at = bench.now
+        account.refused.usage = account.refused.mean_usage = 1e6
+        account.admitted.read_at = account.refused.read_at = bench.now
         self.assertFalse([c for c in only(bench.ask(plan="plan"), api.AddCount) if c.amount > 1e9])
-        bench.gateway.calls.clear()
-        account.admitted.flying = account.turned.flying = None
-        bench.now += 1.1 * account.depth
+        bench.gateway.counter_calls.clear()
+        account.admitted.in_flight = account.refused.in_flight = None
+        bench.now += 1.1 * account.decay_time
         self.assertEqual(len(only(bench.ask(plan="plan"), api.AddCount)), 2)
 
 
@@ -88,7 +88,7 @@
             bench.give(
                 api.Outcome(first.request, 0, first.server, Code.OK, 0.01, True, report={"backlog": 30.0})
             )
-            bench.gateway.servers[first.server].told({"backlog": 30.0}, bench.now)
+            bench.gateway.servers[first.server].update_load_report({"backlog": 30.0}, bench.now)
             backlog = bench.gateway.servers[first.server].backlog(bench.now)
             self.assertEqual(backlog > 1.0, avoided)
 
@@ -98,12 +98,12 @@
         server = bench.gateway.servers["s0"]
         bench.end(only(bench.ask(), api.Send)[0], Code.ERROR, took=0.0)
         names = ("read", "wide")
-        fresh = server.errors(names, bench.now)
+        fresh = server.error_rate(names, bench.now)
         self.assertGreater(fresh, 0.5)
-        self.assertLess(server.errors(names, bench.now + 5), fresh)
+        self.assertLess(server.error_rate(names, bench.now + 5), fresh)
         for _ in range(200):
-            server.note(False, (("read", False), ("wide", False)), bench.now)
-        self.assertEqual(server.errors(names, bench.now), 0.0)
+            server.record_outcome(False, (("read", False), ("wide", False)), bench.now)
+        self.assertEqual(server.error_rate(names, bench.now), 0.0)
 
     def test_a_reset_hardly_counts_against_the_server_it_hit(self) -> None:
         """Seen where one in ten attempts was reset: each made its server look 4.7 times as slow for long."""
@@ -111,7 +111,7 @@
         for code in (Code.RESET, Code.UNREACHABLE):
             bench = Bench(servers=1, counter=False)
             bench.end(only(bench.ask(), api.Send)[0], code, took=0.0)
-            found[code] = bench.gateway.servers["s0"].errors(("read", "wide"), bench.now)
+            found[code] = bench.gateway.servers["s0"].error_rate(("read", "wide"), bench.now)
         self.assertLess(found[Code.RESET], 0.1)
         self.assertGreater(found[Code.UNREACHABLE], 0.5)
 
