--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -23,7 +23,7 @@
 
 from barleyhub import interface as api
 from barleyhub.choice import Gateway
-from latchspoke.core import Core, Epoch, Forward
+from latchspoke.core import Attempt, Core, DecisionLease
 from latchspoke.lab.schedules import faults, gates, rules
 from latchspoke.lab.schedules.faults import Fault
 from latchspoke.lab.schedules.world import Setup, World
@@ -148,12 +148,12 @@
 
     core: Core
 
-    def forward(self, forward: Forward) -> None:
-        self.core.ended(forward, api.Code.OK, 0.0)
+    def forward(self, forward: Attempt) -> None:
+        self.core.attempt_ended(forward, api.Code.OK, 0.0)
 
-    def drop(self, forward: Forward) -> None: ...
+    def drop(self, forward: Attempt) -> None: ...
 
-    def count(self, name: int, amount: float, life: float) -> None: ...
+    def add_count(self, name: int, amount: float, life: float) -> None: ...
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Nothing:
         return self
@@ -171,13 +171,13 @@
     """Rules whose right lasts."""
 
     def __init__(self) -> None:
-        self.epoch = Epoch("blocked:1", 1e18)
-        self.lapse_at = 1e18
+        self.lease = DecisionLease("blocked:1", 1e18)
+        self.lease_expires_at = 1e18
 
     def clock(self) -> float:
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
-    def lapse(self) -> None: ...
+    def expire_lease(self) -> None: ...
 
 
 def per_request(ruled: bool, count: int = 20_000) -> float:
@@ -187,15 +187,17 @@
     settings = api.Settings(0, 1, "a", (kind,), (plan,), counter=False)
     nothing = Nothing()
     core = nothing.core = Core(Gateway(1, settings), nothing, Counter())
-    core.listed(api.ServerList(api.ListForm.WHOLE, (api.ServerEntry("s1", api.ServerState.ACTIVE),)), 0.0)
+    core.update_servers(
+        api.ServerList(api.ListForm.WHOLE, (api.ServerEntry("s1", api.ServerState.ACTIVE),)), 0.0
+    )
     if ruled:
         core.rules = Standing()
         blocked = made_of({f"{n:016x}": "by order" for n in range(100_000)})
-        core.give(api.Rules((plan,), blocked), 0.0)
+        core.submit(api.Rules((plan,), blocked), 0.0)
     began = time.process_time()
     for n in range(count):
         request = api.Request(f"r{n}", "f" * 16, "read", "wide", 1.0, 3.0, 1)
-        core.begin(core.arrived(request, None, nothing, 0.0), 0.0)
+        core.begin(core.accept(request, None, nothing, 0.0), 0.0)
     return (time.process_time() - began) / count
 
 
--- a/latchspoke/core.py
+++ b/latchspoke/core.py
@@ -1,7 +1,7 @@
-"""The core: flows and their forwards between the decision module and the ports.
+"""Drives the decision module: turns requests and outcomes into events, and carries out the actions.
 
-No I/O, no HTTP and no clock here: every call brings the time, and what is to be done goes to the
-ports. A second protocol brings ports of its own.
+No I/O, HTTP or clock here: callers pass the time, and ports do the I/O, so that another protocol only
+needs other ports.
 """
 
 from __future__ import annotations
@@ -18,109 +18,114 @@
 
 log = logging.getLogger(__name__)
 
-# s; forwards end this long before the client gives up, so that the final answer still arrives.
-ANSWER_MARGIN = 0.02
-# As operators name them.
-ENDS = {"flows.refused": "deferred", "flows.no_room": "deferred", "flows.failed": "errored"}
-LEAST_PART = 0.25  # of a very short deadline is the margin at most
+# Attempts end this long before the client's deadline, so that the final answer still arrives.
+ANSWER_MARGIN_S = 0.02
+# Counters by service for each final answer, under the names that operators use.
+SERVICE_COUNTERS = {"flows.refused": "deferred", "flows.no_room": "deferred", "flows.failed": "errored"}
+MAX_MARGIN_SHARE = 0.25  # of a short deadline that the margin takes at most
 
 
 class Timer(Protocol):
-    """What ``Ports.schedule`` gives."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """It won't fire."""
+        """Prevent the call."""
 
 
 class Client(Protocol):
-    """Where the one final answer of a flow goes."""
+    """Receiver of a flow's single final answer."""
 
     def served(self, answer: object) -> None:
-        """A server has served it: its answer."""
+        """A server answered."""
 
     def refused(self, retry_after: float | None) -> None:
-        """It lies beyond its quota, and has not run; when to come back, in s."""
+        """The request is over its quota or was shed, and has not run; retry after this time (s)."""
 
     def failed(self, failure: object | None) -> None:
-        """Nobody has served it; ``failure`` is the last that a server answered this very request with."""
+        """No server served the request; ``failure`` is the last error response that a server gave to it."""
 
 
 class Ports(Protocol):
-    """What the core has done for it."""
+    """I/O that the core needs."""
 
-    def forward(self, forward: Forward) -> None:
-        """Send it; report its end with ``Core.ended``."""
+    def forward(self, attempt: Attempt) -> None:
+        """Send the attempt; its outcome is reported to ``Core.attempt_ended``."""
 
-    def drop(self, forward: Forward) -> None:
-        """Stop waiting for it."""
+    def drop(self, attempt: Attempt) -> None:
+        """Stop waiting for the attempt."""
 
-    def count(self, name: int, amount: float, life: float) -> None:
-        """Call the counter; report with ``Core.counted``."""
+    def add_count(self, name: int, amount: float, forget_after: float) -> None:
+        """Call the shared counter; the outcome is reported to ``Core.counter_answered``."""
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
-        """Call once that moment (s) has come."""
+        """Call at this time (s)."""
 
 
-class Epoch:
-    """The rules by which a flow is decided, and until when (s, by ``Rules.clock``) anything may be sent."""
+class DecisionLease:
+    """Version of the rules that a flow is decided by, and until when (s) attempts may be sent under it."""
 
-    __slots__ = ("label", "until")
+    __slots__ = ("expires_at", "label")
 
-    def __init__(self, label: str, until: float) -> None:
-        self.label, self.until = label, until
+    def __init__(self, label: str, expires_at: float) -> None:
+        self.label, self.expires_at = label, expires_at
 
 
 class Rules(Protocol):
-    """Rules with versions, where there are any; see docs/versions.md."""
+    """Versioned rules that this gateway may act by while it holds a lease on them."""
 
-    epoch: Epoch
+    lease: DecisionLease
 
     @property
-    def lapse_at(self) -> float:
-        """The moment (s, by ``clock``) at which a right ends next, or inf."""
+    def lease_expires_at(self) -> float:
+        """When (s, by ``clock``) the next lease expires, or inf."""
 
     def clock(self) -> float:
-        """The time (s) by which rights end."""
+        """The time (s) that leases are measured by."""
 
-    def lapse(self) -> None:
-        """A right has ended; ``epoch`` and the module's rules are others from now on."""
+    def expire_lease(self) -> None:
+        """Replace ``lease`` and the decision module's rules, as a lease has expired."""
 
 
 class Flow:
-    """A request in hand; ``message`` is the ports' own and the core never looks into it."""
+    """A client's request, until its final answer and the end of its last attempt.
+
+    ``message`` belongs to the ports; the core does not read it.
+    """
 
     __slots__ = (
-        "client", "closed", "coming", "epoch", "failure", "forwards", "message", "out", "request", "timer",
-        "until",
+        "attempts", "client", "closed", "deadline", "failure", "in_flight", "lease", "message",
+        "receiving_body", "request", "timer",
     )  # fmt: skip
 
     def __init__(self, request: api.Request, message: object, client: Client, now: float) -> None:
         self.request, self.message, self.client = request, message, client
-        self.coming = False  # whether its last byte is still to come; its time counts from then
-        self.until = self.due(now)
-        self.forwards: list[Forward] = []
-        self.out, self.closed = 0, False
+        self.receiving_body = False  # the deadline counts from the last byte
+        self.deadline = self.deadline_from(now)
+        self.attempts: list[Attempt] = []
+        self.in_flight, self.closed = 0, False
         self.timer: Timer | None = None
-        self.epoch: Epoch | None = None
-        self.failure: object | None = None  # a server's own, for the client if nothing better comes
+        self.lease: DecisionLease | None = None
+        self.failure: object | None = None  # a server's error response, sent if no attempt succeeds
 
-    def due(self, now: float) -> float:
-        """When all that is out for it must have ended (s), so that its answer still arrives."""
+    def deadline_from(self, now: float) -> float:
+        """When (s) all attempts must have ended, so that the final answer still arrives."""
         left = self.request.left
-        return now + left - min(ANSWER_MARGIN, left * LEAST_PART)
+        return now + left - min(ANSWER_MARGIN_S, left * MAX_MARGIN_SHARE)
 
 
-class Forward:
-    """One attempt of a flow at a target; ``link`` is for the port that carries it."""
+class Attempt:
+    """One attempt of a flow at a target; ``connection`` belongs to the ports."""
 
-    __slots__ = ("ended", "flow", "limit", "link", "number", "sent_at", "target", "timer", "until")
+    __slots__ = (
+        "connection", "deadline", "ended", "flow", "number", "sent_at", "target", "timeout", "timer",
+    )  # fmt: skip
 
-    def __init__(self, flow: Flow, target: str, now: float, until: float) -> None:
-        self.flow, self.target, self.sent_at, self.until = flow, target, now, until
-        self.number, self.ended = len(flow.forwards), False
+    def __init__(self, flow: Flow, target: str, now: float, deadline: float) -> None:
+        self.flow, self.target, self.sent_at, self.deadline = flow, target, now, deadline
+        self.number, self.ended = len(flow.attempts), False
         self.timer: Timer | None = None
-        self.limit: float | None = None  # s that it may take
-        self.link: object = None
+        self.timeout: float | None = None  # s
+        self.connection: object = None
 
 
 class Core:
@@ -131,80 +136,80 @@
         self.flows: dict[str, Flow] = {}
         self.rules: Rules | None = None
         self.events: deque[tuple[api.Event, float]] = deque()
-        self.acting = False
+        self.handling = False
 
     def start(self, now: float) -> None:
-        """The module is told of the start."""
+        """Carry out the decision module's first actions."""
         for action in self.gateway.start(now):
-            self.act(action, now)
+            self.execute(action, now)
 
-    def refusal(self, request: api.Request) -> str | None:
-        """Why a request can't be taken, if it can't: the module raises on names it doesn't know."""
+    def rejection_reason(self, request: api.Request) -> str | None:
+        """Why a request can't be accepted, or None; the decision module raises on unknown names."""
         if request.service not in self.gateway.classes:
             return "unknown class"
         if request.plan not in self.gateway.plans:
             return "unknown plan"
-        # Two flows of one id would be one job to the module, and one of them never answered.
+        # The decision module keeps one job per ID, so that one of two flows would never be answered.
         return "id in use" if request.request in self.flows else None
 
-    def arrived(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
-        """A request that ``refusal`` has nothing against has come whole; ``begin`` is to follow."""
-        # Nobody waits longer than the class says, so no flow is held for longer either.
+    def accept(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
+        """Open a flow for a request without ``rejection_reason``; the caller then calls ``begin``."""
+        # No client waits longer than its class says.
         most = self.gateway.classes[request.service].give_up
         if request.left > most:
             request = replace(request, left=most)
         flow = self.flows[request.request] = Flow(request, message, client, now)
-        flow.timer = self.ports.schedule(flow.until, lambda late: self.expire(flow, late))
+        flow.timer = self.ports.schedule(flow.deadline, lambda late: self.expire(flow, late))
         self.stats["flows.taken"] += 1
         return flow
 
-    def comes(self, flow: Flow) -> None:
-        """It has not come whole: its body is sent on as it comes, and ``whole`` tells of the last byte."""
-        flow.coming, flow.until = True, math.inf
+    def expect_body(self, flow: Flow) -> None:
+        """The body is streamed; the deadline starts with ``body_received``."""
+        flow.receiving_body, flow.deadline = True, math.inf
         if flow.timer is not None:
             flow.timer.cancel()
 
-    def whole(self, flow: Flow, now: float) -> None:
-        """The last byte of a body that was on its way has come: times count from now on."""
-        flow.coming, flow.until = False, flow.due(now)
-        if flow.closed and not flow.out:
+    def body_received(self, flow: Flow, now: float) -> None:
+        """The last byte of a streamed body has arrived: start the deadline and the timeouts."""
+        flow.receiving_body, flow.deadline = False, flow.deadline_from(now)
+        if flow.closed and not flow.in_flight:
             return
-        flow.timer = self.ports.schedule(flow.until, lambda late: self.expire(flow, late))
-        for forward in flow.forwards:
-            if not forward.ended:
-                forward.sent_at = now
-                self.limit(forward, now)
+        flow.timer = self.ports.schedule(flow.deadline, lambda late: self.expire(flow, late))
+        for attempt in flow.attempts:
+            if not attempt.ended:
+                attempt.sent_at = now
+                self.set_deadline(attempt, now)
 
     def begin(self, flow: Flow, now: float) -> None:
-        """Put it to the module, whose answer may be final already."""
+        """Submit the flow to the decision module, which may answer it at once."""
         if self.rules is not None:
-            if self.rules.clock() >= self.rules.lapse_at:
-                self.rules.lapse()
-            flow.epoch = self.rules.epoch
-        self.give(flow.request, now)
+            if self.rules.clock() >= self.rules.lease_expires_at:
+                self.rules.expire_lease()
+            flow.lease = self.rules.lease
+        self.submit(flow.request, now)
 
-    def withdrawn(self, flow: Flow, now: float) -> None:
-        """The client has left: nothing more is owed to it."""
+    def withdraw(self, flow: Flow, now: float) -> None:
+        """Close the flow without an answer, as its client has left."""
         if not flow.closed:
             self.stats["flows.withdrawn"] += 1
             self.close(flow)
-            self.give(api.Withdrawn(flow.request.request), now)
+            self.submit(api.Withdrawn(flow.request.request), now)
 
-    def ended(
+    def attempt_ended(
         self,
-        forward: Forward,
+        attempt: Attempt,
         code: api.Code,
         now: float,
         answer: object = None,
         report: dict[str, float] | None = None,
     ) -> None:
-        """A forward is over. Only its first end counts: a late one may follow a time-out."""
-        if forward.ended:
+        """Record an attempt's outcome; later outcomes of the same attempt are ignored."""
+        if attempt.ended:
             return
-        forward.ended, flow = True, forward.flow
-        if forward.timer is not None:
-            forward.timer.cancel()
-        flow.out -= 1
+        attempt.ended, flow = True, attempt.flow
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        flow.in_flight -= 1
         self.stats[f"forwards.{code.value}"] += 1
         if code is api.Code.OK and not flow.closed:
             self.stats["flows.served"] += 1
@@ -214,150 +219,152 @@
             if code is api.Code.ERROR and answer is not None:
                 flow.failure = answer
             self.forget(flow)
-        took = now - forward.sent_at
+        took = now - attempt.sent_at
         request = flow.request.request
-        self.give(
+        self.submit(
             api.Outcome(
-                request, forward.number, forward.target, code, took, flow.closed, report=report or {}
+                request, attempt.number, attempt.target, code, took, flow.closed, report=report or {}
             ),
             now,
         )
 
-    def unfit(self, forward: Forward, now: float) -> None:
-        """The target finds fault with the request itself: no other one is asked, and none is to blame."""
-        if forward.ended:
+    def request_rejected(self, attempt: Attempt, now: float) -> None:
+        """The target rejects the request itself: don't retry, and don't count it against the server."""
+        if attempt.ended:
             return
-        if flow := self.final(forward.flow.request.request, "flows.failed"):
+        if flow := self.finish(attempt.flow.request.request, "flows.failed"):
             flow.client.failed(flow.failure)
-        self.ended(forward, api.Code.CANCELLED, now)
+        self.attempt_ended(attempt, api.Code.CANCELLED, now)
 
-    def counted(self, name: int, code: api.Code, took: float, total: float, now: float) -> None:
-        """A call of the counter is over."""
+    def counter_answered(self, name: int, code: api.Code, took: float, total: float, now: float) -> None:
+        """Record the outcome of a counter call."""
         self.stats[f"counter.{code.value}"] += 1
-        self.give(api.CountAnswer(name, code, took, total), now)
+        self.submit(api.CountAnswer(name, code, took, total), now)
 
-    def counted_late(self, name: int, took: float, total: float, now: float) -> None:
-        """The total of a call that ``counted`` has told as timed out."""
-        self.give(api.CountAnswer(name, api.Code.OK, took, total, late=True), now)
+    def counter_answered_late(self, name: int, took: float, total: float, now: float) -> None:
+        """Record the total of a call that has been reported as timed out."""
+        self.submit(api.CountAnswer(name, api.Code.OK, took, total, late=True), now)
 
-    def listed(self, servers: api.ServerList, now: float) -> None:
-        """Discovery tells of servers."""
-        self.give(servers, now)
+    def update_servers(self, servers: api.ServerList, now: float) -> None:
+        """Pass on a server list from discovery."""
+        self.submit(servers, now)
 
-    def give(self, event: api.Event, now: float) -> None:
-        """One event at a time: ``handle`` isn't re-entrant, and actions may raise further events."""
+    def submit(self, event: api.Event, now: float) -> None:
+        """Queue an event and handle the queue; ``handle`` isn't re-entrant, and actions may submit events."""
         self.events.append((event, now))
-        if self.acting:
+        if self.handling:
             return
-        self.acting = True
+        self.handling = True
         while self.events:
             event, now = self.events.popleft()
             try:
                 for action in self.gateway.handle(event, now):
-                    self.act(action, now)
-            except Exception:  # a fault in one decision must not end the flows of all others
+                    self.execute(action, now)
+            except Exception:  # a bug that one event triggers must not end all other flows
                 self.stats["errors"] += 1
                 log.exception("decision failed on %s", type(event).__name__)
-        self.acting = False
+        self.handling = False
 
-    def act(self, action: api.Action, now: float) -> None:
-        """Carry out what the module wants done."""
+    def execute(self, action: api.Action, now: float) -> None:
+        """Carry out an action of the decision module."""
         match action:
             case api.Send(request, target, timeout):
                 self.send(request, target, timeout, now)
             case api.Refuse(request, pause):
-                if flow := self.final(request, "flows.refused"):
+                if flow := self.finish(request, "flows.refused"):
                     flow.client.refused(pause)
             case api.Fail(request):
-                if flow := self.final(request, "flows.failed"):
+                if flow := self.finish(request, "flows.failed"):
                     flow.client.failed(flow.failure)
-            case api.AddCount(name, amount, life):
+            case api.AddCount(name, amount, forget_after):
                 self.stats["counter.calls"] += 1
-                self.ports.count(name, amount, life)
-            case api.Cancel(request, attempt):
-                self.cancel(request, attempt, now)
+                self.ports.add_count(name, amount, forget_after)
+            case api.Cancel(request, number):
+                self.cancel(request, number, now)
             case api.SetTimer(after, mark):
-                self.ports.schedule(now + after, lambda late: self.give(api.TimerFired(mark), late))
+                self.ports.schedule(now + after, lambda late: self.submit(api.TimerFired(mark), late))
             case api.Log(text):
-                log.info("module: %s", text)
+                log.info("decisions: %s", text)
             case api.Follow():
-                pass  # the ports always follow discovery
+                pass  # the ports always subscribe to discovery
             case _:
-                log.warning("no port for %s", type(action).__name__)
+                log.warning("action %s is not supported", type(action).__name__)
 
     def send(self, request: str, target: str, timeout: float | None, now: float) -> None:
-        """Send a flow to a target, if it is still worth while."""
+        """Send an attempt to a target, unless it is moot by now."""
         flow = self.flows.get(request)
         if flow is None:
-            log.warning("a send for no flow: %s", request)
+            log.warning("no flow for the attempt of request %s", request)
             return
-        forward = Forward(flow, target, now, flow.until)
-        forward.limit = timeout
-        flow.forwards.append(forward)
-        flow.out += 1
-        if flow.closed or flow.until <= now or (timeout or 1) <= 0 or self.lapsed(flow):
-            self.ended(forward, api.Code.MOOT, now)
+        attempt = Attempt(flow, target, now, flow.deadline)
+        attempt.timeout = timeout
+        flow.attempts.append(attempt)
+        flow.in_flight += 1
+        if flow.closed or flow.deadline <= now or (timeout or 1) <= 0 or self.lease_expired(flow):
+            self.attempt_ended(attempt, api.Code.MOOT, now)
             return
-        self.limit(forward, now)
-        self.ports.forward(forward)
-
-    def limit(self, forward: Forward, now: float) -> None:
-        """It ends with its flow, or before if the module says so."""
-        flow = forward.flow
-        forward.until = flow.until
-        if forward.limit is not None and now + forward.limit < flow.until and not flow.coming:
-            forward.until = now + forward.limit
-            forward.timer = self.ports.schedule(forward.until, lambda late: self.overdue(forward, late))
-
-    def lapsed(self, flow: Flow) -> bool:
-        """Whether the right under which it was decided has ended, however long this process stood still."""
-        if self.rules is None or flow.epoch is None or self.rules.clock() < flow.epoch.until:
+        self.set_deadline(attempt, now)
+        self.ports.forward(attempt)
+
+    def set_deadline(self, attempt: Attempt, now: float) -> None:
+        """End the attempt with its flow, or at its own timeout if that comes first."""
+        flow = attempt.flow
+        attempt.deadline = flow.deadline
+        if attempt.timeout is not None and now + attempt.timeout < flow.deadline and not flow.receiving_body:
+            attempt.deadline = now + attempt.timeout
+            attempt.timer = self.ports.schedule(
+                attempt.deadline, lambda late: self.attempt_timed_out(attempt, late)
+            )
+
+    def lease_expired(self, flow: Flow) -> bool:
+        """Whether the lease of the flow's decision has expired, e.g. while this process was stopped."""
+        if self.rules is None or flow.lease is None or self.rules.clock() < flow.lease.expires_at:
             return False
         self.stats["forwards.without_right"] += 1
         return True
 
-    def cancel(self, request: str, attempt: int, now: float) -> None:
-        """Stop waiting for one attempt."""
+    def cancel(self, request: str, number: int, now: float) -> None:
+        """Cancel one attempt."""
         flow = self.flows.get(request)
-        if flow is not None and attempt < len(flow.forwards) and not flow.forwards[attempt].ended:
-            self.ports.drop(flow.forwards[attempt])
-            self.ended(flow.forwards[attempt], api.Code.CANCELLED, now)
+        if flow is not None and number < len(flow.attempts) and not flow.attempts[number].ended:
+            self.ports.drop(flow.attempts[number])
+            self.attempt_ended(flow.attempts[number], api.Code.CANCELLED, now)
 
-    def overdue(self, forward: Forward, now: float) -> None:
-        """An attempt has had its time."""
-        if not forward.ended:
-            self.ports.drop(forward)
-            self.ended(forward, api.Code.TIMEOUT, now)
+    def attempt_timed_out(self, attempt: Attempt, now: float) -> None:
+        """End an attempt that has reached its deadline."""
+        if not attempt.ended:
+            self.ports.drop(attempt)
+            self.attempt_ended(attempt, api.Code.TIMEOUT, now)
 
     def expire(self, flow: Flow, now: float) -> None:
-        """The client gives up soon: what is out ends, and a flow nobody has answered fails."""
-        for forward in list(flow.forwards):
-            self.overdue(forward, now)
+        """End a flow at its deadline, with its attempts; it fails unless it has been answered."""
+        for attempt in list(flow.attempts):
+            self.attempt_timed_out(attempt, now)
         if not flow.closed:
             self.stats["flows.overdue"] += 1
             self.stats[f"errored.{flow.request.service}"] += 1
             self.close(flow)
             flow.client.failed(flow.failure)
-            self.give(api.Withdrawn(flow.request.request), now)
+            self.submit(api.Withdrawn(flow.request.request), now)
 
-    def final(self, request: str, name: str) -> Flow | None:
-        """The flow that gets its final answer now; each gets one only."""
+    def finish(self, request: str, counter: str) -> Flow | None:
+        """Close and return the flow that the caller answers, or None if it has been answered."""
         flow = self.flows.get(request)
         if flow is None or flow.closed:
             return None
-        self.stats[name] += 1
-        self.stats[f"{ENDS[name]}.{flow.request.service}"] += 1
+        self.stats[counter] += 1
+        self.stats[f"{SERVICE_COUNTERS[counter]}.{flow.request.service}"] += 1
         self.close(flow)
         return flow
 
     def close(self, flow: Flow) -> None:
-        """Its final answer has been given: no other one will be."""
+        """Mark the flow as answered."""
         flow.closed = True
         self.forget(flow)
 
     def forget(self, flow: Flow) -> None:
-        """A flow is kept while anything of it is out, so that each outcome finds it."""
-        if flow.closed and not flow.out:
+        """Drop a flow that is closed and has no attempt in flight, whose outcome would need it."""
+        if flow.closed and not flow.in_flight:
             if flow.timer is not None:
                 flow.timer.cancel()
             self.flows.pop(flow.request.request, None)
--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -11,7 +11,7 @@
 
 from barleyhub import interface as api
 from barleyhub.line.dispatch import Call, Dispatcher, Full
-from latchspoke.core import Client, Core, Epoch, Flow, Forward, Ports
+from latchspoke.core import Attempt, Client, Core, DecisionLease, Flow, Ports
 from latchspoke.reach.graph import Graph
 
 
@@ -31,44 +31,44 @@
         self.right: Rights | None = None
         self.graph: Graph | None = None
 
-    def arrived(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
+    def accept(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
         """A request has come whole; ``begin`` is to follow."""
         flow = self.flows[request.request] = Flow(request, message, client, now)
-        flow.timer = self.ports.schedule(flow.until, lambda late: self.expire(flow, late))
+        flow.timer = self.ports.schedule(flow.deadline, lambda late: self.expire(flow, late))
         self.stats["flows.taken"] += 1
         return flow
 
     def begin(self, flow: Flow, now: float) -> None:
         """Put it to the dispatcher, whose answer may be final already."""
-        self.give(flow.request, now)
+        self.submit(flow.request, now)
 
-    def lapsed(self, flow: Flow) -> bool:
+    def lease_expired(self, flow: Flow) -> bool:
         """Whether the right under which it was decided has ended, looked at right before it is sent."""
-        if flow.epoch is None or self.right is None or self.right.now() < flow.epoch.until:
+        if flow.lease is None or self.right is None or self.right.now() < flow.lease.expires_at:
             return False
         self.stats["forwards.without_right"] += 1
         return True
 
-    def ended(
-        self, forward: Forward, code: api.Code, now: float, answer: object = None,
+    def attempt_ended(
+        self, forward: Attempt, code: api.Code, now: float, answer: object = None,
         report: dict[str, float] | None = None,
     ) -> None:  # fmt: skip
-        """As ``Core.ended``; what became of it is noted for who asks which servers requests reach."""
+        """As ``Core.attempt_ended``; what became of it is noted for who asks which servers requests reach."""
         request = forward.flow.request
         if self.graph is not None and not forward.ended and isinstance(request, Call) and request.route:
             upstream = self.dispatcher.stock.upstreams.get(forward.target)
             cold = upstream is not None and forward.sent_at < upstream.cold_until
             self.graph.note(forward.target, request.route.name, code, now - forward.sent_at, cold, now)
-        super().ended(forward, code, now, answer, report)
+        super().attempt_ended(forward, code, now, answer, report)
 
-    def act(self, action: api.Action, now: float) -> None:
-        """As ``Core.act``, with refusals for want of room."""
+    def execute(self, action: api.Action, now: float) -> None:
+        """As ``Core.execute``, with refusals for want of room."""
         if isinstance(action, Full):
-            flow = self.final(action.request, "flows.no_room")
+            flow = self.finish(action.request, "flows.no_room")
             if flow is not None:
                 flow.client.no_room(action.retry_after)  # type: ignore[attr-defined]
         else:
-            super().act(action, now)
+            super().execute(action, now)
 
 
 class Rights(Protocol):
@@ -77,5 +77,5 @@
     def now(self) -> float:
         """The time (s) by which rights end."""
 
-    def epoch(self) -> Epoch | None:
+    def epoch(self) -> DecisionLease | None:
         """The right to act with keys now, or None."""
--- a/latchspoke/dataplane/downstream.py
+++ b/latchspoke/dataplane/downstream.py
@@ -12,7 +12,7 @@
 
 from barleyhub.line.dispatch import Call
 from latchspoke.configuration.routes import Limits, Route, Table
-from latchspoke.core import Epoch
+from latchspoke.core import DecisionLease
 from latchspoke.dataplane.core import LineCore
 from latchspoke.dataplane.exchange import ClientExchange, status_line
 from latchspoke.dataplane.upstream import HOP, Request
@@ -209,7 +209,7 @@
     """All clients' connections."""
 
     def __init__(
-        self, shared: Shared, core: LineCore, draw: random.Random, gate: Callable[[], Epoch | None]
+        self, shared: Shared, core: LineCore, draw: random.Random, gate: Callable[[], DecisionLease | None]
     ) -> None:
         """``gate``: the right to act with keys now, or None."""
         self.shared, self.core, self.draw, self.gate = shared, core, draw, gate
@@ -279,8 +279,8 @@
             route=route, tenant=tenant, caller=caller,
         )  # fmt: skip
         message = self.message(exchange, ident, tenant.name.encode() if tenant else b"")
-        exchange.flow = self.core.arrived(call, message, exchange, now)
-        exchange.flow.epoch = epoch
+        exchange.flow = self.core.accept(call, message, exchange, now)
+        exchange.flow.lease = epoch
         self.core.begin(exchange.flow, now)
 
     def deny(self, exchange: ClientExchange, status: int, why: str, route: str = "") -> None:
@@ -317,7 +317,7 @@
         self.held.pop(exchange, None)
         flow, exchange.flow = exchange.flow, None
         if flow is not None:
-            self.core.withdrawn(flow, self.shared.clock.now())
+            self.core.withdraw(flow, self.shared.clock.now())
 
     def turn_away(
         self, exchange: ClientExchange, status: int, reason: str, route: str = "", pause: float | None = None
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -12,7 +12,7 @@
 from latchspoke import node_process
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.configuration.routes import Table, compile_table
-from latchspoke.core import Epoch, Forward
+from latchspoke.core import Attempt, DecisionLease
 from latchspoke.dataplane.core import LineCore
 from latchspoke.dataplane.counts import STEP, Counts
 from latchspoke.dataplane.downstream import ClientConnection, Downstream
@@ -63,13 +63,13 @@
     def __init__(self, upstream_pools: UpstreamPools, clock: Clock) -> None:
         self.upstream_pools, self.clock = upstream_pools, clock
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         self.upstream_pools.forward(forward)
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         self.upstream_pools.drop(forward)
 
-    def count(self, name: int, amount: float, life: float) -> None:
+    def add_count(self, name: int, amount: float, life: float) -> None:
         """A request waits for a total: what is due goes out now."""
         self.counts.step(self.clock.now())
 
@@ -112,7 +112,7 @@
         self.downstream.recent = lambda: self.clock.now() - self.lease.proven_at < deny
         closed = bool(bound("revocationEnforced", 1.0))
         self.lease = Lease(bound("revokeS", 5.0) * LEASE_PART if closed else LEASE_OPEN)
-        self.right: Epoch | None = None
+        self.right: DecisionLease | None = None
         self.feed = Feed(
             s.name, s.zone, s.region, self.clock, self.draw, Follower(self.board, apply_patch),  # type: ignore[arg-type]
             self.lease, self.sources, self.changed, self.evidence, bound("contactS", 4.0) / FIRST,
@@ -126,7 +126,7 @@
             self.life,
             self.clock,
             self.dispatcher,
-            lambda told: self.core.give(told, self.clock.now()),  # type: ignore[arg-type]
+            lambda told: self.core.submit(told, self.clock.now()),  # type: ignore[arg-type]
         )
         self.ports.counts = self.counts
         self.travel: Travel | None = None
@@ -168,11 +168,11 @@
     def now(self) -> float:
         return self.clock.now()
 
-    def epoch(self) -> Epoch | None:
+    def epoch(self) -> DecisionLease | None:
         """The right to act with keys under the version in force, or None."""
         if self.right is None or self.clock.now() >= self.lease.until:
             return None
-        self.right.until = self.lease.until
+        self.right.expires_at = self.lease.until
         return self.right
 
     def met(self) -> bool:
@@ -237,7 +237,7 @@
             # One step between two events: what came before goes on under its own epoch's end.
             self.downstream.table, self.downstream.limits = table, table.limits
             self.counts.prepare({tenant.name for tenant in table.tenants.values() if tenant.rate})
-            self.right = Epoch(f"{orders.version:08x}", self.lease.until)
+            self.right = DecisionLease(f"{orders.version:08x}", self.lease.until)
             log("orders", version=f"{orders.version:08x}", index=orders.index)
         if orders.evacuated != self.stock.evacuated:
             self.stock.evacuate(orders.evacuated, now)
--- a/latchspoke/dataplane/travel.py
+++ b/latchspoke/dataplane/travel.py
@@ -20,7 +20,7 @@
 from barleyhub.line.stock import State as ServerState
 from barleyhub.line.stock import homes_of
 from latchspoke.configuration.routes import Affinity, Route, Travels
-from latchspoke.core import Epoch, Flow, Forward, Timer
+from latchspoke.core import Attempt, DecisionLease, Flow, Timer
 from latchspoke.dataplane.exchange import ClientExchange
 from latchspoke.dataplane.upstream import Answer, Request
 from latchspoke.membership.words import Member
@@ -42,19 +42,19 @@
 PERSON = 2.0  # s that an operator waits
 
 
-class Narrowed(Epoch):
+class Narrowed(DecisionLease):
     """The right to act, and no longer than an opening says."""
 
-    def __init__(self, epoch: Epoch | None, until: float) -> None:
+    def __init__(self, epoch: DecisionLease | None, until: float) -> None:
         super().__init__(epoch.label if epoch is not None else "", until)
         self.epoch, self.most = epoch, until
 
     @property
-    def until(self) -> float:
-        return min(self.epoch.until, self.most) if self.epoch is not None else self.most
+    def expires_at(self) -> float:
+        return min(self.epoch.expires_at, self.most) if self.epoch is not None else self.most
 
-    @until.setter
-    def until(self, value: float) -> None:
+    @expires_at.setter
+    def expires_at(self, value: float) -> None:
         pass
 
 
@@ -64,7 +64,7 @@
 
     call: Call
     flow: Flow
-    waiting: Forward | None = None  # for its opening
+    waiting: Attempt | None = None  # for its opening
     sent: bool = False  # its present attempt has gone to the upstream_pools
     begun: bool = False  # the dispatcher has it
 
@@ -156,7 +156,7 @@
             self.give(rest)
 
     def give(self, steps: Sequence[Step]) -> None:
-        self.core.give(Steps(steps), self.clock.now())  # type: ignore[arg-type]
+        self.core.submit(Steps(steps), self.clock.now())  # type: ignore[arg-type]
 
     def post(self, to: str, message: Message) -> None:
         counts = self.node.counts
@@ -267,7 +267,7 @@
         if bill is not None and bill.life and berths is not None and call.caller is not None:
             berths.pins[call.service, call.caller.key] = bill.life, now + call.caller.exchange
         trip.begun = True
-        self.actions += self.dispatcher.handle(replace(call, left=max(trip.flow.until - now, 0.0)), now)
+        self.actions += self.dispatcher.handle(replace(call, left=max(trip.flow.deadline - now, 0.0)), now)
 
     def refuse(self, trip: Trip, pause: float, why: str, now: float) -> None:
         route = trip.call.route
@@ -276,7 +276,7 @@
 
     def tell(self, trip: Trip, state: State, exchange: str) -> None:
         """The truth about an exchange; this try has not run."""
-        flow = self.core.final(trip.call.request, "flows.refused")
+        flow = self.core.finish(trip.call.request, "flows.refused")
         if flow is not None:
             more = f"X-Exchange-State: {state.value}\r\nX-Exchange: {exchange}\r\n".encode("latin-1")
             assert isinstance(flow.client, ClientExchange)
@@ -300,7 +300,7 @@
 
     # In the ports' place.
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         trip = self.trips.get(forward.flow.request.request)
         upstream = self.dispatcher.stock.upstreams.get(forward.target)
         if trip is None or upstream is None:
@@ -316,20 +316,20 @@
         forward, trip.waiting = trip.waiting, None
         if forward is None or forward.ended:
             return
-        if not ok or forward.until <= now:
-            self.core.ended(forward, Code.MOOT, now)
+        if not ok or forward.deadline <= now:
+            self.core.attempt_ended(forward, Code.MOOT, now)
             return
         if not math.isinf(until):
-            inner = trip.flow.epoch.epoch if isinstance(trip.flow.epoch, Narrowed) else trip.flow.epoch
-            trip.flow.epoch = Narrowed(inner, until)
+            inner = trip.flow.lease.epoch if isinstance(trip.flow.lease, Narrowed) else trip.flow.lease
+            trip.flow.lease = Narrowed(inner, until)
         trip.sent = True
         self.ports.forward(forward)
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         self.ports.drop(forward)
 
-    def count(self, name: int, amount: float, life: float) -> None:
-        self.ports.count(name, amount, life)
+    def add_count(self, name: int, amount: float, life: float) -> None:
+        self.ports.add_count(name, amount, life)
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
         return self.ports.schedule(when, call)
@@ -347,8 +347,8 @@
         asked = f"ask {next(self.numbers)}"
         call = api.Request(asked, trip.call.customer, trip.call.service, trip.call.plan, 0.0, ASK, 1)
         flow = Flow(call, Request(b"GET", ident, head, source.tenant, b""), Asker(lambda s: told(s)), now)
-        flow.epoch, flow.out = trip.flow.epoch, 1
-        forward = Forward(flow, life, now, now + ASK)
+        flow.lease, flow.in_flight = trip.flow.lease, 1
+        forward = Attempt(flow, life, now, now + ASK)
 
         def told(state: State) -> None:
             if self.asks.pop(asked, None) is not None:
--- a/latchspoke/dataplane/upstream.py
+++ b/latchspoke/dataplane/upstream.py
@@ -15,7 +15,7 @@
 
 from barleyhub import interface as api
 from barleyhub.line.stock import Stock, Upstream
-from latchspoke.core import Forward
+from latchspoke.core import Attempt
 from latchspoke.dataplane.core import LineCore
 from latchspoke.net.http import Connection, FramingError, ParserError, Shared, parse_error, read_decimal
 from latchspoke.transport.log import log
@@ -70,10 +70,10 @@
 
     side = "server"
 
-    def __init__(self, upstream_pools: UpstreamPools, upstream_pool: UpstreamPool, forward: Forward) -> None:
+    def __init__(self, upstream_pools: UpstreamPools, upstream_pool: UpstreamPool, forward: Attempt) -> None:
         super().__init__(upstream_pools.shared)
         self.upstream_pools, self.upstream_pool = upstream_pools, upstream_pool
-        self.forward: Forward | None = forward
+        self.forward: Attempt | None = forward
         self.idle_since = self.written_at = 0.0
         self.idle_limit = IDLE
         self.keep = True
@@ -207,7 +207,7 @@
         """Hand the answer on; the connection goes back first, as a further attempt may follow."""
         forward, done = self.forward, self.done
         assert forward is not None and done is not None
-        self.forward = self.done = forward.link = None
+        self.forward = self.done = forward.connection = None
         if fault or not self.keep:
             self.end(fault or "asked_close")
         else:
@@ -215,7 +215,7 @@
         code, answer, report = done
         if forward.flow.closed:
             self.shared.stats["answers.late"] += 1
-        self.upstream_pools.core.ended(forward, code, self.shared.clock.now(), answer, report)
+        self.upstream_pools.core.attempt_ended(forward, code, self.shared.clock.now(), answer, report)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """It has ended."""
@@ -239,8 +239,8 @@
         """The forward on it is over without an answer."""
         forward, self.forward = self.forward, None
         if forward is not None:
-            forward.link = None
-            self.upstream_pools.core.ended(forward, code, self.shared.clock.now(), None, report)
+            forward.connection = None
+            self.upstream_pools.core.attempt_ended(forward, code, self.shared.clock.now(), None, report)
 
 
 class UpstreamPool:
@@ -305,12 +305,12 @@
         self.caps: dict[str, int] = {}  # connections that a server of a service takes, from all callers
         self.free_client: Any = lambda: False
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         """Send it on a connection that rests, or on a new one."""
         now = self.shared.clock.now()
         upstream = self.stock.upstreams.get(forward.target)
         if upstream is None or upstream.state:
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
         upstream_pool = self.upstream_pools_by_life.get(upstream.ident)
         if upstream_pool is None or upstream_pool.upstream is not upstream:
@@ -327,16 +327,16 @@
         cap = self.caps.get(upstream.service, 0)
         if cap and upstream_pool.open >= max(int(cap * PART_OF_CAP / len(self.stock.gateways)), CAP_LEAST):
             self.shared.stats["servers.no_connection"] += 1
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
         if self.shared.sockets.left <= 0 and not self.free_one():
             self.shared.stats["servers.no_socket"] += 1
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
         self.shared.stats["servers.opened"] += 1
         upstream_pool.open += 1
         connection = ServerConnection(self, upstream_pool, forward)
-        forward.link = connection
+        forward.connection = connection
         far = CONNECT_FAR if upstream.region != self.stock.region else 0.0
         connection.dial((upstream.host, upstream.port), CONNECT + far)
 
@@ -346,19 +346,19 @@
         assert forward is not None and connection.transport is not None
         upstream = connection.upstream_pool.upstream
         gone = bool(upstream.state) or upstream.zone in self.stock.evacuated
-        if gone or self.core.lapsed(forward.flow) or forward.until <= now:
-            connection.forward = forward.link = None
+        if gone or self.core.lease_expired(forward.flow) or forward.deadline <= now:
+            connection.forward = forward.connection = None
             if gone:
                 connection.end("server_gone")
             else:
                 connection.upstream_pool.keep(connection)
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
-        forward.link = connection
+        forward.connection = connection
         connection.pairs, connection.written_at = [], now
         request = forward.flow.message
         assert isinstance(request, Request)
-        left = max(int((forward.until - now) * 1000), 1)
+        left = max(int((forward.deadline - now) * 1000), 1)
         tenant = b"X-Tenant-Name: %b\r\n" % request.tenant if request.tenant else b""
         size = b""
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
@@ -369,10 +369,10 @@
             % (request.head, left, upstream.ident.encode("latin-1"), tenant, size, request.body)
         )
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         """Closing the connection is what calls a forward off."""
-        connection = forward.link
-        forward.link = None
+        connection = forward.connection
+        forward.connection = None
         if isinstance(connection, ServerConnection):
             connection.forward = None
             connection.end("cancelled")
--- a/latchspoke/lab/schedules/gate.py
+++ b/latchspoke/lab/schedules/gate.py
@@ -20,7 +20,7 @@
 from barleyhub import interface as api
 from barleyhub.choice import Gateway
 from latchspoke.config import RulesConfig
-from latchspoke.core import Core, Flow, Forward
+from latchspoke.core import Attempt, Core, Flow
 from latchspoke.net.clock import Clock, Timer
 from latchspoke.net.rules import Follower, boottime
 
@@ -39,7 +39,7 @@
         self.flow: Flow | None = None
 
     def note(self, word: str) -> None:
-        label = self.flow.epoch.label if self.flow is not None and self.flow.epoch is not None else "none"
+        label = self.flow.lease.label if self.flow is not None and self.flow.lease is not None else "none"
         self.record.write(f"{boottime():.6f} {self.customer} {word} {label}\n")
 
     def served(self, answer: object) -> None:
@@ -59,16 +59,16 @@
         self.clock = clock
         self.core: Core
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         client = forward.flow.client
         assert isinstance(client, Caller)
         client.note("sent")
-        self.core.ended(forward, api.Code.OK, self.clock.now())
+        self.core.attempt_ended(forward, api.Code.OK, self.clock.now())
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         pass
 
-    def count(self, name: int, amount: float, life: float) -> None:
+    def add_count(self, name: int, amount: float, life: float) -> None:
         pass
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
@@ -79,7 +79,7 @@
     """Goes on under whatever it was last granted."""
 
     @property
-    def lapse_at(self) -> float:
+    def lease_expires_at(self) -> float:
         return math.inf
 
 
@@ -89,21 +89,21 @@
     ports = Ports(clock)
     core = ports.core = Core(Gateway(1, SETTINGS), ports, Counter())
     servers = (api.ServerEntry("s1", api.ServerState.ACTIVE),)
-    core.listed(api.ServerList(api.ListForm.WHOLE, servers), clock.now())
+    core.update_servers(api.ServerList(api.ListForm.WHOLE, servers), clock.now())
     with open(path, "a", buffering=1) as record:
         told = RulesConfig(tuple(sockets.split(",")))
         follower = (Unchecked if change else Follower)(
-            loop, clock, name, SETTINGS, told, lambda rules: core.give(rules, clock.now()), lambda: None
+            loop, clock, name, SETTINGS, told, lambda rules: core.submit(rules, clock.now()), lambda: None
         )
         core.rules = follower
         follower.start()
         if change:
-            core.lapsed = lambda flow: False  # type: ignore[method-assign]
+            core.lease_expired = lambda flow: False  # type: ignore[method-assign]
         for number in itertools.count():
             for customer in CUSTOMERS:
                 client = Caller(customer, record)
                 request = api.Request(f"{number}-{customer}", customer, "read", "wide", 1.0, 3.0, 1)
-                client.flow = core.arrived(request, None, client, clock.now())
+                client.flow = core.accept(request, None, client, clock.now())
                 core.begin(client.flow, clock.now())
             await asyncio.sleep(EVERY)
 
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -286,7 +286,7 @@
         tuple(t(0.5, kind, lasts=9.0, count=4, x=x, how=how, where=where)
               for where in ("meters", "orders")
               for kind, x, how in (("grey", 0.5, "sick"), ("lost_answers", 0.3, ""))),
-        lambda: [around(LineCore, "ended", leaves_failures),
+        lambda: [around(LineCore, "attempt_ended", leaves_failures),
                  around(exchange.ClientExchange, "failed", hands_on_what_is_left)],
     ),
     "homes": Guard("HOME", (), lambda: [on(dispatch, "homes_of", lambda route, tenant: None)]),
--- a/latchspoke/net/counter.py
+++ b/latchspoke/net/counter.py
@@ -187,12 +187,12 @@
             if call.timer is not None:
                 call.timer.cancel()
             now = self.shared.clock.now()
-            self.core.counted(call.name, code, now - call.made_at, total, now)
+            self.core.counter_answered(call.name, code, now - call.made_at, total, now)
 
     def late(self, call: Call, total: float) -> None:
         """Its limit has passed, but what the counter says is true all the same."""
         now = self.shared.clock.now()
-        self.core.counted_late(call.name, now - call.made_at, total, now)
+        self.core.counter_answered_late(call.name, now - call.made_at, total, now)
 
     def sweep(self, now: float) -> None:
         connection = self.connection
@@ -233,7 +233,7 @@
     def count(self, name: int, amount: float, life: float) -> None:
         now = self.shared.clock.now()
         if not self.lines:
-            self.core.counted(name, api.Code.UNREACHABLE, 0.0, 0.0, now)
+            self.core.counter_answered(name, api.Code.UNREACHABLE, 0.0, 0.0, now)
             return
         self.lines[name % len(self.lines)].call(Call(name, amount, life, now))
 
--- a/latchspoke/net/listener.py
+++ b/latchspoke/net/listener.py
@@ -286,7 +286,7 @@
         upload, self.upload = self.upload, None
         flow, self.flow = self.flow, None
         if flow is not None:
-            self.listener.core.withdrawn(flow, self.shared.clock.now())
+            self.listener.core.withdraw(flow, self.shared.clock.now())
         if upload is not None and upload.sink is not None:
             upload.sink.abandon()
 
@@ -296,7 +296,7 @@
         self.put(None)
         upload.end()
         if self.flow is not None:
-            self.listener.core.whole(self.flow, self.shared.clock.now())
+            self.listener.core.body_received(self.flow, self.shared.clock.now())
         else:
             self.over()  # it had its answer before
 
@@ -319,7 +319,7 @@
             raise FramingError(405, "method not served")
         core = self.listener.core
         request = read_request(self.url, self.headers, core.gateway.settings)
-        if reason := core.refusal(request):
+        if reason := core.rejection_reason(request):
             raise bad(reason)
         headers = self.headers
         message = Message(
@@ -333,13 +333,13 @@
         )
         now = self.shared.clock.now()
         self.put(None)
-        self.flow = core.arrived(request, message, self, now)
+        self.flow = core.accept(request, message, self, now)
         if upload is not None:
-            core.comes(self.flow)
+            core.expect_body(self.flow)
         flow = self.flow
         core.begin(flow, now)
-        if flow.epoch is not None:
-            self.rules = flow.epoch.label
+        if flow.lease is not None:
+            self.rules = flow.lease.label
 
     def status(self, path: bytes) -> None:
         ready = path == b"/-/healthy" or (path == b"/-/ready" and self.listener.ready)
@@ -456,7 +456,7 @@
             source.leave()
             self.shared.stats["flows.left"] += 1
         if flow is not None:
-            self.listener.core.withdrawn(flow, self.shared.clock.now())
+            self.listener.core.withdraw(flow, self.shared.clock.now())
 
 
 class Listener:
--- a/latchspoke/net/rules.py
+++ b/latchspoke/net/rules.py
@@ -22,7 +22,7 @@
 
 from barleyhub import interface as api
 from latchspoke.config import RulesConfig
-from latchspoke.core import Epoch
+from latchspoke.core import DecisionLease
 from latchspoke.net.clock import Clock
 from latchspoke.revisions.documents import (
     ASIDE,
@@ -97,7 +97,7 @@
 
 
 class Follower:
-    """One gateway's rules; ``core`` sees ``epoch``, ``lapse_at``, ``clock`` and ``lapse``."""
+    """One gateway's rules; ``core`` sees ``lease``, ``lease_expires_at``, ``clock`` and ``expire_lease``."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
         self.give, self.on_ready, self.clock = give, on_ready, clock
         self.rights = Rights(name, secrets.token_hex(4))
         self.plans = {plan.name: plan for plan in settings.plans}  # as the module has them now
-        self.epoch = Epoch("", math.inf)
+        self.lease = DecisionLease("", math.inf)
         self.connection: MemberConnection | None = None
         self.asked = 0  # grows with each question; what comes for an earlier one is not wanted any more
         self.fetching: list[Fetch] = []
@@ -125,7 +125,7 @@
         self.writer = ThreadPoolExecutor(1)  # starts no thread before it is used
 
     @property
-    def lapse_at(self) -> float:
+    def lease_expires_at(self) -> float:
         return self.rights.lapse_at
 
     # From start to end.
@@ -256,11 +256,11 @@
 
     def answered(self, told: Any) -> None:
         if self.rights.answered(told, self.clock()) and (self.begun or self.rights.ready(self.clock())):
-            if self.label() != self.epoch.label:
+            if self.label() != self.lease.label:
                 self.take_up()
                 self.keep()
             # The same versions, for longer: what is in hand may go on as well.
-            self.epoch.until = self.rights.stop_at(self.clock())
+            self.lease.expires_at = self.rights.stop_at(self.clock())
             self.on_ready()
         self.fetching = self.rights.fetches()
         self.fetch()
@@ -307,12 +307,12 @@
         now = self.clock()
         return ",".join(f"{name}:{self.rights.label(name, now)}" for name in sorted(self.rights.known))
 
-    def lapse(self) -> None:
+    def expire_lease(self) -> None:
         """From the moment at which a right ends; also after this process stood still for any time."""
         self.rights.next_lapse(self.clock())
         if self.begun:
             self.take_up()
-        log.warning("a right to act has ended: %s", self.epoch.label)
+        log.warning("a right to act has ended: %s", self.lease.label)
 
     def take_up(self) -> None:
         """In one step between two events of the core; what is in hand keeps the epoch that it came under."""
@@ -320,8 +320,8 @@
         acting = {name: self.rights.acting(name, now) for name in KINDS}
         self.rights.next_lapse(now)
         self.begun = True
-        self.epoch = Epoch(self.label(), self.rights.stop_at(now))
-        log.info("acts by %s", self.epoch.label)
+        self.lease = DecisionLease(self.label(), self.rights.stop_at(now))
+        log.info("acts by %s", self.lease.label)
         figures = acting[FIGURES]
         self.plans = made_plans(self.settings, self.plans, figures.document)
         everybody = REFUSE in (figures.lapsed, acting[BLOCKED].lapsed)
--- a/latchspoke/net/serve.py
+++ b/latchspoke/net/serve.py
@@ -18,7 +18,7 @@
 from barleyhub import interface as api
 from barleyhub.choice import Gateway
 from latchspoke.config import Address, Config, ConfigError, RulesConfig, TargetList
-from latchspoke.core import Core, Forward
+from latchspoke.core import Attempt, Core
 from latchspoke.net.clock import Clock, Timer
 from latchspoke.net.counter import Counter
 from latchspoke.net.discovery import Watch
@@ -51,13 +51,13 @@
     def __init__(self, group: TargetGroup, counter: Counter, clock: Clock) -> None:
         self.group, self.counter, self.clock = group, counter, clock
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         self.group.forward(forward)
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         self.group.drop(forward)
 
-    def count(self, name: int, amount: float, life: float) -> None:
+    def add_count(self, name: int, amount: float, life: float) -> None:
         self.counter.count(name, amount, life)
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
@@ -105,7 +105,7 @@
         if self.kin is not None:
             self.kin.changed()
             self.heed_notes()
-        self.core.listed(api.ServerList(api.ListForm.SAVED, self.config.known.entries), now)
+        self.core.update_servers(api.ServerList(api.ListForm.SAVED, self.config.known.entries), now)
         self.watch.start()
         self.clock.schedule(now + READY_AFTER, lambda late: self.ready())
         self.clock.schedule(now + SWEEP, self.sweep)
@@ -120,7 +120,7 @@
     def listed(self, told: TargetList) -> None:
         self.group.listed(told)
         form = api.ListForm.WHOLE if told.whole else api.ListForm.CHANGES
-        self.core.listed(api.ServerList(form, told.entries), self.clock.now())
+        self.core.update_servers(api.ServerList(form, told.entries), self.clock.now())
         self.remember([entry.server for entry in told.entries])
         self.ready()
 
@@ -163,7 +163,7 @@
     def heed_notes(self) -> None:
         assert self.kin is not None
         self.group.barred = self.kin.notes.out
-        self.core.give(api.Maintenance(self.kin.notes.out, self.kin.notes.back), self.clock.now())
+        self.core.submit(api.Maintenance(self.kin.notes.out, self.kin.notes.back), self.clock.now())
 
     def heed(self, now: float) -> None:
         """See what operators have said at another process of this gateway, and share its sockets with it."""
@@ -217,7 +217,7 @@
         if self.rules is not None:
             # Rules with versions tell the plans' figures, and stand above the file.
             settings = replace(settings, plans=tuple(self.core.gateway.plans.values()))
-        self.core.give(settings, self.clock.now())
+        self.core.submit(settings, self.clock.now())
 
     def stop(self) -> None:
         """New connections still come for a while: they are taken, and answered with a close."""
@@ -344,7 +344,7 @@
     config = node.config
 
     def give(rules: api.Rules) -> None:
-        node.core.give(rules, node.clock.now())
+        node.core.submit(rules, node.clock.now())
 
     follower = Follower(loop, node.clock, config.name, config.settings, told, give, node.ready)
     follower.start()
--- a/latchspoke/net/target.py
+++ b/latchspoke/net/target.py
@@ -10,7 +10,7 @@
 
 from barleyhub import interface as api
 from latchspoke.config import Address, TargetList
-from latchspoke.core import Core, Forward
+from latchspoke.core import Attempt, Core
 from latchspoke.net.clock import Timer
 from latchspoke.net.http import (
     MOST_BODY,
@@ -61,10 +61,10 @@
 
     side = "target"
 
-    def __init__(self, group: TargetGroup, target: Target, forward: Forward) -> None:
+    def __init__(self, group: TargetGroup, target: Target, forward: Attempt) -> None:
         super().__init__(group.shared)
         self.group, self.target = group, target
-        self.forward: Forward | None = forward
+        self.forward: Attempt | None = forward
         self.answer: tuple[api.Code, Answer | None, dict[str, float]] | None = None
         self.answer_timer: Timer | None = None
         self.heard_at = 0.0
@@ -151,19 +151,21 @@
         """Nothing can be mended from now on: the request has its answer, and the decisions their outcome."""
         forward, now = self.forward, self.shared.clock.now()
         assert forward is not None
-        self.forward = forward.link = None
+        self.forward = forward.connection = None
         self.give_up()
         reader = forward.flow.client
         self.stop_timer()
         if forward.flow.closed or not isinstance(reader, Reader):
             self.end("cancelled")
-            self.group.core.ended(forward, api.Code.CANCELLED, now)
+            self.group.core.attempt_ended(forward, api.Code.CANCELLED, now)
             return
         self.reader = reader
         load = self.headers.get(b"srv-load")
         answer = Answer(self.body, self.headers.get(b"content-type", b""), self, self.length)
         self.parts = []
-        self.group.core.ended(forward, api.Code.OK, now, answer, read_report(load) if load else NO_REPORT)
+        self.group.core.attempt_ended(
+            forward, api.Code.OK, now, answer, read_report(load) if load else NO_REPORT
+        )
 
     def pass_on(self, fault: str) -> None:
         reader, body, self.parts = self.reader, self.body, []
@@ -275,7 +277,7 @@
         forward, told = self.forward, self.answer
         assert forward is not None and told is not None
         self.give_up()
-        self.forward = self.answer = forward.link = None
+        self.forward = self.answer = forward.connection = None
         self.stop_timer()
         if fault or not self.keep:
             self.end(fault or "asked_close")
@@ -284,9 +286,9 @@
         code, answer, report = told
         now = self.shared.clock.now()
         if code is api.Code.CANCELLED:
-            self.group.core.unfit(forward, now)
+            self.group.core.request_rejected(forward, now)
         else:
-            self.group.core.ended(forward, code, now, answer, report)
+            self.group.core.attempt_ended(forward, code, now, answer, report)
 
     def stop_timer(self) -> None:
         if self.answer_timer is not None:
@@ -309,8 +311,8 @@
             code = api.Code.UNREACHABLE  # a target starts on a request with its last byte
             self.give_up()
         if forward is not None:
-            forward.link = None
-            self.group.core.ended(forward, code, self.shared.clock.now())
+            forward.connection = None
+            self.group.core.attempt_ended(forward, code, self.shared.clock.now())
 
 
 class Target:
@@ -389,13 +391,13 @@
             target.entry = entry or api.ServerEntry(name, api.ServerState.LEFT)
             target.close_idle("target_gone")
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         now = self.shared.clock.now()
         target = self.targets.get(forward.target)
         message = forward.flow.message
         spent = isinstance(message, Message) and message.upload is not None and message.upload.spent
         if spent or target is None or not target.active or forward.target in self.barred:
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
         connection = target.take(now, self.idle_limit)
         if connection is None:
@@ -404,14 +406,14 @@
             connection.forward = forward
             self.write(connection)
 
-    def open(self, target: Target, forward: Forward, now: float) -> None:
+    def open(self, target: Target, forward: Attempt, now: float) -> None:
         if self.shared.sockets.left <= 0 and not self.free_client() and not self.free_one():
             self.shared.stats["targets.no_socket"] += 1
-            self.core.ended(forward, api.Code.UNREACHABLE, now)
+            self.core.attempt_ended(forward, api.Code.UNREACHABLE, now)
             return
         self.shared.stats["targets.opened"] += 1
         connection = TargetConnection(self, target, forward)
-        forward.link = connection
+        forward.connection = connection
         connection.dial(target.address, self.connect_limit)
 
     def write(self, connection: TargetConnection) -> None:
@@ -419,15 +421,15 @@
         forward, now = connection.forward, self.shared.clock.now()
         assert forward is not None and connection.transport is not None
         if not connection.target.active or forward.target in self.barred:
-            connection.forward = forward.link = None
+            connection.forward = forward.connection = None
             connection.end("target_gone")
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
-        forward.link = connection
+        forward.connection = connection
         message = forward.flow.message
         assert isinstance(message, Message)
         upload = message.upload
-        left = max(min(forward.until - now, forward.flow.request.left), 0.001)
+        left = max(min(forward.deadline - now, forward.flow.request.left), 0.001)
         kind = b"Content-Type: %b\r\n" % message.content_type if message.content_type else b""
         size = b"Content-Length: %d\r\n" % len(message.body) if message.body or kind else b""
         if upload is not None:
@@ -447,10 +449,10 @@
             connection.upload = upload
             upload.attach(connection)
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         """Closing the connection is what calls a forward off."""
-        connection = forward.link
-        forward.link = None
+        connection = forward.connection
+        forward.connection = None
         if isinstance(connection, TargetConnection):
             connection.forward = None
             connection.give_up()
--- a/tests/revisions/test_follower.py
+++ b/tests/revisions/test_follower.py
@@ -84,7 +84,7 @@
 
     async def acts(self, label: str) -> None:
         async with asyncio.timeout(20):
-            while self.follower.epoch.label != label:
+            while self.follower.lease.label != label:
                 await asyncio.sleep(0.005)
 
 
@@ -158,10 +158,10 @@
         if status == 200:
             member.answer = lambda path, asked: (200, b'{"number": "x"}')  # type: ignore[method-assign]
         async with asyncio.timeout(20):
-            while boottime() < gate.follower.lapse_at:
+            while boottime() < gate.follower.lease_expires_at:
                 await asyncio.sleep(0.01)
-        gate.follower.lapse()
-        assert "blocked:1-refuse" in gate.follower.epoch.label and "c2" in gate.given[-1].blocked
+        gate.follower.expire_lease()
+        assert "blocked:1-refuse" in gate.follower.lease.label and "c2" in gate.given[-1].blocked
 
     play(tmp_path, test)
 
