--- a/barleyhub/drill.py
+++ b/barleyhub/drill.py
@@ -1,6 +1,6 @@
-"""The adapter between the simulator's wire and barleyhub.choice.
+"""Adapter between the simulator's protocol of JSON lines and barleyhub.choice.
 
-It translates, hosts many gateways and decides nothing.
+It hosts any number of gateways, reads messages into events and writes actions as messages.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from barleyhub import interface as api
 from barleyhub.choice import Gateway
 
-Json = dict[str, Any]
-NS = 1_000_000_000
+JsonObject = dict[str, Any]
+NS_PER_S = 1_000_000_000
 
 CODES = {
     "OK": api.Code.OK,
@@ -26,7 +26,7 @@
     "CANCELLED": api.Code.CANCELLED,
     "TOO_LATE": api.Code.MOOT,
 }
-FORMS = {
+LIST_FORMS = {
     "incr": api.ListForm.CHANGES,
     "total": api.ListForm.WHOLE,
     "warm_copy": api.ListForm.SAVED,
@@ -34,76 +34,82 @@
 }
 
 
-class WireError(Exception):
-    """What came in is not the wire's."""
+class ProtocolError(Exception):
+    """A message that the protocol doesn't allow."""
 
 
 def seconds(ns: float | None) -> float:
-    return (ns or 0) / NS
+    """Convert nanoseconds; a missing value is 0."""
+    return (ns or 0) / NS_PER_S
 
 
 def nanoseconds(value: float) -> int:
-    return round(value * NS)
+    """Convert seconds."""
+    return round(value * NS_PER_S)
 
 
-def read_class(c: Json) -> api.ClassSettings:
+def read_class(category: JsonObject) -> api.ClassSettings:
+    """Read a class of requests. Raises KeyError, ValueError."""
     return api.ClassSettings(
-        name=c["Name"],
-        aim=seconds(number(c["AimNs"])),
-        give_up=seconds(number(c["GiveUpNs"])),
-        repeat=api.Repeat(c["Repeat"]),
-        group=api.Group(c.get("Group") or "all"),
-        repeat_window=seconds(c.get("RepeatWindowNs")),
-        worth=c.get("Worth", 1.0),
-        late_worth=c.get("LateWorth", 0.0),
-        stream=bool(c.get("Stream")),
+        name=category["Name"],
+        aim=seconds(read_number(category["AimNs"])),
+        give_up=seconds(read_number(category["GiveUpNs"])),
+        repeat=api.Repeat(category["Repeat"]),
+        group=api.Group(category.get("Group") or "all"),
+        repeat_window=seconds(category.get("RepeatWindowNs")),
+        worth=category.get("Worth", 1.0),
+        late_worth=category.get("LateWorth", 0.0),
+        stream=bool(category.get("Stream")),
     )
 
 
-def read_plan(p: Json) -> api.PlanSettings:
+def read_plan(tariff: JsonObject) -> api.PlanSettings:
+    """Read a plan. Raises KeyError, ValueError."""
     return api.PlanSettings(
-        name=p["Name"],
-        rate=p.get("Refill", 0.0),
-        burst=p.get("MostAtOnce", 0.0),
-        concurrency=p.get("Concurrency", 0),
-        pays=p.get("Pays", 1.0),
-        over_cost=p.get("OverCost", 0.0),
-        extra_worth=p.get("ExtraWorth", 0.0),
-        ceiling_rate=p.get("CapRate", 0.0),
-        ceiling_burst=p.get("CapDepth", 0.0),
-        ceiling_slack=p.get("CapSlack", 0.0),
+        name=tariff["Name"],
+        rate=tariff.get("Refill", 0.0),
+        burst=tariff.get("MostAtOnce", 0.0),
+        concurrency=tariff.get("Concurrency", 0),
+        pays=tariff.get("Pays", 1.0),
+        over_cost=tariff.get("OverCost", 0.0),
+        extra_worth=tariff.get("ExtraWorth", 0.0),
+        ceiling_rate=tariff.get("CapRate", 0.0),
+        ceiling_burst=tariff.get("CapDepth", 0.0),
+        ceiling_slack=tariff.get("CapSlack", 0.0),
     )
 
 
-def number(value: Any) -> float:
-    """Where a word or a yes would be a broken file."""
+def read_number(value: Any) -> float:
+    """Read a number that must be given. Raises ValueError on any other type, including bool."""
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ValueError(f"{value!r} is no number")
+        raise ValueError(f"{value!r} is not a number")
     return float(value)
 
 
-def read_tries(value: Any) -> int:
-    if number(value) != int(value):
-        raise ValueError(f"attempts: {value!r} is no whole number")
+def read_attempt_limit(value: Any) -> int:
+    """Read the largest number of attempts. Raises ValueError."""
+    if read_number(value) != int(value):
+        raise ValueError(f"attempts: {value!r} is not a whole number")
     return int(value)
 
 
-def read_settings(o: Json) -> api.Settings:
-    allowed, domain, rules = o["Allowed"], o["Domain"], o["Invariants"]
-    prices, info = o.get("Prices") or {}, o.get("LoadInfo") or {}
+def read_settings(options: JsonObject) -> api.Settings:
+    """Read the settings of a gateway. Raises KeyError, ValueError."""
+    allowed, domain, invariants = options["Allowed"], options["Domain"], options["Invariants"]
+    prices, load_info = options.get("Prices") or {}, options.get("LoadInfo") or {}
     return api.Settings(
-        index=o["Index"],
-        gateways=o["NInstances"],
-        zone=o["Zone"],
-        classes=tuple(read_class(c) for c in o["Categories"]),
-        plans=tuple(read_plan(p) for p in o["Tariffs"]),
+        index=options["Index"],
+        gateways=options["NInstances"],
+        zone=options["Zone"],
+        classes=tuple(read_class(c) for c in options["Categories"]),
+        plans=tuple(read_plan(p) for p in options["Tariffs"]),
         counter=bool(domain.get("SharedCounter")),
         counter_limit=seconds(domain.get("CountLimitNs")),
         counter_price=domain.get("CallPrice", 0.0),
         cost_after=bool(domain.get("CostAfter")),
         meter_period=seconds(domain.get("UsePeriodNs")),
         largest=domain.get("Largest", 1),
-        try_limit=read_tries(allowed["TryLimit"]),
+        try_limit=read_attempt_limit(allowed["TryLimit"]),
         retry_after=bool(allowed.get("RetryAfter")),
         max_retry_after=seconds(allowed.get("MaxRetryAfterNs")),
         cancelling=bool(allowed.get("Cancelling")),
@@ -111,62 +117,65 @@
         probe_price=prices.get("Probe", 0.0),
         cross_zone_price=prices.get("CrossZone", 0.0),
         second_copies=bool(allowed.get("SecondCopies")),
-        ask_discovery=o.get("Discovery") == "ask",
-        ask_within=seconds(rules.get("AskWithinNs")),
-        drain_grace=seconds(rules.get("DrainGraceNs")),
-        start_capacity=rules.get("StartCapacity", 1.0),
-        cold_time=seconds(rules.get("ColdNs")),
-        fall_multiple=rules.get("FallMultiple", 1.0),
-        fall_time=seconds(rules.get("FallNs")),
-        reports=tuple(info.get("Fields") or ()),
-        reports_in_answers=info.get("Via") == "answers",
+        ask_discovery=options.get("Discovery") == "ask",
+        ask_within=seconds(invariants.get("AskWithinNs")),
+        drain_grace=seconds(invariants.get("DrainGraceNs")),
+        start_capacity=invariants.get("StartCapacity", 1.0),
+        cold_time=seconds(invariants.get("ColdNs")),
+        fall_multiple=invariants.get("FallMultiple", 1.0),
+        fall_time=seconds(invariants.get("FallNs")),
+        reports=tuple(load_info.get("Fields") or ()),
+        reports_in_answers=load_info.get("Via") == "answers",
         connect_limit=seconds(allowed.get("ConnectTimeoutNs")) or 0.25,
         conn_idle=seconds(allowed.get("ConnIdleNs")) or 15.0,
     )
 
 
-def read_entry(e: Json) -> api.ServerEntry:
+def read_entry(element: JsonObject) -> api.ServerEntry:
+    """Read a line of a server list. Raises KeyError, ValueError."""
     return api.ServerEntry(
-        server=e["Server"],
-        state=api.ServerState(e["Condition"]),
-        zone=e.get("Area", ""),
-        kind=e.get("FamilyType", ""),
-        cell=e.get("Block", 0),
-        size=e.get("CapacityHint", 1.0),
-        launched=seconds(e.get("LaunchedNs")),
+        server=element["Server"],
+        state=api.ServerState(element["Condition"]),
+        zone=element.get("Area", ""),
+        kind=element.get("FamilyType", ""),
+        cell=element.get("Block", 0),
+        size=element.get("CapacityHint", 1.0),
+        launched=seconds(element.get("LaunchedNs")),
     )
 
 
-def read_order(m: Json) -> api.Request:
+def read_request(message: JsonObject) -> api.Request:
+    """Read a client's request. Raises KeyError, ValueError."""
     return api.Request(
-        request=m["Txn"],
-        customer=m["Customer"],
-        service=m["Service"],
-        plan=m["Tier"],
-        units=m["Units"],
-        left=seconds(m["LeftNs"]),
-        spread=int(m["Spread"]),
-        set_from=int(m.get("SetFrom") or 0),
+        request=message["Txn"],
+        customer=message["Customer"],
+        service=message["Service"],
+        plan=message["Tier"],
+        units=message["Units"],
+        left=seconds(message["LeftNs"]),
+        spread=int(message["Spread"]),
+        set_from=int(message.get("SetFrom") or 0),
     )
 
 
-def read_outcome(m: Json) -> api.Outcome:
-    used = m.get("Metered") or 0
+def read_outcome(message: JsonObject) -> api.Outcome:
+    """Read an attempt's outcome. Raises KeyError."""
+    metered = message.get("Metered") or 0
     return api.Outcome(
-        request=m["Txn"],
-        attempt=m.get("RoundNo") or 0,
-        server=m["Server"],
-        code=CODES[m["Code"]],
-        took=seconds(m.get("RttNs")),
-        closed=bool(m.get("Closed")),
-        meter=(used - 1) / 100 if used else None,
-        cost=m.get("Cost") or 0,
-        report=m.get("Feedback") or {},
+        request=message["Txn"],
+        attempt=message.get("RoundNo") or 0,
+        server=message["Server"],
+        code=CODES[message["Code"]],
+        took=seconds(message.get("RttNs")),
+        closed=bool(message.get("Closed")),
+        meter=(metered - 1) / 100 if metered else None,
+        cost=message.get("Cost") or 0,
+        report=message.get("Feedback") or {},
     )
 
 
-READERS: dict[str, Callable[[Json], api.Event]] = {
-    "Order": read_order,
+READERS: dict[str, Callable[[JsonObject], api.Event]] = {
+    "Order": read_request,
     "AttemptEnd": read_outcome,
     "Withdrawn": lambda m: api.Withdrawn(m["Txn"]),
     "First": lambda m: api.StreamStarted(m["Txn"], m.get("RoundNo") or 0, m["Server"]),
@@ -180,27 +189,33 @@
 }
 
 
-def write_action(a: api.Action) -> Json:  # noqa: PLR0911 - one return a kind of action
-    match a:
+def write_action(action: api.Action) -> JsonObject:  # noqa: PLR0911 - one return per kind of action
+    """The message for an action."""
+    match action:
         case api.Send(request, server, timeout):
-            line: Json = {"t": "Issue", "Txn": request, "Server": server}
+            message: JsonObject = {"t": "Issue", "Txn": request, "Server": server}
             if timeout is not None:
-                # 0 would mean "no limit" on the wire.
-                line["TryForNs"] = nanoseconds(timeout) or -1
-            return line
+                # 0 would mean "no timeout".
+                message["TryForNs"] = nanoseconds(timeout) or -1
+            return message
         case api.Refuse(request, pause):
-            line = {"t": "PushBack", "Txn": request}
+            message = {"t": "PushBack", "Txn": request}
             if pause is not None:
-                line["PauseNs"] = nanoseconds(pause)
-            return line
+                message["PauseNs"] = nanoseconds(pause)
+            return message
         case api.Fail(request):
             return {"t": "Surrender", "Txn": request}
         case api.Cancel(request, attempt):
             return {"t": "DropAttempt", "Txn": request, "RoundNo": attempt}
         case api.SetTimer(after, mark):
             return {"t": "WakeAt", "SleepForNs": nanoseconds(after), "Mark": mark}
-        case api.AddCount(name, amount, forget):
-            return {"t": "AddAndGet", "Counter": name, "N": amount, "ForgetAfterNs": nanoseconds(forget)}
+        case api.AddCount(name, amount, forget_after):
+            return {
+                "t": "AddAndGet",
+                "Counter": name,
+                "N": amount,
+                "ForgetAfterNs": nanoseconds(forget_after),
+            }
         case api.Probe(server):
             return {"t": "Inspect", "Server": server}
         case api.Follow():
@@ -209,70 +224,74 @@
             return {"t": "NoteDown", "BodyText": text}
 
 
-class Host:
-    """Many gateways behind one wire; they share nothing."""
+class GatewayHost:
+    """Several independent gateways behind one connection."""
 
     def __init__(self, out: TextIO) -> None:
         self.out = out
         self.gateways: dict[int, Gateway] = {}
-        self.pages: dict[int, tuple[api.ServerEntry, ...]] = {}
+        self.directory_pages: dict[int, tuple[api.ServerEntry, ...]] = {}
         self.now = 0.0
-        self.frame = 0
+        self.batch = 0
 
-    def take(self, m: Json) -> None:
-        """Take one line of the wire."""
-        kind = m["t"]
+    def handle_message(self, message: JsonObject) -> None:
+        """Handle one message. Raises ProtocolError, KeyError, ValueError, TypeError, AttributeError."""
+        kind = message["t"]
         if kind == "Clock":
-            self.now, self.frame = seconds(m["TNs"]), m["frame"]
+            self.now, self.batch = seconds(message["TNs"]), message["frame"]
         elif kind == "Flush":
-            self.out.write(f'{{"t":"End","frame":{self.frame}}}\n')
+            self.out.write(f'{{"t":"End","frame":{self.batch}}}\n')
             self.out.flush()
         elif kind == "Directory":
-            self.pages[m["Page"]] = tuple(read_entry(e) for e in m.get("Elements") or ())
+            self.directory_pages[message["Page"]] = tuple(
+                read_entry(e) for e in message.get("Elements") or ()
+            )
         elif kind == "Up":
-            gateway = Gateway(m["InitSeed"], read_settings(m["Options"]))
-            self.gateways[m["I"]] = gateway
-            self.write(m["I"], gateway.start(self.now))
+            gateway = Gateway(message["InitSeed"], read_settings(message["Options"]))
+            self.gateways[message["I"]] = gateway
+            self.write_actions(message["I"], gateway.start(self.now))
         elif kind == "Kill":
-            self.gateways.pop(m["I"], None)
+            self.gateways.pop(message["I"], None)
         elif kind == "Announce":
-            form = FORMS[m["Form"]]
-            entries = () if form is api.ListForm.LOST else self.pages[m["Page"]]
-            self.give(m["I"], api.ServerList(form, entries))
+            form = LIST_FORMS[message["Form"]]
+            entries = () if form is api.ListForm.LOST else self.directory_pages[message["Page"]]
+            self.deliver(message["I"], api.ServerList(form, entries))
         elif kind in READERS:
-            self.give(m["I"], READERS[kind](m))
+            self.deliver(message["I"], READERS[kind](message))
         elif kind != "FromPeer":
-            raise WireError(f"unknown message type {kind!r}")
+            raise ProtocolError(f"unknown message type {kind!r}")
 
-    def give(self, instance: int, event: api.Event) -> None:
+    def deliver(self, instance: int, event: api.Event) -> None:
+        """Pass an event to a gateway and write its actions. Raises ProtocolError if it is not up."""
         gateway = self.gateways.get(instance)
         if gateway is None:
-            raise WireError(f"instance {instance} is not up")
-        self.write(instance, gateway.handle(event, self.now))
+            raise ProtocolError(f"instance {instance} is not up")
+        self.write_actions(instance, gateway.handle(event, self.now))
 
-    def write(self, instance: int, actions: Iterable[api.Action]) -> None:
+    def write_actions(self, instance: int, actions: Iterable[api.Action]) -> None:
+        """Write a gateway's actions, one message per line."""
         for action in actions:
-            line = write_action(action)
-            line["I"] = instance
-            self.out.write(json.dumps(line, separators=(",", ":")) + "\n")
+            message = write_action(action)
+            message["I"] = instance
+            self.out.write(json.dumps(message, separators=(",", ":")) + "\n")
 
 
 def run(source: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Serve the wire until the input ends; 0 then, 1 on what is malformed."""
-    host = Host(out)
+    """Handle messages until the input ends; returns 0 then, or 1 after a malformed message."""
+    host = GatewayHost(out)
     for line in source:
         if not line.strip():
             continue
         try:
-            host.take(json.loads(line))
+            host.handle_message(json.loads(line))
         except json.JSONDecodeError as e:
-            err.write(f"batch {host.frame}: not JSON: {e}\n")
+            err.write(f"batch {host.batch}: not JSON: {e}\n")
             return 1
         except KeyError as e:
-            err.write(f"batch {host.frame}: missing field or unknown word {e} in: {line[:200].strip()}\n")
+            err.write(f"batch {host.batch}: missing field or unknown value {e} in: {line[:200].strip()}\n")
             return 1
-        except (WireError, ValueError, TypeError, AttributeError) as e:
-            err.write(f"batch {host.frame}: {e} in: {line[:200].strip()}\n")
+        except (ProtocolError, ValueError, TypeError, AttributeError) as e:
+            err.write(f"batch {host.batch}: {e} in: {line[:200].strip()}\n")
             return 1
     return 0
 
--- a/barleyhub/interface.py
+++ b/barleyhub/interface.py
@@ -1,7 +1,7 @@
-"""The types that barleyhub.choice takes and gives: settings, events, actions.
+"""Settings, events and actions of barleyhub.choice.
 
-All times are seconds, as floats; clock times share one arbitrary origin. An
-event goes into ``Gateway.handle(event, now)``; a list of actions comes out.
+``Gateway.handle(event, now)`` takes an event and returns a list of actions. Times are seconds; clock times
+share an arbitrary origin.
 """
 
 from __future__ import annotations
@@ -13,7 +13,10 @@
 
 
 class Repeat(Enum):
-    """What may be done with a request that may have run."""
+    """Whether a request that may have run can be retried.
+
+    SAFE: always. KEYED: for a while, as servers deduplicate by key. UNSAFE: never.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -21,7 +24,7 @@
 
 
 class Group(Enum):
-    """Which servers drop repeats of one keyed request."""
+    """The servers among which retries of one keyed request are deduplicated."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +32,7 @@
 
 
 class Code(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a probe or a counter call ended; MOOT: the attempt was not sent."""
 
     OK = "ok"
     ERROR = "error"
@@ -43,7 +46,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """A class of requests."""
+    """A class of requests.
+
+    ``aim`` is the target latency (s), ``give_up`` the time (s) that a client waits at most, ``worth`` and
+    ``late_worth`` the value of an answer within and after the target latency.
+    """
 
     name: str
     aim: float
@@ -56,7 +63,7 @@
     stream: bool = False
 
     def __post_init__(self) -> None:
-        """Times are above 0, and a keyed class needs a window in which its repeats are dropped."""
+        """Raises ValueError if a time is not above 0 or a keyed class has no window for retries."""
         if not (0 < self.aim < math.inf and 0 < self.give_up < math.inf):
             raise ValueError(f"class {self.name!r}: its times must be above 0")
         if self.repeat is Repeat.KEYED and self.repeat_window <= 0:
@@ -65,7 +72,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanSettings:
-    """A plan and its quotas; a figure of 0 means no such quota."""
+    """A plan and its quotas; a limit of 0 means that there is none.
+
+    ``rate`` is in units per second and ``burst`` in units. ``over_cost`` and ``extra_worth`` are the cost and
+    the value of a request admitted beyond the quota; no request is admitted beyond the ceiling.
+    """
 
     name: str
     rate: float
@@ -79,7 +90,7 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        """A figure below 0 cannot hold."""
+        """Raises ValueError if a limit is negative."""
         for name in ("rate", "burst", "concurrency", "ceiling_rate", "ceiling_burst", "ceiling_slack"):
             if getattr(self, name) < 0:
                 raise ValueError(f"plan {self.name!r}: {name} is negative")
@@ -87,7 +98,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a gateway is told at its start."""
+    """Settings of a gateway.
+
+    A server started less than ``cold_time`` (s) ago is cold: it starts at ``start_capacity`` of a warm
+    server's capacity and may get ``fall_multiple`` times what it can do within ``fall_time`` (s).
+    """
 
     index: int
     gateways: int
@@ -121,7 +136,7 @@
     conn_idle: float = 15.0
 
     def __post_init__(self) -> None:
-        """A class or plan may stand only once, and without a class or an attempt nothing can be served."""
+        """Raises ValueError on duplicate names, if there is no class, or if no attempt is allowed."""
         if not self.classes or self.try_limit < 1:
             raise ValueError("no class, or no attempt is allowed")
         for what, items in (("classes", self.classes), ("plans", self.plans)):
@@ -131,7 +146,7 @@
 
 
 class ServerState(Enum):
-    """What discovery says of a server."""
+    """State of a server in a server list."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -140,7 +155,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One line of a server list; ``launched`` is 0 for the distant past."""
+    """One line of a server list; ``launched`` is its start time (s), or 0 if it is long past."""
 
     server: str
     state: ServerState
@@ -152,7 +167,11 @@
 
 
 class ListForm(Enum):
-    """How a list relates to the one held."""
+    """What a server list contains.
+
+    CHANGES: only changed servers. WHOLE: all servers. SAVED: all servers, from a saved copy. LOST: nothing,
+    as discovery failed.
+    """
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -162,7 +181,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """Discovery told of servers, or (LOST) that an ask failed."""
+    """A server list from discovery, or (LOST) its failure."""
 
     form: ListForm
     entries: tuple[ServerEntry, ...] = ()
@@ -170,7 +189,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's try has come in; ``left`` is how long its client waits."""
+    """A client's request.
+
+    ``left`` is how long its client waits (s), ``spread`` the number of gateways that serve the customer.
+    """
 
     request: str
     customer: str
@@ -184,7 +206,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """An attempt is over; ``closed`` says the request has its answer."""
+    """An attempt is over; ``closed`` if the request has its final answer."""
 
     request: str
     attempt: int
@@ -206,7 +228,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """A stream flows; the request is bound to this attempt."""
+    """A stream has started; the request can't be retried any more."""
 
     request: str
     attempt: int
@@ -215,14 +237,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer asked for by ``SetTimer``."""
+    """A timer set by ``SetTimer`` has fired."""
 
     mark: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeAnswer:
-    """The answer to one ``Probe``."""
+    """The outcome of a ``Probe``."""
 
     server: str
     code: Code
@@ -232,9 +254,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CountAnswer:
-    """The answer to one ``AddCount``; ``total`` only with ``Code.OK``.
+    """The outcome of an ``AddCount``; ``total`` is valid only with ``Code.OK``.
 
-    ``late``: the call was told as timed out before, and its total has come after all.
+    ``late``: the call has been reported as timed out, and its total has arrived since.
     """
 
     name: int
@@ -246,9 +268,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Other rules from now on: all plans, the customers that are blocked, the servers set aside.
+    """New rules: all plans, blocked customers, and servers that get no requests (``aside``).
 
-    Requests in hand go on under those that they came under.
+    Requests in progress continue under the rules that they arrived under.
     """
 
     plans: tuple[PlanSettings, ...]
@@ -258,7 +280,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Maintenance:
-    """Servers taken out by hand, and those that were put back: when they were taken out, and put back."""
+    """Servers that an operator took out, and the times (taken out, put back) of those put back."""
 
     out: Container[str] = ()
     back: Mapping[str, tuple[float, float]] = field(default_factory=dict)
@@ -281,7 +303,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send an attempt; ``timeout`` None lasts until the client gives up."""
+    """Send an attempt; without a ``timeout`` (s) it lasts until the client gives up."""
 
     request: str
     server: str
@@ -290,7 +312,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: not served, and repeating is harmless."""
+    """Final answer: not served, and safe to retry, after ``retry_after`` (s) if it is given."""
 
     request: str
     retry_after: float | None = None
@@ -298,14 +320,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; the request may have run."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Call off an attempt that is out."""
+    """Cancel an attempt in flight."""
 
     request: str
     attempt: int
@@ -313,7 +335,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a ``TimerFired``."""
+    """Request a ``TimerFired`` after this time (s)."""
 
     after: float
     mark: int
@@ -321,7 +343,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AddCount:
-    """Add to a shared count and read its total."""
+    """Add to a shared counter and read its total; the counter may be dropped after ``forget_after`` (s)."""
 
     name: int
     amount: float
@@ -342,7 +364,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators."""
+    """A log line for operators."""
 
     text: str
 
