--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The adapter end to end, through the sim command of the deploy file."""
+"""The simulator adapter, started by the ``sim`` command of the deploy file."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 }  # fmt: skip
 
 
-def sim(*lines: object) -> subprocess.CompletedProcess[str]:
-    words = tomllib.loads(Path("deploy/balancer.toml").read_text())["sim"].split()
-    assert words[0] == "exec"
+def run_adapter(*lines: object) -> subprocess.CompletedProcess[str]:
+    command = tomllib.loads(Path("deploy/balancer.toml").read_text())["sim"].split()
+    assert command[0] == "exec"
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
-        [sys.executable, *words[2:]], input=text, capture_output=True, text=True, timeout=30
+        [sys.executable, *command[2:]], input=text, capture_output=True, text=True, timeout=30
     )
 
 
@@ -41,33 +41,33 @@
     return [{"t": "Clock", "TNs": 5 * 10**9, "frame": 1}, *events, {"t": "Flush"}]
 
 
-def test_a_request_is_sent_and_the_batch_ended() -> None:
-    page = {"t": "Directory", "Page": 0, "Elements": [ENTRY]}
-    told = {"t": "Announce", "I": 1, "Page": 0, "Form": "warm_copy", "Index": 1}
-    done = sim(*batch(UP, page, told, ORDER))
-    assert done.returncode == 0, done.stderr
-    replies = [json.loads(line) for line in done.stdout.splitlines()]
+def test_a_request_is_sent_before_the_end_of_its_batch() -> None:
+    directory = {"t": "Directory", "Page": 0, "Elements": [ENTRY]}
+    announcement = {"t": "Announce", "I": 1, "Page": 0, "Form": "warm_copy", "Index": 1}
+    process = run_adapter(*batch(UP, directory, announcement, ORDER))
+    assert process.returncode == 0, process.stderr
+    replies = [json.loads(line) for line in process.stdout.splitlines()]
     assert [r["t"] for r in replies if r["t"] == "Issue"] == ["Issue"]
     assert replies[-1] == {"t": "End", "frame": 1}
 
 
-def test_empty_input_ends_well() -> None:
-    assert sim().returncode == 0
+def test_empty_input_succeeds() -> None:
+    assert run_adapter().returncode == 0
 
 
-def test_what_is_malformed_gets_a_plain_message() -> None:
-    for bad, said in (
+def test_a_malformed_message_is_reported_with_its_batch() -> None:
+    for message, expected in (
         ("not json", "not JSON"),
         ({"t": "Order", "I": 1}, "Txn"),
         ({"t": "Nonsense"}, "Nonsense"),
         ({"no": "type"}, "'t'"),
         ({**ORDER, "Tier": "gold"}, "gold"),
     ):
-        done = sim(*batch(UP, bad))
-        assert done.returncode != 0
-        assert said in done.stderr and "batch 1" in done.stderr
+        process = run_adapter(*batch(UP, message))
+        assert process.returncode != 0
+        assert expected in process.stderr and "batch 1" in process.stderr
 
 
-def test_a_killed_gateway_is_forgotten_and_can_start_again() -> None:
-    done = sim(*batch(UP, {"t": "Kill", "I": 1}, UP, ORDER))
-    assert done.returncode == 0, done.stderr
+def test_a_killed_gateway_can_be_started_again() -> None:
+    process = run_adapter(*batch(UP, {"t": "Kill", "I": 1}, UP, ORDER))
+    assert process.returncode == 0, process.stderr
