--- a/barleyhub/choice.py
+++ b/barleyhub/choice.py
@@ -13,7 +13,7 @@
 from barleyhub.state import HANDLERS, Job, SharedCounter
 
 MAX_MARGIN_S = 0.1  # time kept before a client's deadline, and before the end of a window for retries
-FIT_SMOOTHING, FIT_SLOPE = 0.05, 3.0  # for the rate of fitting requests; admission without a total by it
+FIT_SMOOTHING, FIT_SLOPE = 0.05, 3.0  # of the rate of fitting requests; of admission without a total by it
 MAX_CAPACITY_SHARE = 0.1  # of an account's capacity that one sampled request stands for, at most
 MAX_COUNTER_FAILURES = 3  # failed calls in a row after which the counter counts as unavailable
 MARGIN_SHARE = 1 / 12  # of the mean target latency; the margin is no longer than that
@@ -181,7 +181,7 @@
             self.actions.append(api.Send(job.request.request, server.entry.server, self.timeout(job, now)))
 
     def timeout(self, job: Job, now: float) -> float | None:
-        """Until the target latency if a later answer has no value; else None, as it keeps the load known."""
+        """The time to the target latency if a later answer has no value, else None, to keep load known."""
         left = job.arrived_at + job.service.aim - self.margin - now
         return left if job.service.late_worth == 0 and left > self.margin else None
 
--- a/barleyhub/quotas.py
+++ b/barleyhub/quotas.py
@@ -17,7 +17,7 @@
 UNSEEN_RATE_MULTIPLE = 3.0  # multiple of the rate that other gateways may have admitted since the last total
 MAX_SAMPLED_GATEWAYS = 8  # gateways whose refusals are estimated from local ones, at most
 SAMPLING_GROWTH, SAMPLING_CUT, MIN_SAMPLING_RATE = 1.05, 0.85, 0.15
-SAMPLED_REQUESTS = 1.0  # a request as large as the capacity over this always calls the counter
+SAMPLED_REQUESTS = 1.0  # of the largest size; the sampling rate is at least their share of the capacity
 IDLE_ACCOUNT_TTL_S = 60.0
 
 
