--- a/barleyhub/state.py
+++ b/barleyhub/state.py
@@ -155,16 +155,10 @@
 
     def apply_total(self, counter: SharedCounter, total: float, now: float) -> None:
         """Update the usage from a total; the first one of a period adds to the decayed usage before it."""
-        elapsed, first_in_period = (
-            now - counter.read_at,
-            counter.read_at < counter.period * self.period_length,
-        )
-        if first_in_period:
+        elapsed, new_period = now - counter.read_at, counter.read_at < counter.period * self.period_length
+        if new_period:
             # No total of this period includes what was used before it.
-            counter.carried_usage, counter.carried_at = (
-                counter.usage * decay(elapsed, self.decay_time),
-                now,
-            )
+            counter.carried_usage, counter.carried_at = counter.usage * decay(elapsed, self.decay_time), now
         elif counter is self.refused:
             # Old refusals must not keep refusing requests that would fit by now.
             counter.carried_usage = 0.0
