--- a/barleyhub/affinity/selection.py
+++ b/barleyhub/affinity/selection.py
@@ -104,7 +104,7 @@
             and (homes is None or upstream.region in homes)
             and now >= upstream.backoff_until
             and not self.balancer.is_cold(upstream, now)
-            and upstream.health.share(now) < MAX_ERROR_SHARE
+            and upstream.health.current_error_rate(now) < MAX_ERROR_SHARE
         )
 
     def pick(
--- a/barleyhub/line/balancer.py
+++ b/barleyhub/line/balancer.py
@@ -210,7 +210,7 @@
         """Expected latency in s with penalties; ``delay`` is the queueing delay in the upstream's region."""
         gateway_count = self.zone_gateways.get(upstream.zone, 0) if upstream.zone == self.zone else 1.5
         load = upstream.in_flight * max(gateway_count, 1) / max(upstream.slots, 1)
-        pace = latency * upstream.health.pace
+        pace = latency * upstream.health.slowdown
         if upstream.in_flight_since and now - upstream.in_flight_since[0] > OVERDUE_FACTOR * pace:
             pace = max(pace, (now - upstream.in_flight_since[0]) / 2)
         time = pace * (1 + LOAD_COST * load + QUEUE_COST * max(load - 1.0, 0.0))
@@ -221,7 +221,7 @@
                 else CROSS_REGION_COST * latency + self.cross_region_s
             )
         time += delay
-        cost = ERROR_PENALTY * upstream.health.share(now)
+        cost = ERROR_PENALTY * upstream.health.current_error_rate(now)
         if self.outlier_shares and upstream.ident in self.outlier_shares:
             cost = max(cost, OUTLIER_PENALTY * self.outlier_shares[upstream.ident])
         time *= 1 + cost
@@ -263,13 +263,15 @@
         self.queue_delays.record_answer(
             upstream.service, upstream.region, route, took - cross_region_s, self.route_latency[route], now
         )
-        upstream.health.pace += (min(took / max(latency, 0.001), 5.0) - upstream.health.pace) * PACE_SMOOTHING
-        upstream.health.note(False, ERROR_SMOOTHING, ERROR_FADE_S, now)
+        upstream.health.slowdown += (
+            min(took / max(latency, 0.001), 5.0) - upstream.health.slowdown
+        ) * PACE_SMOOTHING
+        upstream.health.record_outcome(False, ERROR_SMOOTHING, ERROR_FADE_S, now)
         upstream.backoffs, upstream.backoff_until, upstream.answered_at = 0, -math.inf, now
 
     def record_failure(self, upstream: Upstream, now: float, unreachable: bool, weight: float = 1.0) -> None:
         """Record an attempt without a good answer; ``unreachable`` if no connection could be made."""
-        upstream.health.note(True, ERROR_SMOOTHING * weight, ERROR_FADE_S, now)
+        upstream.health.record_outcome(True, ERROR_SMOOTHING * weight, ERROR_FADE_S, now)
         if unreachable:
             upstream.backoff_until = now + min(
                 BACKOFF_BOUNDS_S[0] * 2**upstream.backoffs, BACKOFF_BOUNDS_S[1]
@@ -280,7 +282,7 @@
     def record_rejection(self, upstream: Upstream, now: float) -> None:
         """Record that the upstream rejected a request because it was full."""
         upstream.full_until = now + 0.3
-        upstream.health.pace = min(upstream.health.pace * 1.3, 5.0)
+        upstream.health.slowdown = min(upstream.health.slowdown * 1.3, 5.0)
 
 
 def allowed_regions(route: frozenset[str], tenant: frozenset[str]) -> frozenset[str] | None:
--- a/barleyhub/line/dispatch.py
+++ b/barleyhub/line/dispatch.py
@@ -405,7 +405,7 @@
         ((upstream, _),) = active.in_flight.values()
         if self.send_attempt(active, now):
             self.counters["tries.second"] += 1
-            upstream.health.note(True, 0.1, 8.0, now)
+            upstream.health.record_outcome(True, 0.1, 8.0, now)
 
     def on_outcome(self, event: api.Outcome, now: float) -> None:
         """Record how an attempt ended, then retry or finish the request."""
--- a/latchspoke/ctl/offline.py
+++ b/latchspoke/ctl/offline.py
@@ -44,7 +44,7 @@
     )  # fmt: skip
     stock.put(upstream, 0.0)
     upstream.backoff_until = each["resting_s"] or -math.inf
-    upstream.in_flight, upstream.health.pace, upstream.health.errors = (
+    upstream.in_flight, upstream.health.slowdown, upstream.health.error_rate = (
         int(each["out"]),
         each["pace"],
         each["errors"],
--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -11,7 +11,7 @@
 
 from barleyhub import interface as api
 from barleyhub.line.dispatch import Dispatcher, NoCapacity, RoutedRequest
-from latchspoke.core import Client, Core, Epoch, Flow, Forward, Ports
+from latchspoke.core import Attempt, Client, Core, DecisionLease, Flow, Ports
 from latchspoke.reach.graph import Graph
 
 
@@ -31,29 +31,33 @@
         self.epoch_provider: EpochProvider | None = None
         self.reach_graph: Graph | None = None
 
-    def arrived(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
+    def accept(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
         """Register a fully received request; the caller then calls ``begin``."""
         flow = self.flows[request.request] = Flow(request, message, client, now)
-        flow.timer = self.ports.schedule(flow.until, lambda when: self.expire(flow, when))
+        flow.timer = self.ports.schedule(flow.deadline, lambda when: self.expire(flow, when))
         self.stats["flows.taken"] += 1
         return flow
 
     def begin(self, flow: Flow, now: float) -> None:
         """Hand the flow to the dispatcher, which may answer it immediately."""
-        self.give(flow.request, now)
+        self.submit(flow.request, now)
 
-    def lapsed(self, flow: Flow) -> bool:
+    def lease_expired(self, flow: Flow) -> bool:
         """Whether the epoch that authorized the flow has expired; checked immediately before sending."""
-        if flow.epoch is None or self.epoch_provider is None or self.epoch_provider.now() < flow.epoch.until:
+        if (
+            flow.lease is None
+            or self.epoch_provider is None
+            or self.epoch_provider.now() < flow.lease.expires_at
+        ):
             return False
         self.stats["forwards.without_right"] += 1
         return True
 
-    def ended(
-        self, forward: Forward, code: api.Code, now: float, answer: object = None,
+    def attempt_ended(
+        self, forward: Attempt, code: api.Code, now: float, answer: object = None,
         report: dict[str, float] | None = None,
     ) -> None:  # fmt: skip
-        """As ``Core.ended``; also records the outcome in the reachability graph."""
+        """As ``Core.attempt_ended``; also records the outcome in the reachability graph."""
         request = forward.flow.request
         if (
             self.reach_graph is not None
@@ -64,16 +68,16 @@
             upstream = self.dispatcher.balancer.upstreams.get(forward.target)
             cold = upstream is not None and forward.sent_at < upstream.cold_until
             self.reach_graph.note(forward.target, request.route.name, code, now - forward.sent_at, cold, now)
-        super().ended(forward, code, now, answer, report)
+        super().attempt_ended(forward, code, now, answer, report)
 
-    def act(self, action: api.Action, now: float) -> None:
-        """As ``Core.act``; also handles refusals for lack of capacity."""
+    def execute(self, action: api.Action, now: float) -> None:
+        """As ``Core.execute``; also handles refusals for lack of capacity."""
         if isinstance(action, NoCapacity):
-            flow = self.final(action.request, "flows.no_room")
+            flow = self.finish(action.request, "flows.no_room")
             if flow is not None:
                 flow.client.unavailable(action.retry_after)  # type: ignore[attr-defined]
         else:
-            super().act(action, now)
+            super().execute(action, now)
 
 
 class EpochProvider(Protocol):
@@ -82,5 +86,5 @@
     def now(self) -> float:
         """Current time in seconds, on the clock by which epochs expire."""
 
-    def current_epoch(self) -> Epoch | None:
+    def current_epoch(self) -> DecisionLease | None:
         """The epoch under which tenant keys may be used now, or None."""
--- a/latchspoke/dataplane/downstream.py
+++ b/latchspoke/dataplane/downstream.py
@@ -12,7 +12,7 @@
 
 from barleyhub.line.dispatch import RoutedRequest
 from latchspoke.configuration.routes import Limits, Route, Table
-from latchspoke.core import Epoch
+from latchspoke.core import DecisionLease
 from latchspoke.dataplane.core import DataPlaneCore
 from latchspoke.dataplane.exchange import ClientExchange, status_line
 from latchspoke.dataplane.upstream import HOP_BY_HOP_HEADERS, Request
@@ -215,7 +215,7 @@
         shared: Shared,
         core: DataPlaneCore,
         rng: random.Random,
-        current_epoch: Callable[[], Epoch | None],
+        current_epoch: Callable[[], DecisionLease | None],
     ) -> None:
         """``current_epoch``: the epoch under which tenant keys may be used now, or None."""
         self.shared, self.core, self.rng, self.current_epoch = shared, core, rng, current_epoch
@@ -287,8 +287,8 @@
             route=route, tenant=tenant, caller=caller,
         )  # fmt: skip
         message = self.build_request(exchange, attempt_id, tenant.name.encode() if tenant else b"")
-        exchange.flow = self.core.arrived(call, message, exchange, now)
-        exchange.flow.epoch = epoch
+        exchange.flow = self.core.accept(call, message, exchange, now)
+        exchange.flow.lease = epoch
         self.core.begin(exchange.flow, now)
 
     def deny(self, exchange: ClientExchange, status: int, reason: str, route: str = "") -> None:
@@ -325,7 +325,7 @@
         self.held_requests.pop(exchange, None)
         flow, exchange.flow = exchange.flow, None
         if flow is not None:
-            self.core.withdrawn(flow, self.shared.clock.now())
+            self.core.withdraw(flow, self.shared.clock.now())
 
     def reject_request(
         self,
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -12,7 +12,7 @@
 from latchspoke import node_process
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.configuration.routes import Table, compile_table
-from latchspoke.core import Epoch, Forward
+from latchspoke.core import Attempt, DecisionLease
 from latchspoke.dataplane.core import DataPlaneCore
 from latchspoke.dataplane.downstream import ClientConnection, Downstream
 from latchspoke.dataplane.relay import Relay
@@ -64,15 +64,15 @@
     def __init__(self, upstream_pools: UpstreamPools, clock: Clock) -> None:
         self.upstream_pools, self.clock = upstream_pools, clock
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         """Send a forward to its server."""
         self.upstream_pools.forward(forward)
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         """Cancel a forward."""
         self.upstream_pools.drop(forward)
 
-    def count(self, name: int, amount: float, life: float) -> None:
+    def add_count(self, name: int, amount: float, life: float) -> None:
         """A request waits for a quota total: send due reports now."""
         self.usage_reports.send_due_reports(self.clock.now())
 
@@ -128,7 +128,7 @@
         self.downstream.confirmation_recent = lambda: self.clock.now() - self.lease.proven_at < denial_limit
         lease_required = bool(bound("revocationEnforced", 1.0))
         self.lease = Lease(bound("revokeS", 5.0) * LEASE_FRACTION if lease_required else UNBOUNDED_LEASE_S)
-        self.active_epoch: Epoch | None = None
+        self.active_epoch: DecisionLease | None = None
         self.subscription = Subscription(
             settings.name, settings.zone, settings.region, self.clock, self.rng,
             Follower(self.published_state, apply_patch),  # type: ignore[arg-type]
@@ -144,7 +144,7 @@
             self.instance_id,
             self.clock,
             self.dispatcher,
-            lambda totals: self.core.give(totals, self.clock.now()),  # type: ignore[arg-type]
+            lambda totals: self.core.submit(totals, self.clock.now()),  # type: ignore[arg-type]
         )
         self.ports.usage_reports = self.usage_reports
         self.session_affinity: SessionAffinity | None = None
@@ -191,11 +191,11 @@
         """Current time in seconds."""
         return self.clock.now()
 
-    def current_epoch(self) -> Epoch | None:
+    def current_epoch(self) -> DecisionLease | None:
         """The epoch under which tenant keys may be used now, or None without a valid lease."""
         if self.active_epoch is None or self.clock.now() >= self.lease.until:
             return None
-        self.active_epoch.until = self.lease.until
+        self.active_epoch.expires_at = self.lease.until
         return self.active_epoch
 
     def has_peers(self) -> bool:
@@ -280,7 +280,7 @@
             self.usage_reports.connect_owners(
                 {tenant.name for tenant in table.tenants.values() if tenant.rate}
             )
-            self.active_epoch = Epoch(f"{configuration.version:08x}", self.lease.until)
+            self.active_epoch = DecisionLease(f"{configuration.version:08x}", self.lease.until)
             log("orders", version=f"{configuration.version:08x}", index=configuration.index)
         if configuration.evacuated != self.balancer.evacuated:
             self.balancer.set_evacuated_zones(configuration.evacuated, now)
--- a/latchspoke/dataplane/session_affinity.py
+++ b/latchspoke/dataplane/session_affinity.py
@@ -21,7 +21,7 @@
 from barleyhub.line.balancer import allowed_regions
 from barleyhub.line.dispatch import NOT_EXECUTED, Dispatcher, NoCapacity, RoutedRequest
 from latchspoke.configuration.routes import Affinity, Route, Travels
-from latchspoke.core import Epoch, Flow, Forward, Timer
+from latchspoke.core import Attempt, DecisionLease, Flow, Timer
 from latchspoke.dataplane.exchange import ClientExchange
 from latchspoke.dataplane.upstream import Request, Response
 from latchspoke.membership.words import Member
@@ -43,20 +43,20 @@
 OPERATOR_TIMEOUT_S = 2.0
 
 
-class BoundedEpoch(Epoch):
+class BoundedEpoch(DecisionLease):
     """An epoch that ends no later than a given time."""
 
-    def __init__(self, epoch: Epoch | None, until: float) -> None:
+    def __init__(self, epoch: DecisionLease | None, until: float) -> None:
         super().__init__(epoch.label if epoch is not None else "", until)
         self.epoch, self.latest = epoch, until
 
     @property
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """The earlier of both limits."""
-        return min(self.epoch.until, self.latest) if self.epoch is not None else self.latest
+        return min(self.epoch.expires_at, self.latest) if self.epoch is not None else self.latest
 
-    @until.setter
-    def until(self, value: float) -> None:
+    @expires_at.setter
+    def expires_at(self, value: float) -> None:
         pass
 
 
@@ -66,7 +66,7 @@
 
     call: RoutedRequest
     flow: Flow
-    pending_forward: Forward | None = None  # waits until its attempt is recorded as open
+    pending_forward: Attempt | None = None  # waits until its attempt is recorded as open
     sent: bool = False  # the current attempt was passed to the upstream pools
     dispatched: bool = False  # passed to the dispatcher
 
@@ -167,7 +167,7 @@
 
     def enqueue(self, steps: Sequence[Step]) -> None:
         """Queue steps behind the core's events; the core returns them to ``handle``."""
-        self.core.give(CoordinatorSteps(steps), self.clock.now())  # type: ignore[arg-type]
+        self.core.submit(CoordinatorSteps(steps), self.clock.now())  # type: ignore[arg-type]
 
     def send(self, gateway: str, message: Message) -> None:
         """Send a message to another gateway, or queue it until there is a connection."""
@@ -290,7 +290,7 @@
         if record is not None and record.life and berths is not None and call.caller is not None:
             berths.pins[call.service, call.caller.key] = record.life, now + call.caller.exchange_s
         tracked.dispatched = True
-        self.actions += self.dispatcher.handle(replace(call, left=max(tracked.flow.until - now, 0.0)), now)
+        self.actions += self.dispatcher.handle(replace(call, left=max(tracked.flow.deadline - now, 0.0)), now)
 
     def refuse(self, tracked: TrackedRequest, retry_after: float, reason: str, now: float) -> None:
         """Refuse the call without executing it; ``retry_after`` in seconds."""
@@ -300,7 +300,7 @@
 
     def report_state(self, tracked: TrackedRequest, state: State, exchange_id: str) -> None:
         """Answer 409 with the state of an exchange; this attempt was not executed."""
-        flow = self.core.final(tracked.call.request, "flows.refused")
+        flow = self.core.finish(tracked.call.request, "flows.refused")
         if flow is not None:
             headers = f"X-Exchange-State: {state.value}\r\nX-Exchange: {exchange_id}\r\n".encode("latin-1")
             assert isinstance(flow.client, ClientExchange)
@@ -329,7 +329,7 @@
 
     # Interface of the ports.
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         """Hold the forward of a tracked request until its attempt is recorded as open."""
         tracked = self.tracked.get(forward.flow.request.request)
         upstream = self.dispatcher.balancer.upstreams.get(forward.target)
@@ -351,26 +351,26 @@
         forward, tracked.pending_forward = tracked.pending_forward, None
         if forward is None or forward.ended:
             return
-        if not opened or forward.until <= now:
-            self.core.ended(forward, Code.MOOT, now)
+        if not opened or forward.deadline <= now:
+            self.core.attempt_ended(forward, Code.MOOT, now)
             return
         if not math.isinf(until):
             epoch = (
-                tracked.flow.epoch.epoch
-                if isinstance(tracked.flow.epoch, BoundedEpoch)
-                else tracked.flow.epoch
+                tracked.flow.lease.epoch
+                if isinstance(tracked.flow.lease, BoundedEpoch)
+                else tracked.flow.lease
             )
-            tracked.flow.epoch = BoundedEpoch(epoch, until)
+            tracked.flow.lease = BoundedEpoch(epoch, until)
         tracked.sent = True
         self.ports.forward(forward)
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         """As ``Ports.drop``."""
         self.ports.drop(forward)
 
-    def count(self, name: int, amount: float, life: float) -> None:
+    def add_count(self, name: int, amount: float, life: float) -> None:
         """As ``Ports.count``."""
-        self.ports.count(name, amount, life)
+        self.ports.add_count(name, amount, life)
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
         """As ``Ports.schedule``."""
@@ -408,8 +408,8 @@
             FateQueryClient(lambda state: on_state(state)),
             now,
         )
-        flow.epoch, flow.out = tracked.flow.epoch, 1
-        forward = Forward(flow, instance_id, now, now + SERVER_QUERY_TIMEOUT_S)
+        flow.lease, flow.in_flight = tracked.flow.lease, 1
+        forward = Attempt(flow, instance_id, now, now + SERVER_QUERY_TIMEOUT_S)
 
         def on_state(state: State) -> None:
             if self.fate_queries.pop(query_id, None) is not None:
--- a/latchspoke/dataplane/upstream.py
+++ b/latchspoke/dataplane/upstream.py
@@ -15,7 +15,7 @@
 
 from barleyhub import interface as api
 from barleyhub.line.balancer import Balancer, Upstream
-from latchspoke.core import Forward
+from latchspoke.core import Attempt
 from latchspoke.dataplane.core import DataPlaneCore
 from latchspoke.net.http import Connection, FramingError, ParserError, Shared, parse_error, read_decimal
 from latchspoke.transport.log import log
@@ -78,10 +78,10 @@
 
     side = "server"
 
-    def __init__(self, pools: UpstreamPools, pool: UpstreamPool, forward: Forward) -> None:
+    def __init__(self, pools: UpstreamPools, pool: UpstreamPool, forward: Attempt) -> None:
         super().__init__(pools.shared)
         self.pools, self.pool = pools, pool
-        self.forward: Forward | None = forward
+        self.forward: Attempt | None = forward
         self.idle_since = self.written_at = 0.0
         self.idle_limit = IDLE_TIMEOUT_S
         self.keep_alive = True
@@ -217,7 +217,7 @@
         """Pass on the result; the connection is released first, as another attempt may follow at once."""
         forward, result = self.forward, self.result
         assert forward is not None and result is not None
-        self.forward = self.result = forward.link = None
+        self.forward = self.result = forward.connection = None
         if fault or not self.keep_alive:
             self.end(fault or "asked_close")
         else:
@@ -225,7 +225,7 @@
         code, response, report = result
         if forward.flow.closed:
             self.shared.stats["answers.late"] += 1
-        self.pools.core.ended(forward, code, self.shared.clock.now(), response, report)
+        self.pools.core.attempt_ended(forward, code, self.shared.clock.now(), response, report)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the outstanding forward; a prompt reset on a reused connection is marked as such."""
@@ -249,8 +249,8 @@
         """End the forward without a response."""
         forward, self.forward = self.forward, None
         if forward is not None:
-            forward.link = None
-            self.pools.core.ended(forward, code, self.shared.clock.now(), None, report)
+            forward.connection = None
+            self.pools.core.attempt_ended(forward, code, self.shared.clock.now(), None, report)
 
 
 class UpstreamPool:
@@ -315,12 +315,12 @@
         self.connection_caps: dict[str, int] = {}  # by service: connections that one server accepts in all
         self.free_client: Any = lambda: False
 
-    def forward(self, forward: Forward) -> None:
+    def forward(self, forward: Attempt) -> None:
         """Send the forward on an idle connection or on a new one."""
         now = self.shared.clock.now()
         upstream = self.balancer.upstreams.get(forward.target)
         if upstream is None or upstream.state:
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
         pool = self.pools_by_instance.get(upstream.ident)
         if pool is None or pool.upstream is not upstream:
@@ -341,16 +341,16 @@
             int(cap * CONNECTION_CAP_FRACTION / len(self.balancer.gateways)), MIN_CONNECTION_CAP
         ):
             self.shared.stats["servers.no_connection"] += 1
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
         if self.shared.sockets.left <= 0 and not self.close_longest_idle():
             self.shared.stats["servers.no_socket"] += 1
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
         self.shared.stats["servers.opened"] += 1
         pool.open += 1
         connection = ServerConnection(self, pool, forward)
-        forward.link = connection
+        forward.connection = connection
         region_extra = CROSS_REGION_CONNECT_EXTRA_S if upstream.region != self.balancer.region else 0.0
         connection.dial((upstream.host, upstream.port), CONNECT_TIMEOUT_S + region_extra)
 
@@ -360,19 +360,19 @@
         assert forward is not None and connection.transport is not None
         upstream = connection.pool.upstream
         gone = bool(upstream.state) or upstream.zone in self.balancer.evacuated
-        if gone or self.core.lapsed(forward.flow) or forward.until <= now:
-            connection.forward = forward.link = None
+        if gone or self.core.lease_expired(forward.flow) or forward.deadline <= now:
+            connection.forward = forward.connection = None
             if gone:
                 connection.end("server_gone")
             else:
                 connection.pool.release(connection)
-            self.core.ended(forward, api.Code.MOOT, now)
+            self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
-        forward.link = connection
+        forward.connection = connection
         connection.header_pairs, connection.written_at = [], now
         request = forward.flow.message
         assert isinstance(request, Request)
-        remaining_ms = max(int((forward.until - now) * 1000), 1)
+        remaining_ms = max(int((forward.deadline - now) * 1000), 1)
         tenant_header = b"X-Tenant-Name: %b\r\n" % request.tenant if request.tenant else b""
         length_header = b""
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
@@ -390,10 +390,10 @@
             )
         )
 
-    def drop(self, forward: Forward) -> None:
+    def drop(self, forward: Attempt) -> None:
         """Cancel a forward by closing its connection."""
-        connection = forward.link
-        forward.link = None
+        connection = forward.connection
+        forward.connection = None
         if isinstance(connection, ServerConnection):
             connection.forward = None
             connection.end("cancelled")
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -55,8 +55,8 @@
         "cold_s": remaining(upstream.cold_until, now),
         "resting_s": remaining(upstream.backoff_until, now),
         "out": upstream.in_flight,
-        "errors": round(upstream.health.share(now), 3),
-        "pace": round(upstream.health.pace, 3),
+        "errors": round(upstream.health.current_error_rate(now), 3),
+        "pace": round(upstream.health.slowdown, 3),
         "answered_s_ago": age(upstream.answered_at, now),
     }
 
--- a/latchspoke/reach/graph.py
+++ b/latchspoke/reach/graph.py
@@ -71,11 +71,11 @@
         found.append("cold")
     if now < upstream.assumed_cold_until:
         found.append("doubtful")
-    if upstream.health.errors and upstream.health.share(now) > ERRING:
+    if upstream.health.error_rate and upstream.health.current_error_rate(now) > ERRING:
         found.append("erring")
     if upstream.ident in stock.outlier_shares:
         found.append("failing_elsewhere")
-    if upstream.health.pace > (SLOW_AGAIN if "slow" in was else SLOW):
+    if upstream.health.slowdown > (SLOW_AGAIN if "slow" in was else SLOW):
         found.append("slow")
     return tuple(found)
 
@@ -194,7 +194,8 @@
         return Change(
             now, upstream.ident, upstream.service, upstream.zone,
             known.codes if known is not None else None, codes,
-            round(upstream.health.share(now), 3), round(upstream.health.pace, 2), round(stock_told, 3),
+            round(upstream.health.current_error_rate(now), 3), round(upstream.health.slowdown, 2),
+            round(stock_told, 3),
         )  # fmt: skip
 
     def counted(self, since: float, now: float) -> tuple[float, dict[tuple[str, str], array[int]]]:
