--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -17,8 +17,8 @@
 
 from barleyhub.interface import Code
 from barleyhub.line.stock import State, Stock, Upstream
-from latchspoke.reach.graph import KEPT, Graph
-from latchspoke.reach.show import reach
+from latchspoke.reach.endpoint import reach
+from latchspoke.reach.recorder import KEPT, Graph
 
 TIMES = 200_000
 
--- a/benchmarks/travel.py
+++ b/benchmarks/travel.py
@@ -18,9 +18,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from latchspoke.session_records.bill import Bill, Fate, Peer, key_of
-from latchspoke.session_records.drill import SETTLE, World
-from latchspoke.session_records.office import Held, Office
+from latchspoke.session_records.record import Bill, Fate, Peer, key_of
+from latchspoke.session_records.simulation import SETTLE, World
+from latchspoke.session_records.store import Held, Office
 from latchspoke.transport.netstring import frame
 
 SIZES = (10, 84)
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -34,7 +34,7 @@
 from latchspoke.membership.post import PACKS
 from latchspoke.membership.watch import News
 from latchspoke.node_process import CORE_PORT, NodeProcess
-from latchspoke.outliers.ledger import Ledger
+from latchspoke.outliers.evidence import Ledger
 from latchspoke.registry.registry import BeatError, Entry, State, read_beat
 from latchspoke.transport.door import PRESENT, Answer, Caller, Door
 from latchspoke.transport.log import log
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from latchspoke.outliers.show import evidence
+from latchspoke.outliers.formatting import evidence
 from latchspoke.registry.registry import Entry, State
 from latchspoke.transport.metrics import Family, page
 
--- a/latchspoke/ctl/app.py
+++ b/latchspoke/ctl/app.py
@@ -230,7 +230,7 @@
 ) -> int:
     """Which servers requests really reached over all gateways, how they fared, and why others got less."""
     from latchspoke.ctl import reach as pages_of
-    from latchspoke.reach.graph import KEPT
+    from latchspoke.reach.recorder import KEPT
 
     if not 0 < since <= KEPT:
         raise Ended(USAGE, f"--since: a number of seconds over 0, up to {KEPT:g}")
--- a/latchspoke/ctl/pages.py
+++ b/latchspoke/ctl/pages.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from typing import Any
 
-from latchspoke.outliers.show import line
+from latchspoke.outliers.formatting import line
 
 View = Mapping[str, Any]
 LATELY = 60.0  # s; refusals older than this want no look
--- a/latchspoke/ctl/reach.py
+++ b/latchspoke/ctl/reach.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from latchspoke.ctl.pages import columns, finding
-from latchspoke.reach.fleet import Reached, findings, gather, timeline
-from latchspoke.reach.graph import quantile
+from latchspoke.reach.aggregate import Reached, findings, gather, timeline
+from latchspoke.reach.recorder import quantile
 
 View = Mapping[str, Any]
 CHANGES = 40  # of the timeline that a page shows, the newest
--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -12,7 +12,7 @@
 from barleyhub import interface as api
 from barleyhub.line.dispatch import Call, Dispatcher, Full
 from latchspoke.core import Client, Core, Epoch, Flow, Forward, Ports
-from latchspoke.reach.graph import Graph
+from latchspoke.reach.recorder import Graph
 
 
 class LineClient(Client, Protocol):
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -26,8 +26,8 @@
 from latchspoke.net.http import GRACE, Dialer, Shared, Sockets, pending
 from latchspoke.net.stats import Stats
 from latchspoke.node_process import EDGE_PORT, NodeProcess
-from latchspoke.outliers.ledger import read as read_evidence
-from latchspoke.reach.graph import Graph
+from latchspoke.outliers.evidence import read as read_evidence
+from latchspoke.reach.recorder import Graph
 from latchspoke.registry.registry import BeatError, Entry
 from latchspoke.transport.door import PRESENT, Answer, Caller, Door
 from latchspoke.transport.log import log
@@ -377,9 +377,9 @@
     def readiness(self, method: str, target: str, body: bytes) -> tuple[int, Any]:
         path, _, query = target.partition("?")
         if path == "/reach":
-            from latchspoke.reach import show
+            from latchspoke.reach import endpoint
 
-            return show.answer(self, query)
+            return endpoint.answer(self, query)
         if path in ("/status", "/metrics", "/explain"):
             from latchspoke.dataplane import view  # loaded only when people ask
 
--- a/latchspoke/dataplane/travel.py
+++ b/latchspoke/dataplane/travel.py
@@ -24,11 +24,11 @@
 from latchspoke.dataplane.exchange import ClientExchange
 from latchspoke.dataplane.upstream import Answer, Request
 from latchspoke.membership.words import Member
-from latchspoke.session_records.bill import Bill, Fate, Peer, key_of
-from latchspoke.session_records.desk import Ask, Desk, Go, Later, Pass, Step, Tell, Terms
-from latchspoke.session_records.office import Answer as Told
-from latchspoke.session_records.office import Letter, Office, Out, Target
-from latchspoke.session_records.verdict import State, state_of
+from latchspoke.session_records.coordinator import Ask, Desk, Go, Later, Pass, Step, Tell, Terms
+from latchspoke.session_records.decision import State, state_of
+from latchspoke.session_records.record import Bill, Fate, Peer, key_of
+from latchspoke.session_records.store import Answer as Told
+from latchspoke.session_records.store import Letter, Office, Out, Target
 from latchspoke.transport.log import log
 from latchspoke.transport.wire import Message
 
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -13,8 +13,8 @@
 
 from barleyhub.line.dispatch import Dispatcher
 from barleyhub.line.stock import Stock, Upstream
-from latchspoke.outliers.show import evidence
-from latchspoke.reach.graph import standing
+from latchspoke.outliers.formatting import evidence
+from latchspoke.reach.recorder import standing
 from latchspoke.transport.metrics import Family, page
 
 if TYPE_CHECKING:
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -24,7 +24,7 @@
 from latchspoke.distribution.board import Lease
 from latchspoke.lab.system.machines import Fleet, SimLedger
 from latchspoke.lab.system.records import Callers, Trouble
-from latchspoke.session_records.verdict import State
+from latchspoke.session_records.decision import State
 
 Patches = Callable[[], list[Any]]
 
--- a/latchspoke/outliers/drill.py
+++ b/latchspoke/outliers/simulation.py
@@ -1,8 +1,8 @@
 """Plays gateways that share what they see of sick servers, in virtual time, and measures what that brings.
 
 The real decisions, witnesses, examiners and ledgers; servers, ways and clients are models. One seed gives
-one result. ``python -m latchspoke.outliers.drill --gateways 84 --how one_zone`` prints the figures with and
-without.
+one result. ``python -m latchspoke.outliers.simulation --gateways 84 --how one_zone`` prints the figures with
+and without.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from barleyhub.line.examiner import Examiner
 from barleyhub.line.stock import State, Stock, Upstream
 from latchspoke.configuration.routes import NO_HOMES, Route
-from latchspoke.outliers.ledger import Ledger, read
+from latchspoke.outliers.evidence import Ledger, read
 
 SOON, CALM, GATHER, AGAIN = 0.2, 0.8, 0.1, 0.3  # s, as the programs have them
 LINK = 0.002  # s one way between machines of one region
@@ -281,7 +281,7 @@
 def main() -> None:
     import argparse
 
-    parser = argparse.ArgumentParser(prog="latchspoke.outliers.drill", description=__doc__)
+    parser = argparse.ArgumentParser(prog="latchspoke.outliers.simulation", description=__doc__)
     parser.add_argument("--gateways", type=int, default=84)
     parser.add_argument("--servers", type=int, default=75)
     parser.add_argument("--seed", type=int, default=1)
--- a/latchspoke/reach/fleet.py
+++ b/latchspoke/reach/aggregate.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from latchspoke.reach.graph import BUCKETS, COLD, ENDS, ERRING, quantile
+from latchspoke.reach.recorder import BUCKETS, COLD, ENDS, ERRING, quantile
 
 View = Mapping[str, Any]
 TRIED = tuple(end for end in ENDS[:COLD] if end != "unreachable")  # these reached the server
--- a/latchspoke/reach/show.py
+++ b/latchspoke/reach/endpoint.py
@@ -6,7 +6,7 @@
 from urllib.parse import parse_qs
 
 from latchspoke.net.http import read_decimal
-from latchspoke.reach.graph import ENDS, KEPT, Change, Standing
+from latchspoke.reach.recorder import ENDS, KEPT, Change, Standing
 
 if TYPE_CHECKING:
     from latchspoke.dataplane.node import Node
--- a/latchspoke/rollouts/drill.py
+++ b/latchspoke/rollouts/drill.py
@@ -19,7 +19,7 @@
 
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.configuration.shape import Document
-from latchspoke.reach.graph import SPAN
+from latchspoke.reach.recorder import SPAN
 from latchspoke.rollouts.drive import drive
 from latchspoke.rollouts.engine import Answer, Outcome, Rollout
 from latchspoke.rollouts.evidence import Evidence
--- a/latchspoke/rollouts/engine.py
+++ b/latchspoke/rollouts/engine.py
@@ -14,7 +14,7 @@
 
 from latchspoke.configuration.check import number
 from latchspoke.configuration.shape import Document
-from latchspoke.reach.graph import KEPT, SPAN
+from latchspoke.reach.recorder import KEPT, SPAN
 from latchspoke.rollouts.evidence import NOBODY, Evidence
 from latchspoke.rollouts.judge import Counted, judge
 from latchspoke.rollouts.plan import BACK, Plan
--- a/latchspoke/rollouts/evidence.py
+++ b/latchspoke/rollouts/evidence.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from latchspoke.reach.graph import BUCKETS
+from latchspoke.reach.recorder import BUCKETS
 from latchspoke.rollouts.judge import Counted
 
 FAILED = ("error", "lost", "turned_away", "unreachable")
--- a/latchspoke/session_records/desk.py
+++ b/latchspoke/session_records/coordinator.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from latchspoke.session_records.bill import Bill, Fate
-from latchspoke.session_records.office import Answer, Letter, Office, Out, Target
-from latchspoke.session_records.verdict import Act, Seen, State, judge
+from latchspoke.session_records.decision import Act, Seen, State, judge
+from latchspoke.session_records.record import Bill, Fate
+from latchspoke.session_records.store import Answer, Letter, Office, Out, Target
 
 PASS = 1.0  # s after an opening was asked for in which its first byte may go out
 SOON = 0.2  # s; when to come back while an exchange is at work
--- a/latchspoke/session_records/verdict.py
+++ b/latchspoke/session_records/decision.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from latchspoke.session_records.bill import Bill, Fate
+from latchspoke.session_records.record import Bill, Fate
 
 
 class Act(Enum):
--- a/latchspoke/session_records/drill.py
+++ b/latchspoke/session_records/simulation.py
@@ -16,10 +16,10 @@
 
 from barleyhub.affinity.order import Member, order
 from barleyhub.affinity.order import key_of as placed_key
-from latchspoke.session_records.bill import Bill, Fate, Number, Peer, key_of
-from latchspoke.session_records.desk import LEAST, Ask, Desk, Go, Later, Pass, Step, Tell, Terms
-from latchspoke.session_records.office import Held, Letter, Message, Office, Out, read
-from latchspoke.session_records.verdict import State
+from latchspoke.session_records.coordinator import LEAST, Ask, Desk, Go, Later, Pass, Step, Tell, Terms
+from latchspoke.session_records.decision import State
+from latchspoke.session_records.record import Bill, Fate, Number, Peer, key_of
+from latchspoke.session_records.store import Held, Letter, Message, Office, Out, read
 from latchspoke.transport.netstring import frame
 
 LEASE, PROOF = 4.5, 0.8  # s; of the right to act, and between its proofs
--- a/latchspoke/session_records/office.py
+++ b/latchspoke/session_records/store.py
@@ -22,7 +22,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from latchspoke.session_records.bill import PAST, Bill, Era, Fate, Peer
+from latchspoke.session_records.record import PAST, Bill, Era, Fate, Peer
 from latchspoke.transport.questions import first_number
 
 Message = dict[str, Any]
--- a/tests/lab/test_reach.py
+++ b/tests/lab/test_reach.py
@@ -10,9 +10,9 @@
 from latchspoke.lab.system import records
 from latchspoke.lab.system.day import Play
 from latchspoke.lab.system.records import Day, Trouble
-from latchspoke.reach import show
-from latchspoke.reach.fleet import TRIED, findings, gather
-from latchspoke.reach.graph import KEPT
+from latchspoke.reach import endpoint
+from latchspoke.reach.aggregate import TRIED, findings, gather
+from latchspoke.reach.recorder import KEPT
 
 SHORES = Path(__file__).parents[2] / "examples" / "system" / "two-shores.toml"
 TROUBLES = (
@@ -27,7 +27,7 @@
     place = msgspec.structs.replace(records.read(SHORES), lead=3.0, length=10.0)
     play = Play(place, Day(6, TROUBLES), tmp_path)
     played = play.run(None)
-    views = {m.name: show.reach(m.node, KEPT) for m in play.fleet.edges}
+    views = {m.name: endpoint.reach(m.node, KEPT) for m in play.fleet.edges}
     seen = Counter[tuple[str, str]]()
     for name, view in views.items():
         for row in view["servers"]:
--- a/tests/outliers/test_ledger.py
+++ b/tests/outliers/test_evidence.py
@@ -7,7 +7,7 @@
 import pytest
 
 from barleyhub.line.examiner import together
-from latchspoke.outliers.ledger import LEASE, RENEW, EvidenceError, Ledger, read
+from latchspoke.outliers.evidence import LEASE, RENEW, EvidenceError, Ledger, read
 
 
 def test_words_told_twice_late_or_by_two_ways_count_once() -> None:
--- a/tests/outliers/test_drill.py
+++ b/tests/outliers/test_simulation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from latchspoke.outliers.drill import Drill, Trouble
+from latchspoke.outliers.simulation import Drill, Trouble
 
 
 @pytest.mark.parametrize("how", ["errors", "one_zone"])
--- a/tests/reach/test_graph.py
+++ b/tests/reach/test_recorder.py
@@ -10,9 +10,9 @@
 
 from barleyhub.interface import Code
 from barleyhub.line.stock import State, Stock, Upstream
-from latchspoke.reach import graph as module
-from latchspoke.reach.fleet import findings, gather, timeline
-from latchspoke.reach.graph import CHANGES, ENDS, KEPT, SPAN, SPANS, Graph, bucket, quantile
+from latchspoke.reach import recorder as module
+from latchspoke.reach.aggregate import findings, gather, timeline
+from latchspoke.reach.recorder import CHANGES, ENDS, KEPT, SPAN, SPANS, Graph, bucket, quantile
 
 Row = dict[str, Any]
 
--- a/tests/session_records/test_travel.py
+++ b/tests/session_records/test_simulation.py
@@ -7,9 +7,9 @@
 import pytest
 from msgspec.structs import replace
 
-from latchspoke.session_records.bill import Bill, Era, Fate, Peer, key_of
-from latchspoke.session_records.desk import LEAST
-from latchspoke.session_records.drill import SETTLE, Try, World, play
+from latchspoke.session_records.coordinator import LEAST
+from latchspoke.session_records.record import Bill, Era, Fate, Peer, key_of
+from latchspoke.session_records.simulation import SETTLE, Try, World, play
 
 
 def key(caller: str) -> str:
--- a/tests/session_records/test_late_letters.py
+++ b/tests/session_records/test_stale_replies.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from latchspoke.session_records.bill import Peer
-from latchspoke.session_records.office import Answer, Letter, Office, Out
+from latchspoke.session_records.record import Peer
+from latchspoke.session_records.store import Answer, Letter, Office, Out
 
 KEYS = [f"caller-{number}" for number in range(20)]
 
