--- a/benchmarks/travel.py
+++ b/benchmarks/travel.py
@@ -18,9 +18,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from latchspoke.session_records.record import Bill, Fate, Peer, key_of
-from latchspoke.session_records.simulation import SETTLE, World
-from latchspoke.session_records.store import Held, Office
+from latchspoke.session_records.record import ExchangeOutcome, Peer, SessionRecord, record_key
+from latchspoke.session_records.simulation import CONVERGENCE_S, Simulation
+from latchspoke.session_records.store import RecordStore, StoredRecord
 from latchspoke.transport.netstring import frame
 
 SIZES = (10, 84)
@@ -28,18 +28,26 @@
 WAYS = {"placement, pins of each": (False, False), "records": (True, False), "records, strict": (True, True)}
 
 
-def day(gateways: int, records: bool, strict: bool, travel: float, lasts: float) -> World:
-    world = World(
-        1, gateways, 12, CALLERS, strict=strict, records=records, travel=travel, pause=0.5, lasts=60.0
+def day(gateways: int, records: bool, strict: bool, travel: float, lasts: float) -> Simulation:
+    world = Simulation(
+        1,
+        gateways,
+        12,
+        CALLERS,
+        strict=strict,
+        records=records,
+        move_probability=travel,
+        pause_s=0.5,
+        ttl_s=60.0,
     )
-    world.run(SETTLE + 1.0)
-    world.live_callers()
-    draw = world.draw
+    world.run(CONVERGENCE_S + 1.0)
+    world.start_callers()
+    draw = world.rng
     for number in range(int(lasts / 2)):
-        world.at(2.0 * number + 1.0, partial(world.add, f"n{number}", draw.randrange(3)))
+        world.schedule(2.0 * number + 1.0, partial(world.add_server, f"n{number}", draw.randrange(3)))
     for number in range(int(lasts / 4)):
         place = draw.choice(list(world.servers))
-        world.at(4.0 * number + 2.0, partial(world.restart, place, draw.choice((0.5, 3.0))))
+        world.schedule(4.0 * number + 2.0, partial(world.restart_server, place, draw.choice((0.5, 3.0))))
     world.stop_at = world.now + lasts
     world.run(world.now + lasts + 3.0)
     return world
@@ -48,19 +56,21 @@
 def memory(gateways: int) -> float:
     """Bytes of one record at one gateway."""
     peers = {f"g{n}": Peer(f"z{n % 6}", f"r{n % 3}", "1") for n in range(gateways)}
-    office = Office("g0", "1", SETTLE, 0.0, lambda: 1e9)
-    office.live(peers, 0.0)
+    office = RecordStore("g0", "1", CONVERGENCE_S, 0.0, lambda: 1e9)
+    office.update_membership(peers, 0.0)
     count = 10_000
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(count):
-        bill = Bill(
-            key=key_of("route", "tenant", b"%d" % number), move=number, site=f"g{number % gateways}/1a2b3c4d",
-            life=f"i-{number % 50:08x}", place=f"10.1.0.{number % 50}:8000", service="service", lasts=60.0,
-            exchange=f"{number:016x}", attempt=f"{number:016x}", fate=Fate.ANSWERED,
+        bill = SessionRecord(
+            key=record_key("route", "tenant", b"%d" % number), move=number,
+            gateway_instance=f"g{number % gateways}/1a2b3c4d",
+            instance_id=f"i-{number % 50:08x}", address=f"10.1.0.{number % 50}:8000",
+            service="service", ttl_s=60.0,
+            exchange_id=f"{number:016x}", attempt_id=f"{number:016x}", outcome=ExchangeOutcome.ANSWERED,
         )  # fmt: skip
-        office.store(Held(bill, 60.0, 0.0))
-        office.eras[-1].pair(bill.key, ())
+        office.store(StoredRecord(bill, 60.0, 0.0))
+        office.views[-1].placement(bill.key, ())
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return used / count
@@ -68,18 +78,18 @@
 
 def cost(gateways: int) -> tuple[float, float]:
     """µs of a whole opening (site, owner, copy) against one rendezvous ranking of the gateways."""
-    world = World(2, gateways, strict=True)
-    world.run(SETTLE + 1.0)
+    world = Simulation(2, gateways, strict=True)
+    world.run(CONVERGENCE_S + 1.0)
     callers = [f"c{number}" for number in range(2000)]
     begun = time.process_time()
     for caller in callers:
         world.request(caller, f"{caller}.1", "g0")
     world.run(world.now + 2.0)
     whole = time.process_time() - begun
-    era = next(iter(world.sites.values())).office.eras[-1]
+    era = next(iter(world.gateways.values())).store.views[-1]
     begun = time.process_time()
     for caller in callers:
-        era.pair(f"other {caller}", ())
+        era.placement(f"other {caller}", ())
     return whole / len(callers) * 1e6, (time.process_time() - begun) / len(callers) * 1e6
 
 
@@ -99,11 +109,14 @@
         for travel in (0.1, 0.3):
             for way, (records, strict) in WAYS.items():
                 world = day(gateways, records, strict, travel, lasts)
-                at, elsewhere = world.kept
-                looks = sorted(1000 * x for x in world.looks) or [0.0]
+                at, elsewhere = world.affinity_results
+                looks = sorted(1000 * x for x in world.lookup_times_s) or [0.0]
                 spread = [looks[len(looks) // 2], looks[int(len(looks) * 0.99)], looks[-1]]
-                tries = max(len(world.tries), 1)
-                letters, size = sum(world.letters.values()) / tries, sum(world.bytes.values()) / tries
+                tries = max(len(world.requests), 1)
+                letters, size = (
+                    sum(world.messages_by_kind.values()) / tries,
+                    sum(world.bytes_by_kind.values()) / tries,
+                )
                 kept = f"{at / max(at + elsewhere, 1):.1%} of {at + elsewhere}"
                 waits = ", ".join(f"{x:.1f}" for x in spread)
                 cells = f"{travel:.0%}", way, kept, waits, f"{letters:.1f}, {size:.0f}"
@@ -116,8 +129,16 @@
             f"{gateways} gateways: a record takes {memory(gateways):.0f} bytes where it is; an exchange"
             f" {whole:.0f} µs in all, {whole / rank:.1f} times one ranking of the gateways ({rank:.0f} µs)"
         )
-    bill = Bill(key="0" * 24, site="edge-1/1a2b3c4d", exchange="0" * 16, attempt="0" * 16, life="i-00000000")
-    console.print(f"one record on the wire: {len(frame(bill))} bytes; kinds: {dict(Counter(world.bytes))}")
+    bill = SessionRecord(
+        key="0" * 24,
+        gateway_instance="edge-1/1a2b3c4d",
+        exchange_id="0" * 16,
+        attempt_id="0" * 16,
+        instance_id="i-00000000",
+    )
+    console.print(
+        f"one record on the wire: {len(frame(bill))} bytes; kinds: {dict(Counter(world.bytes_by_kind))}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/travel_system.py
+++ b/benchmarks/travel_system.py
@@ -89,7 +89,7 @@
 
 
 def counted(travel: Travel, to: str, message: dict[str, Any]) -> None:
-    letters[str(message["w"])] += len(frame({"k": "w", "f": travel.office.me, "m": message}))
+    letters[str(message["w"])] += len(frame({"k": "w", "f": travel.office.name, "m": message}))
     post(travel, to, message)
 
 
--- a/latchspoke/dataplane/travel.py
+++ b/latchspoke/dataplane/travel.py
@@ -24,11 +24,20 @@
 from latchspoke.dataplane.exchange import ClientExchange
 from latchspoke.dataplane.upstream import Answer, Request
 from latchspoke.membership.words import Member
-from latchspoke.session_records.coordinator import Ask, Desk, Go, Later, Pass, Step, Tell, Terms
-from latchspoke.session_records.decision import State, state_of
-from latchspoke.session_records.record import Bill, Fate, Peer, key_of
-from latchspoke.session_records.store import Answer as Told
-from latchspoke.session_records.store import Letter, Office, Out, Target
+from latchspoke.session_records.coordinator import (
+    AttemptPermit,
+    Directive,
+    Proceed,
+    QueryServer,
+    ReportState,
+    RequestCoordinator,
+    RequestPolicy,
+    RetryLater,
+)
+from latchspoke.session_records.decision import ExchangeState, parse_exchange_state
+from latchspoke.session_records.record import ExchangeOutcome, Peer, SessionRecord, record_key
+from latchspoke.session_records.store import AttemptTarget, OutgoingMessage, RecordStore, StoreOutput
+from latchspoke.session_records.store import StoreReply as Told
 from latchspoke.transport.log import log
 from latchspoke.transport.wire import Message
 
@@ -73,25 +82,29 @@
 class Steps:
     """What the desk says, put to the core's queue."""
 
-    steps: Sequence[Step]
+    steps: Sequence[Directive]
 
 
 class Asker:
     """The client of a question to a server."""
 
-    def __init__(self, told: Callable[[State], None]) -> None:
+    def __init__(self, told: Callable[[ExchangeState], None]) -> None:
         self.told = told
 
     def served(self, answer: object) -> None:
         assert isinstance(answer, Answer)
         states = [value for name, value in answer.headers if name == b"x-exchange-state"]
-        self.told(state_of(states[0]) if len(states) == 1 and answer.status == 200 else State.UNKNOWN)
+        self.told(
+            parse_exchange_state(states[0])
+            if len(states) == 1 and answer.status == 200
+            else ExchangeState.UNKNOWN
+        )
 
     def refused(self, retry_after: float | None) -> None:
-        self.told(State.UNKNOWN)
+        self.told(ExchangeState.UNKNOWN)
 
     def failed(self, failure: object | None) -> None:
-        self.told(State.UNKNOWN)
+        self.told(ExchangeState.UNKNOWN)
 
 
 class Travel:
@@ -102,14 +115,14 @@
         self.dispatcher: Dispatcher = node.dispatcher
         self.ports, self.core = node.ports, node.core
         lasts = node.lease.lasts if node.lease.lasts < 1e6 else 5.0
-        self.office = Office(
+        self.office = RecordStore(
             node.settings.name, node.life, lasts + SETTLED, self.clock.now(), lambda: node.lease.until,
-            node.stats, lease=node.lease.lasts if node.lease.lasts < 1e6 else 0.0,
+            node.stats, lease_s=node.lease.lasts if node.lease.lasts < 1e6 else 0.0,
         )  # fmt: skip
-        self.desk = Desk(self.office, self.known)
+        self.desk = RequestCoordinator(self.office, self.known)
         self.trips: dict[str, Trip] = {}
         self.queued: dict[str, list[Message]] = {}
-        self.asks: dict[str, Callable[[State], None]] = {}
+        self.asks: dict[str, Callable[[ExchangeState], None]] = {}
         self.people: dict[str, asyncio.Future[Told]] = {}
         self.actions: list[api.Action] = []
         self.numbers = itertools.count(1)
@@ -126,7 +139,7 @@
             name: Peer(str(m.meta.get("zone")), str(m.meta.get("region")), m.life)
             for name, m in edges.items()
         }
-        self.out(self.office.live(peers, now))
+        self.out(self.office.update_membership(peers, now))
 
     def leave(self, now: float) -> None:
         self.out(self.office.leave(now))
@@ -137,31 +150,31 @@
 
     # Letters.
 
-    def out(self, outs: list[Out]) -> None:
-        for each in [o for o in outs if isinstance(o, Told) and o.ref in self.people]:
+    def out(self, outs: list[StoreOutput]) -> None:
+        for each in [o for o in outs if isinstance(o, Told) and o.reference in self.people]:
             outs.remove(each)
-            future = self.people.pop(each.ref)
+            future = self.people.pop(each.reference)
             if not future.done():
                 future.set_result(each)
-        self.desk.carry(outs, self.clock.now())
-        self.do(self.desk.given())
+        self.desk.process_outputs(outs, self.clock.now())
+        self.do(self.desk.take_directives())
 
-    def do(self, steps: list[Step]) -> None:
+    def do(self, steps: list[Directive]) -> None:
         """Letters go at once, all else in the order of the core's events."""
         for step in steps:
-            if isinstance(step, Letter):
-                self.post(step.to, step.message)
-        rest = [step for step in steps if not isinstance(step, Letter)]
+            if isinstance(step, OutgoingMessage):
+                self.post(step.target, step.message)
+        rest = [step for step in steps if not isinstance(step, OutgoingMessage)]
         if rest:
             self.give(rest)
 
-    def give(self, steps: Sequence[Step]) -> None:
+    def give(self, steps: Sequence[Directive]) -> None:
         self.core.give(Steps(steps), self.clock.now())  # type: ignore[arg-type]
 
     def post(self, to: str, message: Message) -> None:
         counts = self.node.counts
         wire = counts.wires.get(to)
-        framed = {"k": "w", "f": self.office.me, "m": message}
+        framed = {"k": "w", "f": self.office.name, "m": message}
         if wire is not None and not self.queued.get(to):
             wire.send(framed)
         elif to in counts.gateways:
@@ -177,7 +190,7 @@
 
     def heard(self, message: Message) -> None:
         """From another gateway. Raises KeyError, TypeError, ValueError."""
-        self.out(self.office.heard(str(message["f"]), message["m"], self.clock.now()))
+        self.out(self.office.receive(str(message["f"]), message["m"], self.clock.now()))
 
     def tick(self, now: float) -> None:
         self.clock.schedule(now + TICK, self.tick)
@@ -194,7 +207,7 @@
 
     def drop_trip(self, ref: str) -> None:
         self.trips.pop(ref, None)
-        self.desk.end(ref)
+        self.desk.end_request(ref)
 
     # In the dispatcher's place.
 
@@ -227,45 +240,45 @@
         assert isinstance(request, Request)
         exchange = headers.get(travels.exchange, b"") or request.ident
         strict = travels.refuse and not call.route.repeatable
-        terms = Terms(
+        terms = RequestPolicy(
             tuple(sorted(homes or ())), call.caller.exchange, travels.look, strict, bool(travels.ask)
         )
         self.trips[call.request] = Trip(call, flow)
-        key = key_of(call.route.name, tenant.name if tenant is not None else "", call.caller.key)
-        steps = self.desk.arrive(call.request, key, exchange.decode("latin-1"), terms, now)
+        key = record_key(call.route.name, tenant.name if tenant is not None else "", call.caller.key)
+        steps = self.desk.start_request(call.request, key, exchange.decode("latin-1"), terms, now)
         self.clock.schedule(now + travels.look, lambda late: self.late(call.request, late))
         self.take(steps, now)
 
     def late(self, ref: str, now: float) -> None:
         if ref in self.trips:
-            self.do(self.desk.late(ref, now))
+            self.do(self.desk.lookup_expired(ref, now))
 
-    def take(self, steps: Sequence[Step], now: float) -> None:
+    def take(self, steps: Sequence[Directive], now: float) -> None:
         for step in steps:
-            if isinstance(step, Letter):
-                self.post(step.to, step.message)
+            if isinstance(step, OutgoingMessage):
+                self.post(step.target, step.message)
                 continue
-            trip = self.trips.get(step.ref)
+            trip = self.trips.get(step.request_id)
             if trip is None:
                 continue
             match step:
-                case Go(bill=bill):
+                case Proceed(record=bill):
                     self.go(trip, bill, now)
-                case Later(pause=pause, why=why):
+                case RetryLater(retry_after_s=pause, reason=why):
                     self.refuse(trip, pause, why, now)
-                case Tell(state=state, exchange=exchange):
+                case ReportState(state=state, exchange_id=exchange):
                     self.tell(trip, state, exchange)
-                case Ask(life=life, attempt=attempt):
+                case QueryServer(instance_id=life, attempt_id=attempt):
                     self.ask(trip, life, attempt, now)
-                case Pass(ok=ok, until=until):
+                case AttemptPermit(granted=ok, valid_until=until):
                     self.passed(trip, ok, until, now)
 
-    def go(self, trip: Trip, bill: Bill | None, now: float) -> None:
+    def go(self, trip: Trip, bill: SessionRecord | None, now: float) -> None:
         call, berths = trip.call, self.dispatcher.berths
         if trip.flow.closed:
             return
-        if bill is not None and bill.life and berths is not None and call.caller is not None:
-            berths.pins[call.service, call.caller.key] = bill.life, now + call.caller.exchange
+        if bill is not None and bill.instance_id and berths is not None and call.caller is not None:
+            berths.pins[call.service, call.caller.key] = bill.instance_id, now + call.caller.exchange
         trip.begun = True
         self.actions += self.dispatcher.handle(replace(call, left=max(trip.flow.until - now, 0.0)), now)
 
@@ -274,7 +287,7 @@
         self.dispatcher.refusals.append((now, why, route.name if route else "", trip.call.customer))
         self.actions.append(Full(trip.call.request, pause))
 
-    def tell(self, trip: Trip, state: State, exchange: str) -> None:
+    def tell(self, trip: Trip, state: ExchangeState, exchange: str) -> None:
         """The truth about an exchange; this try has not run."""
         flow = self.core.final(trip.call.request, "flows.refused")
         if flow is not None:
@@ -286,17 +299,17 @@
     def ended(self, outcome: api.Outcome, now: float) -> None:
         told = self.asks.get(outcome.request)
         if told is not None:
-            told(State.UNKNOWN)  # unless it has been answered
+            told(ExchangeState.UNKNOWN)  # unless it has been answered
             return
         trip = self.trips[outcome.request]
         code = outcome.code
-        fate = Fate.ANSWERED if code in (Code.OK, Code.ERROR) else Fate.MAY_RUN
+        fate = ExchangeOutcome.ANSWERED if code in (Code.OK, Code.ERROR) else ExchangeOutcome.MAY_RUN
         if code in NEVER_RAN or not trip.sent:
-            fate = Fate.NOT_RUN
+            fate = ExchangeOutcome.NOT_RUN
         trip.waiting, trip.sent = None, False
-        for step in self.desk.outcome(outcome.request, fate, now):
-            if isinstance(step, Letter):
-                self.post(step.to, step.message)
+        for step in self.desk.end_attempt(outcome.request, fate, now):
+            if isinstance(step, OutgoingMessage):
+                self.post(step.target, step.message)
 
     # In the ports' place.
 
@@ -310,7 +323,9 @@
         ref, request = trip.call.request, trip.flow.message
         assert isinstance(request, Request)
         place, attempt = f"{upstream.host}:{upstream.port}", request.ident.decode("latin-1")
-        self.do(self.desk.attempt(ref, upstream.service, upstream.ident, place, self.clock.now(), attempt))
+        self.do(
+            self.desk.begin_attempt(ref, upstream.service, upstream.ident, place, self.clock.now(), attempt)
+        )
 
     def passed(self, trip: Trip, ok: bool, until: float, now: float) -> None:
         forward, trip.waiting = trip.waiting, None
@@ -340,7 +355,10 @@
         """``GET askPath + attempt`` at that life; it is told of no more than once."""
         travels, source = travels_of(trip.call.route), trip.flow.message
         assert travels is not None and isinstance(source, Request)
-        ref, ident = trip.call.request, b"ask-%d-%b" % (next(self.numbers), self.office.site.encode())
+        ref, ident = (
+            trip.call.request,
+            b"ask-%d-%b" % (next(self.numbers), self.office.gateway_instance.encode()),
+        )
         path = travels.ask + attempt
         host = trip.call.route.host if isinstance(trip.call.route, Route) else ""
         head = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n".encode("latin-1") + b"X-Attempt-Id: %b\r\n" % ident
@@ -350,15 +368,15 @@
         flow.epoch, flow.out = trip.flow.epoch, 1
         forward = Forward(flow, life, now, now + ASK)
 
-        def told(state: State) -> None:
+        def told(state: ExchangeState) -> None:
             if self.asks.pop(asked, None) is not None:
-                self.give(self.desk.asked(ref, state, self.clock.now()))
+                self.give(self.desk.on_server_state(ref, state, self.clock.now()))
 
         def overdue(late: float) -> None:
             if not forward.ended:
                 self.ports.drop(forward)
                 forward.ended = True
-                told(State.UNKNOWN)
+                told(ExchangeState.UNKNOWN)
 
         self.asks[asked] = told
         self.clock.schedule(now + ASK, overdue)
@@ -370,7 +388,8 @@
         """Records as owner or copy, callers whose site this is, and what waits."""
         office = self.office
         return {
-            "records": len(office.bills), "hands": len(office.hands), "unconfirmed_fates": len(office.words),
+            "records": len(office.records), "hands": len(office.local_records),
+            "unconfirmed_fates": len(office.unconfirmed_outcomes),
             "requests": len(self.trips), "letters_waiting": sum(map(len, self.queued.values())),
         }  # fmt: skip
 
@@ -378,14 +397,14 @@
         """A caller's record as it is here, and who owns it."""
         key, found = self.key(route, tenant, caller)
         now, homes = self.clock.now(), self.homes(route, tenant)
-        owner, copy = self.office.eras[-1].pair(key, homes)
-        places = {"record": self.office.bills, "hand": self.office.hands}
+        owner, copy = self.office.views[-1].placement(key, homes)
+        places = {"record": self.office.records, "hand": self.office.local_records}
         seen = {}
         for name, where in places.items():
             held = where.get(key)
-            if held is not None and now < held.until:
-                seen[name] = told_bill(held.bill) | {
-                    "left_s": round(held.until - now, 3), "open_s": round(now - held.since, 3),
+            if held is not None and now < held.expires_at:
+                seen[name] = told_bill(held.record) | {
+                    "left_s": round(held.expires_at - now, 3), "open_s": round(now - held.opened_at, 3),
                 }  # fmt: skip
         return {"key": key, "travels": found, "owner": owner, "copy": copy, "homes": list(homes), **seen}
 
@@ -394,7 +413,7 @@
 
         table = self.node.downstream.table
         known = table.routes.get(route) if table is not None else None
-        return key_of(route, tenant, caller_key(caller.encode())), travels_of(known) is not None
+        return record_key(route, tenant, caller_key(caller.encode())), travels_of(known) is not None
 
     def homes(self, route: str, tenant: str) -> tuple[str, ...]:
         table = self.node.downstream.table
@@ -420,19 +439,22 @@
             return 400, {"errorText": f"{to} gets no requests now: {why}"}
         homes, travels = self.homes(route, tenant), known.affinity.travels
         strict = travels is not None and travels.refuse and not known.repeatable
-        lasts = self.desk.lasts(known.affinity.exchange, strict)
-        told = await self.person(lambda ref, now: self.office.take(ref, key, homes, lasts, now))
-        if told.word == "given" and told.bill is not None:
-            if told.bill.unsettled:
+        lasts = self.desk.record_ttl_s(known.affinity.exchange, strict)
+        told = await self.person(lambda ref, now: self.office.acquire(ref, key, homes, lasts, now))
+        if told.status == "given" and told.record is not None:
+            if told.record.unsettled:
                 return 409, {"errorText": "an exchange is open, or its fate is unknown"}
-            bill, target = told.bill, Target(upstream.service, to, f"{upstream.host}:{upstream.port}")
-            told = await self.person(lambda ref, now: self.office.open(ref, bill, target, now)[1])
-            if told.word == "kept" and told.bill is not None:
-                log("caller-moved", route=route, to=to, number="/".join(map(str, told.bill.number)))
-                return 200, {"moved": told_bill(told.bill)}
-        return 503, {"errorText": f"the record can't be had now: {told.word}"}
-
-    async def person(self, act: Callable[[str, float], list[Out]]) -> Told:
+            bill, target = (
+                told.record,
+                AttemptTarget(upstream.service, to, f"{upstream.host}:{upstream.port}"),
+            )
+            told = await self.person(lambda ref, now: self.office.open_exchange(ref, bill, target, now)[1])
+            if told.status == "kept" and told.record is not None:
+                log("caller-moved", route=route, to=to, number="/".join(map(str, told.record.version)))
+                return 200, {"moved": told_bill(told.record)}
+        return 503, {"errorText": f"the record can't be had now: {told.status}"}
+
+    async def person(self, act: Callable[[str, float], list[StoreOutput]]) -> Told:
         ref = f"person {next(self.numbers)}"
         future = self.people[ref] = asyncio.get_running_loop().create_future()
         self.out(act(ref, self.clock.now()))
@@ -446,11 +468,12 @@
             self.people.pop(ref, None)
 
 
-def told_bill(bill: Bill) -> dict[str, Any]:
+def told_bill(bill: SessionRecord) -> dict[str, Any]:
     return {
-        "number": list(bill.number), "site": bill.site, "service": bill.service, "life": bill.life,
-        "address": bill.place, "exchange": bill.exchange, "attempt": bill.attempt,
-        "fate": bill.fate.name.lower().replace("_", "-"), "opener": bill.opener,
+        "number": list(bill.version), "site": bill.gateway_instance, "service": bill.service,
+        "life": bill.instance_id,
+        "address": bill.address, "exchange": bill.exchange_id, "attempt": bill.attempt_id,
+        "fate": bill.outcome.name.lower().replace("_", "-"), "opener": bill.opened_by,
     }  # fmt: skip
 
 
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -24,7 +24,7 @@
 from latchspoke.distribution.board import Lease
 from latchspoke.lab.system.machines import Fleet, SimLedger
 from latchspoke.lab.system.records import Callers, Trouble
-from latchspoke.session_records.decision import State
+from latchspoke.session_records.decision import ExchangeState
 
 Patches = Callable[[], list[Any]]
 
@@ -274,7 +274,7 @@
     ),
     "once-only": Guard("TWICE", LOSSES, lambda: [around(dataplane, "compile_table", all_repeatable)]),
     "fate": Guard(
-        "EXCHANGE", LOSSES, lambda: [on(travel, "state_of", lambda text: State.NOT_RUN)],
+        "EXCHANGE", LOSSES, lambda: [on(travel, "parse_exchange_state", lambda text: ExchangeState.NOT_RUN)],
         callers=Callers(20, 0.3),
     ),
     "promise": Guard(
--- a/latchspoke/session_records/coordinator.py
+++ b/latchspoke/session_records/coordinator.py
@@ -11,311 +11,361 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from latchspoke.session_records.decision import Act, Seen, State, judge
-from latchspoke.session_records.record import Bill, Fate
-from latchspoke.session_records.store import Answer, Letter, Office, Out, Target
-
-PASS = 1.0  # s after an opening was asked for in which its first byte may go out
-SOON = 0.2  # s; when to come back while an exchange is at work
-SETTLING = 0.5  # s; when to come back while a record can't be had
-STILL = 0.6  # s between two beats of the process: it has stood still
-WARY = 0.25  # s that its sockets then may bring what is old
-LEAST = 3.0  # settling times that a strict record lives, at least: two losses, each seen and settled
-FRESH = 0.5  # of a record's time: then it is written again, where nothing else writes it
+from latchspoke.session_records.decision import Action, ExchangeState, Knowledge, decide
+from latchspoke.session_records.record import ExchangeOutcome, SessionRecord
+from latchspoke.session_records.store import (
+    AttemptTarget,
+    OutgoingMessage,
+    RecordStore,
+    StoreOutput,
+    StoreReply,
+)
+
+PERMIT_S = 1.0  # s after an opening was asked for in which its first byte may go out
+BUSY_RETRY_S = 0.2  # s; when to come back while an exchange is at work
+UNAVAILABLE_RETRY_S = 0.5  # s; when to come back while a record can't be had
+STALL_THRESHOLD_S = 0.6  # s between two beats of the process: it has stood still
+STALL_RECOVERY_S = 0.25  # s that its sockets then may bring what is old
+MIN_TTL_CONVERGENCE_PERIODS = (
+    3.0  # settling times that a strict record lives, at least: two losses, each seen and settled
+)
+REFRESH_FRACTION = 0.5  # of a record's time: then it is written again, where nothing else writes it
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RequestPolicy:
     """Of a route, and of one request on it. Times in s."""
 
-    homes: tuple[str, ...]
-    lasts: float
-    look: float  # the longest that a request waits to know its record
+    home_regions: tuple[str, ...]
+    ttl_s: float
+    lookup_timeout_s: float  # the longest that a request waits to know its record
     strict: bool  # refuse rather than guess; only for what may not be repeated
-    able: bool  # its servers can be asked what became of an exchange
+    can_query: bool  # its servers can be asked what became of an exchange
 
 
 @dataclass(frozen=True, slots=True)
-class Go:
+class Proceed:
     """Send it: to the life in the record if that may be sent to, else by placement."""
 
-    ref: str
-    bill: Bill | None
+    request_id: str
+    record: SessionRecord | None
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class ReportState:
     """Answer with the truth about an exchange: it ran, or nobody knows."""
 
-    ref: str
-    state: State
-    exchange: str
+    request_id: str
+    state: ExchangeState
+    exchange_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Later:
+class RetryLater:
     """It has not run and won't: come back in ``pause`` s."""
 
-    ref: str
-    pause: float
-    why: str
+    request_id: str
+    retry_after_s: float
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class QueryServer:
     """Ask that life what became of the try; the answer goes to ``asked``."""
 
-    ref: str
-    life: str
-    attempt: str
+    request_id: str
+    instance_id: str
+    attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class AttemptPermit:
     """Whether an attempt may go out, and until when its first byte may (s)."""
 
-    ref: str
-    ok: bool
-    until: float = 0.0
+    request_id: str
+    granted: bool
+    valid_until: float = 0.0
 
 
-Step = Go | Tell | Later | Ask | Pass | Letter
+Directive = Proceed | ReportState | RetryLater | QueryServer | AttemptPermit | OutgoingMessage
 
 
 @dataclass(slots=True)
-class Trip:
+class TrackedRequest:
     """A request of a travelling caller."""
 
     key: str
-    exchange: str
-    terms: Terms
-    begun: float
-    bill: Bill | None = None
-    age: float = 0.0  # s since the record's exchange was opened, when that was learnt
-    looking: bool = False
-    opened: Bill | None = None  # the record of its last opening
-    asked_at: float = 0.0  # when that was asked for
-    opening: bool = False
-    target: Target | None = None  # of its last attempt
-    told: State | None = None
-
-
-class Desk:
+    exchange_id: str
+    policy: RequestPolicy
+    started_at: float
+    record: SessionRecord | None = None
+    exchange_age_s: float = 0.0  # s since the record's exchange was opened, when that was learnt
+    awaiting_record: bool = False
+    opened_record: SessionRecord | None = None  # the record of its last opening
+    opening_requested_at: float = 0.0  # when that was asked for
+    awaiting_opening: bool = False
+    target: AttemptTarget | None = None  # of its last attempt
+    reported_state: ExchangeState | None = None
+
+
+class RequestCoordinator:
     """``known``: whether a server's life may be asked here; ``lives``: whether a site is among the live."""
 
-    def __init__(self, office: Office, known: Callable[[str], bool]) -> None:
-        self.office, self.known = office, known
-        self.trips: dict[str, Trip] = {}
-        self.openings: dict[str, tuple[Bill, float]] = {}  # what was asked to be written, and when
-        self.steps: list[Step] = []
-        self.stats = office.stats
-        self.beat, self.wary_until = office.now, office.now
-        self.numbers = itertools.count(1)
-
-    def stood_still(self, now: float) -> bool:
+    def __init__(self, store: RecordStore, is_known_instance: Callable[[str], bool]) -> None:
+        self.store, self.is_known_instance = store, is_known_instance
+        self.requests: dict[str, TrackedRequest] = {}
+        self.pending_openings: dict[
+            str, tuple[SessionRecord, float]
+        ] = {}  # what was asked to be written, and when
+        self.directives: list[Directive] = []
+        self.stats = store.stats
+        self.last_tick, self.stalled_until = store.now, store.now
+        self.opening_numbers = itertools.count(1)
+
+    def recently_stalled(self, now: float) -> bool:
         """Whether this process has just done so: what it reads now may have been sent long ago."""
-        if now - self.beat > STILL:
-            self.wary_until = now + WARY
-        return now < self.wary_until
+        if now - self.last_tick > STALL_THRESHOLD_S:
+            self.stalled_until = now + STALL_RECOVERY_S
+        return now < self.stalled_until
 
-    def lives(self, site: str) -> bool:
-        name, _, life = site.partition("/")
-        peer = self.office.eras[-1].peers.get(name)
-        return peer is not None and peer.life in ("", life)
+    def gateway_alive(self, gateway_instance: str) -> bool:
+        name, _, instance_id = gateway_instance.partition("/")
+        peer = self.store.views[-1].gateways.get(name)
+        return peer is not None and peer.instance_id in ("", instance_id)
 
-    def lasts(self, asked: float, strict: bool) -> float:
+    def record_ttl_s(self, requested_s: float, strict: bool) -> float:
         """How long (s) a record lives: what is open must not be forgotten while nobody may tell of it."""
-        return max(asked, LEAST * self.office.settle) if strict else asked
+        return (
+            max(requested_s, MIN_TTL_CONVERGENCE_PERIODS * self.store.convergence_s)
+            if strict
+            else requested_s
+        )
 
     # Requests.
 
-    def arrive(self, ref: str, key: str, exchange: str, terms: Terms, now: float) -> list[Step]:
-        trip = self.trips[ref] = Trip(key, exchange, terms, now)
-        if terms.strict and self.stood_still(now):
-            self.later(ref, SOON, "stood_still")
-            return self.given()
-        bill = self.office.hand(key, now)
-        if bill is not None and terms.strict and bill.unsettled and not self.at_work(bill):
-            bill = None  # others may know more of it by now
-        if bill is not None:
-            trip.bill, trip.age = bill, now - self.office.hands[key].since
-            self.resolve(ref, trip)
+    def start_request(
+        self, request_id: str, key: str, exchange_id: str, policy: RequestPolicy, now: float
+    ) -> list[Directive]:
+        request = self.requests[request_id] = TrackedRequest(key, exchange_id, policy, now)
+        if policy.strict and self.recently_stalled(now):
+            self.defer(request_id, BUSY_RETRY_S, "stood_still")
+            return self.take_directives()
+        record = self.store.local_record(key, now)
+        if record is not None and policy.strict and record.unsettled and not self.is_sending(record):
+            record = None  # others may know more of it by now
+        if record is not None:
+            request.record, request.exchange_age_s = record, now - self.store.local_records[key].opened_at
+            self.resolve(request_id, request)
         else:
-            trip.looking = True
+            request.awaiting_record = True
             self.stats["travel.looks"] += 1
-            lasts = self.lasts(terms.lasts, terms.strict)
-            self.carry(self.office.take(ref, key, terms.homes, lasts, now, not terms.strict), now)
-        return self.given()
+            ttl_s = self.record_ttl_s(policy.ttl_s, policy.strict)
+            self.process_outputs(
+                self.store.acquire(request_id, key, policy.home_regions, ttl_s, now, not policy.strict), now
+            )
+        return self.take_directives()
 
-    def resolve(self, ref: str, trip: Trip) -> None:
+    def resolve(self, request_id: str, request: TrackedRequest) -> None:
         """The record is here: what is done by it."""
-        bill, strict = trip.bill, trip.terms.strict
-        if not strict or bill is None:
-            self.steps.append(Go(ref, bill))
+        record, strict = request.record, request.policy.strict
+        if not strict or record is None:
+            self.directives.append(Proceed(request_id, record))
             return
-        if bill.unsettled and self.at_work(bill):
-            self.later(ref, SOON, "at_work")
+        if record.unsettled and self.is_sending(record):
+            self.defer(request_id, BUSY_RETRY_S, "at_work")
             return
-        seen = Seen(trip.terms.able, self.known(bill.life), self.lives(bill.opener), trip.told)
-        verdict = judge(bill, trip.exchange, seen)
-        if verdict.state is State.UNKNOWN and (trip.age < PASS or (seen.lives and seen.able)):
+        knowledge = Knowledge(
+            request.policy.can_query,
+            self.is_known_instance(record.instance_id),
+            self.gateway_alive(record.opened_by),
+            request.reported_state,
+        )
+        decision = decide(record, request.exchange_id, knowledge)
+        if decision.state is ExchangeState.UNKNOWN and (
+            request.exchange_age_s < PERMIT_S or (knowledge.instance_known and knowledge.can_query)
+        ):
             # Its first byte may be on its way, or its server could not be asked just now.
-            self.later(ref, SOON, "unsettled")
+            self.defer(request_id, BUSY_RETRY_S, "unsettled")
             return
-        if verdict.fate is not None:
-            self.carry(self.office.fate("", bill, verdict.fate, self.office.now), self.office.now)
-        match verdict.act:
-            case Act.GO:
-                self.steps.append(Go(ref, bill))
-            case Act.TELL:
-                assert verdict.state is not None
-                self.stats[f"travel.told_{verdict.state.value}"] += 1
-                name = trip.exchange if verdict.state is State.RUN else bill.exchange
-                self.steps.append(Tell(ref, verdict.state, name))
-            case Act.ASK:
+        if decision.outcome is not None:
+            self.process_outputs(
+                self.store.record_outcome("", record, decision.outcome, self.store.now), self.store.now
+            )
+        match decision.action:
+            case Action.SEND:
+                self.directives.append(Proceed(request_id, record))
+            case Action.REPORT:
+                assert decision.state is not None
+                self.stats[f"travel.told_{decision.state.value}"] += 1
+                exchange_id = (
+                    request.exchange_id if decision.state is ExchangeState.RUN else record.exchange_id
+                )
+                self.directives.append(ReportState(request_id, decision.state, exchange_id))
+            case Action.QUERY_SERVER:
                 self.stats["travel.asks"] += 1
-                self.steps.append(Ask(ref, bill.life, bill.attempt))
-            case Act.LATER:
-                self.later(ref, SOON, "at_work")
+                self.directives.append(QueryServer(request_id, record.instance_id, record.attempt_id))
+            case Action.RETRY_LATER:
+                self.defer(request_id, BUSY_RETRY_S, "at_work")
 
-    def at_work(self, bill: Bill) -> bool:
+    def is_sending(self, record: SessionRecord) -> bool:
         """Whether this site itself is sending that exchange."""
-        return bill.opener == self.office.site and any(
-            t.opened is not None and t.key == bill.key and t.opened.opened == bill.opened
-            for t in self.trips.values()
+        return record.opened_by == self.store.gateway_instance and any(
+            request.opened_record is not None
+            and request.key == record.key
+            and request.opened_record.opening_id == record.opening_id
+            for request in self.requests.values()
         )
 
-    def later(self, ref: str, pause: float, why: str) -> None:
-        self.stats[f"travel.refused_{why}"] += 1
-        self.steps.append(Later(ref, pause, why))
+    def defer(self, request_id: str, retry_after_s: float, reason: str) -> None:
+        self.stats[f"travel.refused_{reason}"] += 1
+        self.directives.append(RetryLater(request_id, retry_after_s, reason))
 
-    def missed(self, ref: str, trip: Trip) -> None:
+    def on_record_unavailable(self, request_id: str, request: TrackedRequest) -> None:
         """No record in time, or nobody can say: the route's own choice."""
-        trip.looking = False
+        request.awaiting_record = False
         self.stats["travel.misses"] += 1
-        if trip.terms.strict:
-            self.later(ref, SETTLING, "no_record")
+        if request.policy.strict:
+            self.defer(request_id, UNAVAILABLE_RETRY_S, "no_record")
         else:
-            self.steps.append(Go(ref, None))
+            self.directives.append(Proceed(request_id, None))
 
-    def asked(self, ref: str, state: State, now: float) -> list[Step]:
+    def on_server_state(self, request_id: str, state: ExchangeState, now: float) -> list[Directive]:
         """What the server's life said; unknown if it said nothing."""
-        self.office.now = now
-        trip = self.trips.get(ref)
-        if trip is not None:
-            trip.told = state
-            self.resolve(ref, trip)
-        return self.given()
+        self.store.now = now
+        request = self.requests.get(request_id)
+        if request is not None:
+            request.reported_state = state
+            self.resolve(request_id, request)
+        return self.take_directives()
 
     # Attempts.
 
-    def attempt(
-        self, ref: str, service: str, life: str, place: str, now: float, attempt: str = ""
-    ) -> list[Step]:
+    def begin_attempt(
+        self, request_id: str, service: str, instance_id: str, address: str, now: float, attempt_id: str = ""
+    ) -> list[Directive]:
         """Before anything of it goes to that server; ``attempt``: the id by which that one knows the try."""
-        trip = self.trips[ref]
-        trip.target = Target(service, life, place, trip.exchange, attempt or ref)
-        if not trip.terms.strict:
-            self.steps.append(Pass(ref, True, float("inf")))
-            return self.given()
-        bill = trip.bill  # under the move by which it was judged, not under a later one
-        if bill is None or trip.opening:
-            self.steps.append(Pass(ref, False))
-            return self.given()
-        trip.opening, trip.asked_at, trip.opened = True, now, None
-        ask = f"{ref}\n{next(self.numbers)}"  # an answer to an earlier opening may still come
-        new, outs = self.office.open(ask, bill, trip.target, now)
-        self.openings[ask] = new, now
-        self.carry(outs, now)
-        return self.given()
-
-    def outcome(self, ref: str, fate: Fate, now: float) -> list[Step]:
+        request = self.requests[request_id]
+        request.target = AttemptTarget(
+            service, instance_id, address, request.exchange_id, attempt_id or request_id
+        )
+        if not request.policy.strict:
+            self.directives.append(AttemptPermit(request_id, True, float("inf")))
+            return self.take_directives()
+        record = request.record  # under the move by which it was judged, not under a later one
+        if record is None or request.awaiting_opening:
+            self.directives.append(AttemptPermit(request_id, False))
+            return self.take_directives()
+        request.awaiting_opening, request.opening_requested_at, request.opened_record = True, now, None
+        reference = (
+            f"{request_id}\n{next(self.opening_numbers)}"  # an answer to an earlier opening may still come
+        )
+        opening, outs = self.store.open_exchange(reference, record, request.target, now)
+        self.pending_openings[reference] = opening, now
+        self.process_outputs(outs, now)
+        return self.take_directives()
+
+    def end_attempt(self, request_id: str, outcome: ExchangeOutcome, now: float) -> list[Directive]:
         """An attempt that was passed is over."""
-        trip = self.trips.get(ref)
-        if trip is None:
+        request = self.requests.get(request_id)
+        if request is None:
             return []
-        if trip.terms.strict:
-            if trip.opened is not None:
-                opened, trip.opened = trip.opened, None
-                self.carry(self.office.fate("", opened, fate, now), now)
-        elif fate is Fate.ANSWERED:
-            self.behind(trip, now)
-        return self.given()
-
-    def behind(self, trip: Trip, now: float) -> None:
+        if request.policy.strict:
+            if request.opened_record is not None:
+                record, request.opened_record = request.opened_record, None
+                self.process_outputs(self.store.record_outcome("", record, outcome, now), now)
+        elif outcome is ExchangeOutcome.ANSWERED:
+            self.refresh_server(request, now)
+        return self.take_directives()
+
+    def refresh_server(self, request: TrackedRequest, now: float) -> None:
         """The server is written after the answer: when it is another, or the record gets old."""
-        held, to = self.office.hands.get(trip.key), trip.target
-        if held is None or to is None or now >= held.until:
+        stored, target = self.store.local_records.get(request.key), request.target
+        if stored is None or target is None or now >= stored.expires_at:
             return
-        old = held.until - now < FRESH * trip.terms.lasts
-        if old or (held.bill.service, held.bill.life) != (to.service, to.life):
-            self.carry(self.office.open("", held.bill, replace(to, exchange=""), now)[1], now)
-
-    def end(self, ref: str) -> None:
-        self.trips.pop(ref, None)
+        near_expiry = stored.expires_at - now < REFRESH_FRACTION * request.policy.ttl_s
+        if near_expiry or (stored.record.service, stored.record.instance_id) != (
+            target.service,
+            target.instance_id,
+        ):
+            self.process_outputs(
+                self.store.open_exchange("", stored.record, replace(target, exchange_id=""), now)[1], now
+            )
+
+    def end_request(self, request_id: str) -> None:
+        self.requests.pop(request_id, None)
 
     # The office's answers.
 
-    def heard(self, sender: str, message: dict[str, object], now: float) -> list[Step]:
-        self.carry(self.office.heard(sender, message, now), now)
-        return self.given()
+    def receive(self, sender: str, message: dict[str, object], now: float) -> list[Directive]:
+        self.process_outputs(self.store.receive(sender, message, now), now)
+        return self.take_directives()
 
-    def tick(self, now: float) -> list[Step]:
+    def tick(self, now: float) -> list[Directive]:
         """At least each quarter of a second."""
-        self.stood_still(now)
-        self.beat = now
-        self.carry(self.office.tick(now), now)
-        for ask in [ask for ask, (_, at) in self.openings.items() if now - at >= PASS]:
-            self.answered(Answer(ask, "unsure"), now)
-        return self.given()
-
-    def late(self, ref: str, now: float) -> list[Step]:
+        self.recently_stalled(now)
+        self.last_tick = now
+        self.process_outputs(self.store.tick(now), now)
+        for reference in [
+            reference
+            for reference, (_, opened_at) in self.pending_openings.items()
+            if now - opened_at >= PERMIT_S
+        ]:
+            self.on_reply(StoreReply(reference, "unsure"), now)
+        return self.take_directives()
+
+    def lookup_expired(self, request_id: str, now: float) -> list[Directive]:
         """A request has waited for its record for as long as its route lets it."""
-        self.office.now = now
-        trip = self.trips.get(ref)
-        if trip is not None and trip.looking:
-            self.missed(ref, trip)
-        return self.given()
-
-    def carry(self, outs: list[Out], now: float) -> None:
-        for out in outs:
-            if isinstance(out, Letter):
-                self.steps.append(out)
-            elif out.ref:
-                self.answered(out, now)
-
-    def answered(self, answer: Answer, now: float) -> None:
-        ref, _, what = answer.ref.partition("\n")
-        trip = self.trips.get(ref)
-        if what:
-            self.opened(ref, trip, answer, now)
-        elif trip is None or not trip.looking:
-            self.stats["travel.late"] += answer.word == "given"
-        elif answer.word == "given":
-            trip.looking, trip.bill, trip.age = False, answer.bill, answer.age
-            if answer.bill is not None and answer.bill.life:
+        self.store.now = now
+        request = self.requests.get(request_id)
+        if request is not None and request.awaiting_record:
+            self.on_record_unavailable(request_id, request)
+        return self.take_directives()
+
+    def process_outputs(self, outputs: list[StoreOutput], now: float) -> None:
+        for output in outputs:
+            if isinstance(output, OutgoingMessage):
+                self.directives.append(output)
+            elif output.reference:
+                self.on_reply(output, now)
+
+    def on_reply(self, reply: StoreReply, now: float) -> None:
+        request_id, _, opening_number = reply.reference.partition("\n")
+        request = self.requests.get(request_id)
+        if opening_number:
+            self.on_opening_reply(request_id, request, reply, now)
+        elif request is None or not request.awaiting_record:
+            self.stats["travel.late"] += reply.status == "given"
+        elif reply.status == "given":
+            request.awaiting_record, request.record, request.exchange_age_s = (
+                False,
+                reply.record,
+                reply.exchange_age_s,
+            )
+            if reply.record is not None and reply.record.instance_id:
                 self.stats["travel.found"] += 1
-            self.resolve(ref, trip)
+            self.resolve(request_id, request)
         else:
-            self.missed(ref, trip)
+            self.on_record_unavailable(request_id, request)
 
-    def opened(self, ref: str, trip: Trip | None, answer: Answer, now: float) -> None:
-        ok = answer.word == "kept"
-        if answer.ref not in self.openings:
+    def on_opening_reply(
+        self, request_id: str, request: TrackedRequest | None, reply: StoreReply, now: float
+    ) -> None:
+        written = reply.status == "kept"
+        if reply.reference not in self.pending_openings:
             return
-        asked, _ = self.openings.pop(answer.ref)
-        if answer.word == "unsure" or (ok and trip is None):
+        opening, _ = self.pending_openings.pop(reply.reference)
+        if reply.status == "unsure" or (written and request is None):
             # It may be written; nothing was sent by it, and nothing will be.
-            self.carry(self.office.fate("", asked, Fate.NOT_RUN, now), now)
-        if trip is None:
+            self.process_outputs(self.store.record_outcome("", opening, ExchangeOutcome.NOT_RUN, now), now)
+        if request is None:
             return
-        trip.opening = False
-        if ok:
-            trip.opened = trip.bill = answer.bill
+        request.awaiting_opening = False
+        if written:
+            request.opened_record = request.record = reply.record
         else:
-            self.stats[f"travel.open_{answer.word}"] += 1
-        self.steps.append(Pass(ref, ok, trip.asked_at + PASS))
+            self.stats[f"travel.open_{reply.status}"] += 1
+        self.directives.append(AttemptPermit(request_id, written, request.opening_requested_at + PERMIT_S))
 
-    def given(self) -> list[Step]:
-        steps, self.steps = self.steps, []
-        return steps
+    def take_directives(self) -> list[Directive]:
+        directives, self.directives = self.directives, []
+        return directives
--- a/latchspoke/session_records/decision.py
+++ b/latchspoke/session_records/decision.py
@@ -5,17 +5,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from latchspoke.session_records.record import Bill, Fate
+from latchspoke.session_records.record import ExchangeOutcome, SessionRecord
 
 
-class Act(Enum):
-    GO = "go"  # send it
-    TELL = "tell"  # answer with what is known of the exchange
-    LATER = "later"  # it has not run: come back
-    ASK = "ask"  # ask the server's life first
+class Action(Enum):
+    SEND = "go"  # send it
+    REPORT = "tell"  # answer with what is known of the exchange
+    RETRY_LATER = "later"  # it has not run: come back
+    QUERY_SERVER = "ask"  # ask the server's life first
 
 
-class State(Enum):
+class ExchangeState(Enum):
     """Of an exchange, as callers are told it and servers say it."""
 
     RUN = "run"
@@ -25,44 +25,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class Decision:
     """``fate``: what is to be written of the record's exchange before anything else, if it is news."""
 
-    act: Act
-    state: State | None = None
-    fate: Fate | None = None
+    action: Action
+    state: ExchangeState | None = None
+    outcome: ExchangeOutcome | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class Knowledge:
     """What a site knows beside the record."""
 
-    able: bool  # servers of the route can be asked
-    lives: bool  # the life in the record is known and may be asked
-    opener: bool  # the site that opened the exchange lives
-    told: State | None = None  # by the server, once it has been asked
+    can_query: bool  # servers of the route can be asked
+    instance_known: bool  # the life in the record is known and may be asked
+    opener_alive: bool  # the site that opened the exchange lives
+    reported_state: ExchangeState | None = None  # by the server, once it has been asked
 
 
-def judge(bill: Bill, exchange: str, seen: Seen) -> Verdict:
+def decide(record: SessionRecord, exchange_id: str, knowledge: Knowledge) -> Decision:
     """For a strict route; a guess is never told, and nothing is sent anew before the last fate is known."""
-    if bill.ran(exchange):
-        return Verdict(Act.TELL, State.RUN)
-    if not bill.unsettled:
-        return Verdict(Act.GO)
-    if seen.lives and seen.able and seen.told is None:
-        return Verdict(Act.ASK)
-    if seen.told in (State.RUN, State.NOT_RUN):
-        ran = seen.told is State.RUN
-        act = Act.TELL if ran and bill.exchange == exchange else Act.GO
-        return Verdict(act, seen.told, Fate.ANSWERED if ran else Fate.NOT_RUN)
-    if seen.told is State.OPEN or (bill.fate is Fate.OPEN and seen.opener):
-        return Verdict(Act.LATER, State.OPEN)
-    return Verdict(Act.TELL, State.UNKNOWN, Fate.TOLD)
-
-
-def state_of(text: bytes) -> State:
+    if record.has_run(exchange_id):
+        return Decision(Action.REPORT, ExchangeState.RUN)
+    if not record.unsettled:
+        return Decision(Action.SEND)
+    if knowledge.instance_known and knowledge.can_query and knowledge.reported_state is None:
+        return Decision(Action.QUERY_SERVER)
+    if knowledge.reported_state in (ExchangeState.RUN, ExchangeState.NOT_RUN):
+        has_run = knowledge.reported_state is ExchangeState.RUN
+        action = Action.REPORT if has_run and record.exchange_id == exchange_id else Action.SEND
+        return Decision(
+            action, knowledge.reported_state, ExchangeOutcome.ANSWERED if has_run else ExchangeOutcome.NOT_RUN
+        )
+    if knowledge.reported_state is ExchangeState.OPEN or (
+        record.outcome is ExchangeOutcome.OPEN and knowledge.opener_alive
+    ):
+        return Decision(Action.RETRY_LATER, ExchangeState.OPEN)
+    return Decision(Action.REPORT, ExchangeState.UNKNOWN, ExchangeOutcome.TOLD)
+
+
+def parse_exchange_state(value: bytes) -> ExchangeState:
     """What a server's ``X-Exchange-State`` says; anything else is unknown."""
     try:
-        return State(text.strip().lower().decode("latin-1"))
+        return ExchangeState(value.strip().lower().decode("latin-1"))
     except ValueError:
-        return State.UNKNOWN
+        return ExchangeState.UNKNOWN
--- a/latchspoke/session_records/record.py
+++ b/latchspoke/session_records/record.py
@@ -11,10 +11,10 @@
 
 from barleyhub.line.budget import rank
 
-PAST = 3  # exchanges before the last one that are remembered, if they ran
+MAX_PAST_EXCHANGES = 3  # exchanges before the last one that are remembered, if they ran
 
 
-class Fate(IntEnum):
+class ExchangeOutcome(IntEnum):
     """What is known of an exchange; it only ever goes from unsettled to settled."""
 
     NONE = 0
@@ -25,48 +25,50 @@
     TOLD = 5  # nobody knows, and its caller has been told so
 
 
-UNSETTLED = (Fate.OPEN, Fate.MAY_RUN)
-Number = tuple[int, int, int]  # tenure, move, step
+UNSETTLED = (ExchangeOutcome.OPEN, ExchangeOutcome.MAY_RUN)
+Version = tuple[int, int, int]  # tenure, move, step
 
 
-class Bill(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
+class SessionRecord(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
     """One record. ``site``: a gateway's name and life. ``opened``: how that site names the opening."""
 
     key: str
-    homes: tuple[str, ...] = ()  # regions, sorted; none: it may rest anywhere
-    tenure: int = 0
+    home_regions: tuple[str, ...] = ()  # regions, sorted; none: it may rest anywhere
+    epoch: int = 0
     move: int = 0
     step: int = 0
-    site: str = ""
-    lasts: float = 0.0  # s from its last write
+    gateway_instance: str = ""
+    ttl_s: float = 0.0  # s from its last write
     service: str = ""
-    life: str = ""
-    place: str = ""
-    exchange: str = ""
-    attempt: str = ""  # the try that was sent for it: what its server knows
-    fate: Fate = Fate.NONE
-    opener: str = ""  # the site that opened it
-    opened: str = ""
-    turn: int = 0  # the site's own count of its writes: one that comes late is not taken
-    past: tuple[str, ...] = ()  # exchanges before it that ran
+    instance_id: str = ""
+    address: str = ""
+    exchange_id: str = ""
+    attempt_id: str = ""  # the try that was sent for it: what its server knows
+    outcome: ExchangeOutcome = ExchangeOutcome.NONE
+    opened_by: str = ""  # the site that opened it
+    opening_id: str = ""
+    write_number: int = 0  # the site's own count of its writes: one that comes late is not taken
+    past_exchanges: tuple[str, ...] = ()  # exchanges before it that ran
 
     @property
-    def number(self) -> Number:
-        return self.tenure, self.move, self.step
+    def version(self) -> Version:
+        return self.epoch, self.move, self.step
 
     @property
     def unsettled(self) -> bool:
-        return self.fate in UNSETTLED
+        return self.outcome in UNSETTLED
 
-    def ran(self, exchange: str) -> bool:
+    def has_run(self, exchange_id: str) -> bool:
         """Whether that exchange is known to have run."""
-        return exchange in self.past or (self.fate is Fate.ANSWERED and self.exchange == exchange)
+        return exchange_id in self.past_exchanges or (
+            self.outcome is ExchangeOutcome.ANSWERED and self.exchange_id == exchange_id
+        )
 
 
-def key_of(route: str, tenant: str, caller: bytes) -> str:
+def record_key(route: str, tenant: str, caller: bytes) -> str:
     """The key of a caller's record. The digest hides the caller's text, which may be a secret cookie."""
-    names = f"{len(route)}:{route}{len(tenant)}:{tenant}".encode()
-    return blake2b(names + caller, digest_size=12).hexdigest()
+    prefix = f"{len(route)}:{route}{len(tenant)}:{tenant}".encode()
+    return blake2b(prefix + caller, digest_size=12).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,35 +77,42 @@
 
     zone: str
     region: str
-    life: str = ""
+    instance_id: str = ""
 
 
-Pair = tuple[str, str]  # owner and copy; empty where there is none
+Placement = tuple[str, str]  # owner and copy; empty where there is none
 
 
 @dataclass(slots=True)
-class Era:
+class MembershipView:
     """The live gateways as one gateway knew them, from ``at`` (s) until the next era."""
 
-    at: float
-    peers: Mapping[str, Peer]
+    valid_from: float
+    gateways: Mapping[str, Peer]
     number: int = 0
-    known: dict[tuple[str, tuple[str, ...]], Pair] = field(default_factory=dict)
+    placements: dict[tuple[str, tuple[str, ...]], Placement] = field(default_factory=dict)
 
-    def pair(self, key: str, homes: tuple[str, ...], without: str = "") -> Pair:
+    def placement(self, key: str, home_regions: tuple[str, ...], excluded: str = "") -> Placement:
         """The owner: first by rank. Its copy: the next in another region, else in another zone, else any."""
-        if not without and (found := self.known.get((key, homes))) is not None:
-            return found
-        able = [n for n, p in self.peers.items() if n != without and (not homes or p.region in homes)]
-        names = sorted(able, key=lambda name: rank(key, name), reverse=True)
-        pair = "", ""
+        if not excluded and (cached := self.placements.get((key, home_regions))) is not None:
+            return cached
+        eligible = [
+            name
+            for name, peer in self.gateways.items()
+            if name != excluded and (not home_regions or peer.region in home_regions)
+        ]
+        names = sorted(eligible, key=lambda name: rank(key, name), reverse=True)
+        placement = "", ""
         if names:
-            first, rest = self.peers[names[0]], names[1:]
-            far = (n for n in rest if self.peers[n].region != first.region)
-            away = (n for n in rest if self.peers[n].zone != first.zone)
-            pair = names[0], next(far, None) or next(away, None) or next(iter(rest), "")
-        if not without:
-            if len(self.known) > 50_000:
-                self.known.clear()
-            self.known[key, homes] = pair
-        return pair
+            first, others = self.gateways[names[0]], names[1:]
+            in_other_region = (name for name in others if self.gateways[name].region != first.region)
+            in_other_zone = (name for name in others if self.gateways[name].zone != first.zone)
+            placement = (
+                names[0],
+                next(in_other_region, None) or next(in_other_zone, None) or next(iter(others), ""),
+            )
+        if not excluded:
+            if len(self.placements) > 50_000:
+                self.placements.clear()
+            self.placements[key, home_regions] = placement
+        return placement
--- a/latchspoke/session_records/simulation.py
+++ b/latchspoke/session_records/simulation.py
@@ -16,681 +16,817 @@
 
 from barleyhub.affinity.order import Member, order
 from barleyhub.affinity.order import key_of as placed_key
-from latchspoke.session_records.coordinator import LEAST, Ask, Desk, Go, Later, Pass, Step, Tell, Terms
-from latchspoke.session_records.decision import State
-from latchspoke.session_records.record import Bill, Fate, Number, Peer, key_of
-from latchspoke.session_records.store import Held, Letter, Message, Office, Out, read
+from latchspoke.session_records.coordinator import (
+    MIN_TTL_CONVERGENCE_PERIODS,
+    AttemptPermit,
+    Directive,
+    Proceed,
+    QueryServer,
+    ReportState,
+    RequestCoordinator,
+    RequestPolicy,
+    RetryLater,
+)
+from latchspoke.session_records.decision import ExchangeState
+from latchspoke.session_records.record import ExchangeOutcome, Peer, SessionRecord, Version, record_key
+from latchspoke.session_records.store import (
+    Message,
+    OutgoingMessage,
+    RecordStore,
+    StoredRecord,
+    StoreOutput,
+    decode_stored,
+)
 from latchspoke.transport.netstring import frame
 
-LEASE, PROOF = 4.5, 0.8  # s; of the right to act, and between its proofs
-SETTLE = 6.0
-SEEN = (1.5, 3.0)  # s until a gateway that is lost is seen to be
-BACK = (0.05, 0.4)  # and one that is back
-TICK = 0.25
-TOLD = 0.8  # s until a site hears that a server has ended
-APART = 5.0  # s between two losses
-CLIENT = 2.5  # s that a caller waits for an answer
-WAYS = (0.0014, 0.012)  # s one way, between zones and between regions
-NEAR = 0.0002
+LEASE_S, LEASE_RENEWAL_S = 4.5, 0.8  # s; of the right to act, and between its proofs
+CONVERGENCE_S = 6.0
+FAILURE_DETECTION_S = (1.5, 3.0)  # s until a gateway that is lost is seen to be
+RECOVERY_DETECTION_S = (0.05, 0.4)  # and one that is back
+TICK_S = 0.25
+SERVER_END_DELAY_S = 0.8  # s until a site hears that a server has ended
+FAULT_SPACING_S = 5.0  # s between two losses
+CLIENT_TIMEOUT_S = 2.5  # s that a caller waits for an answer
+LINK_DELAYS_S = (0.0014, 0.012)  # s one way, between zones and between regions
+SAME_ZONE_DELAY_S = 0.0002
 
 
 @dataclass(slots=True)
 class Server:
     """A place; each start is a new life. The sets are of tries."""
 
-    place: str
+    name: str
     zone: str
     region: str
-    life: str = ""
+    instance_id: str = ""
     up: bool = True
     running: set[str] = field(default_factory=set)
-    ran: set[str] = field(default_factory=set)
+    completed: set[str] = field(default_factory=set)
     sealed: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
-class Try:
+class ClientRequest:
     """One request of a caller's, at one site."""
 
-    ref: str
+    request_id: str
     caller: str
-    exchange: str
-    site: str
-    begun: float
+    exchange_id: str
+    gateway_name: str
+    started_at: float
     answer: str = ""
-    tried: list[str] = field(default_factory=list)
+    tried_instances: list[str] = field(default_factory=list)
     target: str = ""
-    passed_until: float = 0.0
-    left: bool = False  # its caller waits no longer
-    gone: bool = False  # and its site has seen that: a phone that loses its net says nothing
+    permitted_until: float = 0.0
+    abandoned: bool = False  # its caller waits no longer
+    disconnected: bool = False  # and its site has seen that: a phone that loses its net says nothing
     done: bool = False  # the site has ended it
     ran: bool = False
-    looked: float = -1.0
+    lookup_s: float = -1.0
 
 
-class Site:
+class Gateway:
     """One gateway with its own view of the others and of the servers."""
 
-    def __init__(self, world: World, name: str, zone: str, region: str, life: int) -> None:
-        self.world, self.name, self.zone, self.region, self.life = world, name, zone, region, f"{life}"
-        self.up, self.frozen, self.cut = True, False, False
+    def __init__(self, simulation: Simulation, name: str, zone: str, region: str, instance_id: int) -> None:
+        self.simulation, self.name, self.zone, self.region, self.instance_id = (
+            simulation,
+            name,
+            zone,
+            region,
+            f"{instance_id}",
+        )
+        self.up, self.frozen, self.isolated = True, False, False
         self.backlog: list[Callable[[], None]] = []
-        self.view: dict[str, Peer] = {name: Peer(zone, region, self.life)}
-        self.proven = world.now
+        self.view: dict[str, Peer] = {name: Peer(zone, region, self.instance_id)}
+        self.lease_renewed_at = simulation.now
         self.stats: Counter[str] = Counter()
-        self.office = world.office(self)
-        self.desk = Desk(self.office, self.known)
+        self.store = simulation.create_store(self)
+        self.coordinator = RequestCoordinator(self.store, self.is_known_instance)
         self.pins: dict[str, str] = {}  # where there are no records
-        self.tries: dict[str, Try] = {}
+        self.requests: dict[str, ClientRequest] = {}
 
-    def known(self, life: str) -> bool:
-        ended = self.world.ended.get(life)
-        return life in self.world.lives and (ended is None or self.world.now < ended + TOLD)
+    def is_known_instance(self, instance_id: str) -> bool:
+        ended_at = self.simulation.ended_at.get(instance_id)
+        return instance_id in self.simulation.instances and (
+            ended_at is None or self.simulation.now < ended_at + SERVER_END_DELAY_S
+        )
 
-    def right(self) -> float:
-        return self.proven + LEASE
+    def lease_until(self) -> float:
+        return self.lease_renewed_at + LEASE_S
 
-    def see(self) -> None:
-        self.world.sent(self, self.desk_outs(self.office.live(dict(self.view), self.world.now)))
+    def apply_view(self) -> None:
+        self.simulation.carry_out(
+            self, self.process_outputs(self.store.update_membership(dict(self.view), self.simulation.now))
+        )
 
-    def desk_outs(self, outs: list[Out]) -> list[Step]:
-        self.desk.carry(outs, self.world.now)
-        return self.desk.given()
+    def process_outputs(self, outputs: list[StoreOutput]) -> list[Directive]:
+        self.coordinator.process_outputs(outputs, self.simulation.now)
+        return self.coordinator.take_directives()
 
 
-class World:
+class Simulation:
     """See the module. ``records`` off: by placement and each site's own pins, as without ``travels``."""
 
     def __init__(
         self, seed: int, gateways: int = 9, servers: int = 9, callers: int = 12, strict: bool = True,
-        able: bool = True, records: bool = True, travel: float = 0.4, guards: frozenset[str] = frozenset(),
-        homes: tuple[str, ...] = (), pause: float = 0.4, most: int = 100_000, lasts: float = 30.0,
+        can_query: bool = True, records: bool = True, move_probability: float = 0.4,
+        guards: frozenset[str] = frozenset(),
+        home_regions: tuple[str, ...] = (), pause_s: float = 0.4, max_records: int = 100_000,
+        ttl_s: float = 30.0,
     ) -> None:  # fmt: skip
-        self.seed, self.draw, self.now = seed, random.Random(seed), 0.0
-        self.guards, self.records, self.travel, self.pause, self.most = guards, records, travel, pause, most
-        self.terms = Terms(homes, lasts, 0.25 if strict else 0.05, strict, able)
-        self.numbers, self.heap = itertools.count(1), list[tuple[float, int, Callable[[], object]]]()
-        self.faults: list[str] = []
-        self.bytes: Counter[str] = Counter()
-        self.letters: Counter[str] = Counter()
-        self.looks: list[float] = []
-        self.kept = [0, 0]  # first requests at another site, while the last server serves: at it, elsewhere
-        self.committed: dict[str, tuple[Number, Bill, float]] = {}  # and until when it lives
-        self.fifo: dict[tuple[str, str], float] = {}
+        self.seed, self.rng, self.now = seed, random.Random(seed), 0.0
+        self.guards, self.records, self.move_probability, self.pause_s, self.max_records = (
+            guards,
+            records,
+            move_probability,
+            pause_s,
+            max_records,
+        )
+        self.policy = RequestPolicy(home_regions, ttl_s, 0.25 if strict else 0.05, strict, can_query)
+        self.sequence, self.events = itertools.count(1), list[tuple[float, int, Callable[[], object]]]()
+        self.violations: list[str] = []
+        self.bytes_by_kind: Counter[str] = Counter()
+        self.messages_by_kind: Counter[str] = Counter()
+        self.lookup_times_s: list[float] = []
+        self.affinity_results = [
+            0,
+            0,
+        ]  # first requests at another site, while the last server serves: at it, elsewhere
+        self.committed: dict[str, tuple[Version, SessionRecord, float]] = {}  # and until when it lives
+        self.last_delivery: dict[tuple[str, str], float] = {}
         self.runs: dict[str, list[str]] = {}
-        self.ran_at: dict[str, float] = {}  # the last run of an exchange
-        self.known_for = max(lasts, LEAST * SETTLE)  # s after its last write
-        self.unknown: Counter[str] = Counter()
-        self.tries: list[Try] = []
+        self.last_run_at: dict[str, float] = {}  # the last run of an exchange
+        self.remembered_s = max(ttl_s, MIN_TTL_CONVERGENCE_PERIODS * CONVERGENCE_S)  # s after its last write
+        self.reported_unknown: Counter[str] = Counter()
+        self.requests: list[ClientRequest] = []
         self.finished: Counter[str] = Counter()
         self.cuts: set[frozenset[str]] = set()
-        self.stalls: set[str] = set()  # sites that are to stand still once they are to send
+        self.stall_before_send: set[str] = set()  # sites that are to stand still once they are to send
         self.servers: dict[str, Server] = {}
         for number in range(servers):
             region = number % 3
-            place = f"s{number}"
-            self.servers[place] = Server(place, f"r{region}z{number % 2}", f"r{region}", f"{place}-1")
-        self.lives = {server.life for server in self.servers.values()}
-        self.ended: dict[str, float] = {}
-        self.sites: dict[str, Site] = {}
+            name = f"s{number}"
+            self.servers[name] = Server(name, f"r{region}z{number % 2}", f"r{region}", f"{name}-1")
+        self.instances = {server.instance_id for server in self.servers.values()}
+        self.ended_at: dict[str, float] = {}
+        self.gateways: dict[str, Gateway] = {}
         for number in range(gateways):
             region = number % 3
             name = f"g{number}"
-            self.sites[name] = Site(self, name, f"r{region}z{(number // 3) % 2}", f"r{region}", 1)
-        peers = {n: Peer(s.zone, s.region, s.life) for n, s in self.sites.items()}
-        for site in self.sites.values():
-            site.view = dict(peers)
-            site.see()
-            self.at(self.draw.uniform(0, PROOF), partial(self.prove, site))
-            self.at(self.draw.uniform(0, TICK), partial(self.tick, site))
+            self.gateways[name] = Gateway(self, name, f"r{region}z{(number // 3) % 2}", f"r{region}", 1)
+        peers = {
+            peer_name: Peer(peer.zone, peer.region, peer.instance_id)
+            for peer_name, peer in self.gateways.items()
+        }
+        for gateway in self.gateways.values():
+            gateway.view = dict(peers)
+            gateway.apply_view()
+            self.schedule(self.rng.uniform(0, LEASE_RENEWAL_S), partial(self.renew_lease, gateway))
+            self.schedule(self.rng.uniform(0, TICK_S), partial(self.tick, gateway))
         self.callers = [f"c{number}" for number in range(callers)]
         self.stop_at = 1e9
-        self.last: dict[str, tuple[str, str]] = {}  # the life that served a caller last, and the site
+        self.last_served: dict[str, tuple[str, str]] = {}  # the life that served a caller last, and the site
 
     # Time.
 
-    def at(self, after: float, act: Callable[[], object]) -> None:
-        heapq.heappush(self.heap, (self.now + after, next(self.numbers), act))
+    def schedule(self, delay_s: float, action: Callable[[], object]) -> None:
+        heapq.heappush(self.events, (self.now + delay_s, next(self.sequence), action))
 
     def run(self, until: float) -> None:
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, act = heapq.heappop(self.heap)
-            act()
+        while self.events and self.events[0][0] <= until:
+            self.now, _, action = heapq.heappop(self.events)
+            action()
         self.now = until
 
-    def on(self, site: Site, act: Callable[[], None]) -> None:
+    def run_at(self, gateway: Gateway, action: Callable[[], None]) -> None:
         """At a site: not while it stands still, and not once it has died."""
-        if not site.up or self.sites.get(site.name) is not site:
+        if not gateway.up or self.gateways.get(gateway.name) is not gateway:
             return
-        if site.frozen:
-            site.backlog.append(act)
+        if gateway.frozen:
+            gateway.backlog.append(action)
         else:
-            act()
+            action()
 
     # Machines.
 
-    def office(self, site: Site) -> Office:
-        cls = GUARDED.get(next(iter(self.guards & GUARDED.keys()), ""), Office)
-        return cls(site.name, site.life, SETTLE, self.now, site.right, site.stats, self.most, LEASE)
-
-    def prove(self, site: Site) -> None:
-        if site.up and self.sites[site.name] is site:
-            if not site.frozen and not site.cut:
-                site.proven = self.now
-            self.at(PROOF, lambda: self.prove(site))
-
-    def tick(self, site: Site) -> None:
-        def act() -> None:
-            self.sent(site, site.desk.tick(self.now))
-
-        if site.up and self.sites[site.name] is site:
-            self.on(site, act)
-            self.at(TICK, lambda: self.tick(site))
-
-    def reach(self, a: str, b: str) -> bool:
-        one, two = self.sites[a], self.sites[b]
-        runs = one.up and two.up and not one.frozen and not two.frozen
-        return runs and frozenset((a, b)) not in self.cuts
-
-    def look_around(self) -> None:
+    def create_store(self, gateway: Gateway) -> RecordStore:
+        store_class = GUARD_MUTATIONS.get(next(iter(self.guards & GUARD_MUTATIONS.keys()), ""), RecordStore)
+        return store_class(
+            gateway.name,
+            gateway.instance_id,
+            CONVERGENCE_S,
+            self.now,
+            gateway.lease_until,
+            gateway.stats,
+            self.max_records,
+            LEASE_S,
+        )
+
+    def renew_lease(self, gateway: Gateway) -> None:
+        if gateway.up and self.gateways[gateway.name] is gateway:
+            if not gateway.frozen and not gateway.isolated:
+                gateway.lease_renewed_at = self.now
+            self.schedule(LEASE_RENEWAL_S, lambda: self.renew_lease(gateway))
+
+    def tick(self, gateway: Gateway) -> None:
+        def tick() -> None:
+            self.carry_out(gateway, gateway.coordinator.tick(self.now))
+
+        if gateway.up and self.gateways[gateway.name] is gateway:
+            self.run_at(gateway, tick)
+            self.schedule(TICK_S, lambda: self.tick(gateway))
+
+    def is_reachable(self, a: str, b: str) -> bool:
+        first, second = self.gateways[a], self.gateways[b]
+        running = first.up and second.up and not first.frozen and not second.frozen
+        return running and frozenset((a, b)) not in self.cuts
+
+    def update_views(self) -> None:
         """Views follow what can be reached, each after a time of its own; a third party's word counts."""
-        names = list(self.sites)
+        names = list(self.gateways)
         for a in names:
             for b in names:
-                if a != b and self.sites[a].up:
-                    seen = b in self.sites[a].view and self.sites[a].view[b].life == self.sites[b].life
-                    if self.heard_of(a, b) != seen:
-                        self.at(
-                            self.draw.uniform(*(BACK if not seen else SEEN)),
+                if a != b and self.gateways[a].up:
+                    known = (
+                        b in self.gateways[a].view
+                        and self.gateways[a].view[b].instance_id == self.gateways[b].instance_id
+                    )
+                    if self.is_known_alive(a, b) != known:
+                        self.schedule(
+                            self.rng.uniform(*(RECOVERY_DETECTION_S if not known else FAILURE_DETECTION_S)),
                             partial(self.update, a, b),
                         )
 
-    def heard_of(self, a: str, b: str) -> bool:
-        return self.reach(a, b) or any(self.reach(a, c) and self.reach(c, b) for c in self.sites)
+    def is_known_alive(self, a: str, b: str) -> bool:
+        return self.is_reachable(a, b) or any(
+            self.is_reachable(a, c) and self.is_reachable(c, b) for c in self.gateways
+        )
 
     def update(self, a: str, b: str) -> None:
-        site, other = self.sites[a], self.sites[b]
+        gateway, other = self.gateways[a], self.gateways[b]
 
-        def act() -> None:
-            new = dict(site.view)
-            if self.heard_of(a, b):
-                new[b] = Peer(other.zone, other.region, other.life)
+        def apply() -> None:
+            view = dict(gateway.view)
+            if self.is_known_alive(a, b):
+                view[b] = Peer(other.zone, other.region, other.instance_id)
             else:
-                new.pop(b, None)
-            if new != site.view:
-                site.view = new
-                site.see()
+                view.pop(b, None)
+            if view != gateway.view:
+                gateway.view = view
+                gateway.apply_view()
 
-        if not site.frozen:
-            self.on(site, act)
+        if not gateway.frozen:
+            self.run_at(gateway, apply)
 
     def kill(self, name: str) -> None:
-        self.sites[name].up = False
-        self.look_around()
+        self.gateways[name].up = False
+        self.update_views()
 
     def start(self, name: str) -> None:
-        old = self.sites[name]
-        if old.up:
+        previous = self.gateways[name]
+        if previous.up:
             return
-        site = self.sites[name] = Site(self, name, old.zone, old.region, int(old.life) + 1)
-        site.cut = old.cut
-        self.at(0.0, lambda: self.prove(site))
-        self.at(0.1, lambda: self.tick(site))
-        site.see()
-        self.look_around()
+        gateway = self.gateways[name] = Gateway(
+            self, name, previous.zone, previous.region, int(previous.instance_id) + 1
+        )
+        gateway.isolated = previous.isolated
+        self.schedule(0.0, lambda: self.renew_lease(gateway))
+        self.schedule(0.1, lambda: self.tick(gateway))
+        gateway.apply_view()
+        self.update_views()
 
     def freeze(self, name: str) -> None:
-        self.sites[name].frozen = True
-        self.look_around()
+        self.gateways[name].frozen = True
+        self.update_views()
 
     def thaw(self, name: str) -> None:
-        self.stalls.discard(name)
-        site = self.sites[name]
-        site.frozen = False
-        backlog, site.backlog = site.backlog, []
-        for act in backlog:
-            act()
-        self.look_around()
-
-    def cut_off(self, names: list[str], core: bool = True) -> None:
+        self.stall_before_send.discard(name)
+        gateway = self.gateways[name]
+        gateway.frozen = False
+        backlog, gateway.backlog = gateway.backlog, []
+        for action in backlog:
+            action()
+        self.update_views()
+
+    def partition(self, names: list[str], from_control_plane: bool = True) -> None:
         """These from all others; ``core``: from the core as well, so that their right ends."""
         inside = set(names)
-        self.cuts |= {frozenset((a, b)) for a in inside for b in self.sites if b not in inside}
+        self.cuts |= {frozenset((a, b)) for a in inside for b in self.gateways if b not in inside}
         for name in names:
-            self.sites[name].cut = core
-        self.look_around()
+            self.gateways[name].isolated = from_control_plane
+        self.update_views()
 
-    def join(self) -> None:
+    def heal(self) -> None:
         self.cuts.clear()
-        for site in self.sites.values():
-            site.cut = False
-        self.look_around()
+        for gateway in self.gateways.values():
+            gateway.isolated = False
+        self.update_views()
 
-    def add(self, place: str, region: int) -> None:
+    def add_server(self, name: str, region: int) -> None:
         """A server that was not there before."""
-        self.servers[place] = Server(place, f"r{region}z0", f"r{region}", f"{place}-1")
-        self.lives.add(f"{place}-1")
+        self.servers[name] = Server(name, f"r{region}z0", f"r{region}", f"{name}-1")
+        self.instances.add(f"{name}-1")
 
-    def restart(self, place: str, takes: float = 0.5) -> None:
+    def restart_server(self, name: str, down_s: float = 0.5) -> None:
         """The same address, a new life; what the old one knew and was at is lost with it."""
-        server = self.servers[place]
+        server = self.servers[name]
         server.up = False
-        self.ended.setdefault(server.life, self.now)
+        self.ended_at.setdefault(server.instance_id, self.now)
 
         def begin() -> None:
-            life = f"{place}-{next(self.numbers)}"
-            self.lives.add(life)
-            self.servers[place] = Server(place, server.zone, server.region, life)
+            instance_id = f"{name}-{next(self.sequence)}"
+            self.instances.add(instance_id)
+            self.servers[name] = Server(name, server.zone, server.region, instance_id)
 
-        self.at(takes, begin)
+        self.schedule(down_s, begin)
 
     # Messages.
 
-    def way(self, zone: str, region: str, to_zone: str, to_region: str) -> float:
-        base = WAYS[1] if region != to_region else WAYS[0] if zone != to_zone else NEAR
-        return base * self.draw.uniform(1.0, 1.2)
-
-    def sent(self, site: Site, steps: list[Step]) -> None:
-        for step in steps:
-            match step:
-                case Letter(to, message):
-                    self.letter(site, to, message)
-                case Go(ref, bill):
-                    self.go(site, site.tries[ref], bill)
-                case Tell(ref, state, exchange):
-                    self.tell(site, ref, state, exchange)
-                case Later(ref):
-                    self.end(site, site.tries[ref], "503")
-                case Ask(ref, life, attempt):
-                    self.ask(site, ref, life, attempt)
-                case Pass(ref, ok, until):
-                    self.passed(site, site.tries.get(ref), ok, until)
-
-    def letter(self, site: Site, to: str, message: Message) -> None:
-        self.watch(site, message)
-        other = self.sites.get(to)
-        if other is None:
+    def link_delay(self, zone: str, region: str, to_zone: str, to_region: str) -> float:
+        base = (
+            LINK_DELAYS_S[1]
+            if region != to_region
+            else LINK_DELAYS_S[0]
+            if zone != to_zone
+            else SAME_ZONE_DELAY_S
+        )
+        return base * self.rng.uniform(1.0, 1.2)
+
+    def carry_out(self, gateway: Gateway, directives: list[Directive]) -> None:
+        for directive in directives:
+            match directive:
+                case OutgoingMessage(to, message):
+                    self.send_message(gateway, to, message)
+                case Proceed(request_id, record):
+                    self.choose_server(gateway, gateway.requests[request_id], record)
+                case ReportState(request_id, state, exchange_id):
+                    self.report_state(gateway, request_id, state, exchange_id)
+                case RetryLater(request_id):
+                    self.end_request(gateway, gateway.requests[request_id], "503")
+                case QueryServer(request_id, instance_id, attempt_id):
+                    self.query_server(gateway, request_id, instance_id, attempt_id)
+                case AttemptPermit(request_id, granted, valid_until):
+                    self.on_permit(gateway, gateway.requests.get(request_id), granted, valid_until)
+
+    def send_message(self, gateway: Gateway, to: str, message: Message) -> None:
+        self.observe(gateway, message)
+        target = self.gateways.get(to)
+        if target is None:
             return
         size = len(frame(message))
-        self.bytes[str(message["w"])] += size
-        self.letters[str(message["w"])] += 1
-        if frozenset((site.name, to)) in self.cuts:
+        self.bytes_by_kind[str(message["w"])] += size
+        self.messages_by_kind[str(message["w"])] += 1
+        if frozenset((gateway.name, to)) in self.cuts:
             return
-        due = self.now + self.way(site.zone, site.region, other.zone, other.region)
-        due = self.fifo[site.name, to] = max(due, self.fifo.get((site.name, to), 0.0) + 1e-6)
+        delivered_at = self.now + self.link_delay(gateway.zone, gateway.region, target.zone, target.region)
+        delivered_at = self.last_delivery[gateway.name, to] = max(
+            delivered_at, self.last_delivery.get((gateway.name, to), 0.0) + 1e-6
+        )
 
-        def heard() -> None:
-            if frozenset((site.name, to)) not in self.cuts:
-                self.sent(other, other.desk.heard(site.name, message, self.now))
+        def deliver() -> None:
+            if frozenset((gateway.name, to)) not in self.cuts:
+                self.carry_out(target, target.coordinator.receive(gateway.name, message, self.now))
 
-        self.at(due - self.now, lambda: self.on(other, heard))
+        self.schedule(delivered_at - self.now, lambda: self.run_at(target, deliver))
 
-    def watch(self, site: Site, message: Message) -> None:
+    def observe(self, gateway: Gateway, message: Message) -> None:
         """What an owner has agreed to: numbers only go up, and none means two things."""
         if message["w"] == "done" and message["word"] in ("given", "kept"):
-            self.agreed(message["b"])
+            self.check_version(message["b"])
 
-    def agreed(self, bill: Bill) -> None:
-        last = self.committed.get(bill.key)
+    def check_version(self, record: SessionRecord) -> None:
+        last = self.committed.get(record.key)
         if last is not None and self.now > last[2]:
             last = None
-        if last is not None and bill.number <= last[0] and bill != last[1]:
-            self.faults.append(
-                f"{self.now:.2f} number {bill.number} of {bill.site} after {last[0]} of {last[1].site}"
+        if last is not None and record.version <= last[0] and record != last[1]:
+            self.violations.append(
+                f"{self.now:.2f} version {record.version} of {record.gateway_instance}"
+                f" after {last[0]} of {last[1].gateway_instance}"
             )
-        if last is None or bill.number > last[0]:
-            self.committed[bill.key] = bill.number, bill, self.now + bill.lasts
+        if last is None or record.version > last[0]:
+            self.committed[record.key] = record.version, record, self.now + record.ttl_s
 
     # Requests.
 
-    def request(self, caller: str, exchange: str, name: str) -> Try:
-        ref = f"t{next(self.numbers)}"
-        one = Try(ref, caller, exchange, name, self.now)
-        self.tries.append(one)
-        site = self.sites[name]
-        if not site.up:
-            one.answer = "closed"
-        elif site.frozen:
+    def request(self, caller: str, exchange_id: str, gateway_name: str) -> ClientRequest:
+        request_id = f"t{next(self.sequence)}"
+        request = ClientRequest(request_id, caller, exchange_id, gateway_name, self.now)
+        self.requests.append(request)
+        gateway = self.gateways[gateway_name]
+        if not gateway.up:
+            request.answer = "closed"
+        elif gateway.frozen:
             # It waits in the socket, and is read once the process goes on.
-            site.backlog.append(partial(self.taken, site, one))
+            gateway.backlog.append(partial(self.accept, gateway, request))
         else:
-            self.taken(site, one)
-        return one
+            self.accept(gateway, request)
+        return request
 
-    def taken(self, site: Site, one: Try) -> None:
-        caller, exchange, ref = one.caller, one.exchange, one.ref
-        site.tries[ref] = one
+    def accept(self, gateway: Gateway, request: ClientRequest) -> None:
+        caller, exchange_id, request_id = request.caller, request.exchange_id, request.request_id
+        gateway.requests[request_id] = request
         if not self.records:
-            life = site.pins.get(caller, "")
-            self.go(site, one, Bill(key="", life=life) if site.known(life) else None)
+            instance_id = gateway.pins.get(caller, "")
+            self.choose_server(
+                gateway,
+                request,
+                SessionRecord(key="", instance_id=instance_id)
+                if gateway.is_known_instance(instance_id)
+                else None,
+            )
             return
-        key = key_of("route", "", caller.encode())
-        steps = site.desk.arrive(ref, key, exchange, self.terms, self.now)
-        if site.desk.trips[ref].looking:
-            self.at(
-                self.terms.look, lambda: self.on(site, lambda: self.sent(site, site.desk.late(ref, self.now)))
+        key = record_key("route", "", caller.encode())
+        directives = gateway.coordinator.start_request(request_id, key, exchange_id, self.policy, self.now)
+        if gateway.coordinator.requests[request_id].awaiting_record:
+            self.schedule(
+                self.policy.lookup_timeout_s,
+                lambda: self.run_at(
+                    gateway,
+                    lambda: self.carry_out(gateway, gateway.coordinator.lookup_expired(request_id, self.now)),
+                ),
             )
-        self.sent(site, steps)
-
-    def go(self, site: Site, one: Try, bill: Bill | None) -> None:
-        if one.looked < 0:
-            one.looked = self.now - one.begun
-            self.looks.append(one.looked)
-        ready = {s.life: s for s in self.servers.values() if site.known(s.life) and s.life not in one.tried}
-        server = ready.get(bill.life) if bill is not None and not one.tried else None
+        self.carry_out(gateway, directives)
+
+    def choose_server(self, gateway: Gateway, request: ClientRequest, record: SessionRecord | None) -> None:
+        if request.lookup_s < 0:
+            request.lookup_s = self.now - request.started_at
+            self.lookup_times_s.append(request.lookup_s)
+        ready = {
+            directive.instance_id: directive
+            for directive in self.servers.values()
+            if gateway.is_known_instance(directive.instance_id)
+            and directive.instance_id not in request.tried_instances
+        }
+        server = ready.get(record.instance_id) if record is not None and not request.tried_instances else None
         if server is None:
-            members = [Member(s.place, 4.0, s.zone, s.region) for s in ready.values()]
-            ranks = order(placed_key(one.caller.encode()), members)
+            members = [
+                Member(directive.name, 4.0, directive.zone, directive.region) for directive in ready.values()
+            ]
+            ranks = order(placed_key(request.caller.encode()), members)
             server = self.servers[ranks[0][2]] if ranks else None
-        if server is None or len(one.tried) >= 3:
-            self.end(site, one, "503")
+        if server is None or len(request.tried_instances) >= 3:
+            self.end_request(gateway, request, "503")
             return
-        one.tried.append(server.life)
-        one.target = server.place
-        last, where = self.last.get(one.caller, ("", ""))
-        lives = any(s.life == last and s.up for s in self.servers.values())
-        if lives and where != site.name and len(one.tried) == 1:
-            self.kept[last != server.life] += 1
+        request.tried_instances.append(server.instance_id)
+        request.target = server.name
+        last, last_gateway = self.last_served.get(request.caller, ("", ""))
+        serving = any(directive.instance_id == last and directive.up for directive in self.servers.values())
+        if serving and last_gateway != gateway.name and len(request.tried_instances) == 1:
+            self.affinity_results[last != server.instance_id] += 1
         if not self.records:
-            self.send(site, one, server.life, server.place)
+            self.send_attempt(gateway, request, server.instance_id, server.name)
             return
-        steps = site.desk.attempt(one.ref, "service", server.life, server.place, self.now)
+        directives = gateway.coordinator.begin_attempt(
+            request.request_id, "service", server.instance_id, server.name, self.now
+        )
         if "unopened" in self.guards:
-            steps = [s if not isinstance(s, Pass) else Pass(s.ref, True, 1e9) for s in steps]
-            if not any(isinstance(s, Pass) for s in steps):
-                steps.append(Pass(one.ref, True, 1e9))
-        self.sent(site, steps)
-
-    def passed(self, site: Site, one: Try | None, ok: bool, until: float) -> None:
-        if one is None or one.gone or one.done:
+            directives = [
+                directive
+                if not isinstance(directive, AttemptPermit)
+                else AttemptPermit(directive.request_id, True, 1e9)
+                for directive in directives
+            ]
+            if not any(isinstance(directive, AttemptPermit) for directive in directives):
+                directives.append(AttemptPermit(request.request_id, True, 1e9))
+        self.carry_out(gateway, directives)
+
+    def on_permit(
+        self, gateway: Gateway, request: ClientRequest | None, granted: bool, valid_until: float
+    ) -> None:
+        if request is None or request.disconnected or request.done:
             return
-        if not ok:
-            self.outcome(site, one, Fate.NOT_RUN, None)
+        if not granted:
+            self.end_attempt(gateway, request, ExchangeOutcome.NOT_RUN, None)
             return
-        if site.name in self.stalls:
+        if gateway.name in self.stall_before_send:
             # It stands still right before the first byte.
-            self.stalls.discard(site.name)
-            self.freeze(site.name)
-        life, place = one.tried[-1], one.target
+            self.stall_before_send.discard(gateway.name)
+            self.freeze(gateway.name)
+        instance_id, server_name = request.tried_instances[-1], request.target
         if "no_pass" in self.guards:
-            until = 1e9
+            valid_until = 1e9
         # A connection comes up first; the site may stand still meanwhile.
-        connect = self.draw.uniform(0.0005, 0.03)
+        connect_s = self.rng.uniform(0.0005, 0.03)
 
         def write() -> None:
-            if self.now >= until:
-                self.outcome(site, one, Fate.NOT_RUN, None)
+            if self.now >= valid_until:
+                self.end_attempt(gateway, request, ExchangeOutcome.NOT_RUN, None)
             else:
-                self.send(site, one, life, place)
-
-        self.at(connect, lambda: self.on(site, write))
-
-    def send(self, site: Site, one: Try, life: str, place: str) -> None:
-        server = self.servers[place]
-        way = self.way(site.zone, site.region, server.zone, server.region)
-        self.at(way, lambda: self.arrive(site, one, life, place))
-
-    def arrive(self, site: Site, one: Try, life: str, place: str) -> None:
-        server = self.servers[place]
-        if not server.up or server.life != life or one.ref in server.sealed:
-            self.at(0.002, lambda: self.on(site, lambda: self.outcome(site, one, Fate.NOT_RUN, life)))
+                self.send_attempt(gateway, request, instance_id, server_name)
+
+        self.schedule(connect_s, lambda: self.run_at(gateway, write))
+
+    def send_attempt(
+        self, gateway: Gateway, request: ClientRequest, instance_id: str, server_name: str
+    ) -> None:
+        server = self.servers[server_name]
+        delay_s = self.link_delay(gateway.zone, gateway.region, server.zone, server.region)
+        self.schedule(delay_s, lambda: self.receive_attempt(gateway, request, instance_id, server_name))
+
+    def receive_attempt(
+        self, gateway: Gateway, request: ClientRequest, instance_id: str, server_name: str
+    ) -> None:
+        server = self.servers[server_name]
+        if not server.up or server.instance_id != instance_id or request.request_id in server.sealed:
+            self.schedule(
+                0.002,
+                lambda: self.run_at(
+                    gateway, lambda: self.end_attempt(gateway, request, ExchangeOutcome.NOT_RUN, instance_id)
+                ),
+            )
             return
-        one.ran = True
-        if self.now - self.ran_at.get(one.exchange, -1e9) > self.known_for:
-            self.runs.pop(one.exchange, None)  # nobody promises to know of it for so long
-        self.ran_at[one.exchange] = self.now
-        self.runs.setdefault(one.exchange, []).append(life)
-        server.running.add(one.ref)
+        request.ran = True
+        if self.now - self.last_run_at.get(request.exchange_id, -1e9) > self.remembered_s:
+            self.runs.pop(request.exchange_id, None)  # nobody promises to know of it for so long
+        self.last_run_at[request.exchange_id] = self.now
+        self.runs.setdefault(request.exchange_id, []).append(instance_id)
+        server.running.add(request.request_id)
 
         def finish() -> None:
-            if self.servers[place] is not server or not server.up:
-                self.on(site, lambda: self.outcome(site, one, Fate.MAY_RUN, life))
+            if self.servers[server_name] is not server or not server.up:
+                self.run_at(
+                    gateway, lambda: self.end_attempt(gateway, request, ExchangeOutcome.MAY_RUN, instance_id)
+                )
                 return
-            server.running.discard(one.ref)
-            server.ran.add(one.ref)
-            lost = self.terms.strict and self.draw.random() < 0.03
-            fate = Fate.MAY_RUN if lost else Fate.ANSWERED
-            self.at(
-                1.0 if lost else 0.002, lambda: self.on(site, lambda: self.outcome(site, one, fate, life))
+            server.running.discard(request.request_id)
+            server.completed.add(request.request_id)
+            lost = self.policy.strict and self.rng.random() < 0.03
+            outcome = ExchangeOutcome.MAY_RUN if lost else ExchangeOutcome.ANSWERED
+            self.schedule(
+                1.0 if lost else 0.002,
+                lambda: self.run_at(
+                    gateway, lambda: self.end_attempt(gateway, request, outcome, instance_id)
+                ),
             )
 
-        self.at(self.draw.uniform(0.01, 0.4), finish)
+        self.schedule(self.rng.uniform(0.01, 0.4), finish)
 
-    def outcome(self, site: Site, one: Try, fate: Fate, life: str | None) -> None:
+    def end_attempt(
+        self, gateway: Gateway, request: ClientRequest, outcome: ExchangeOutcome, instance_id: str | None
+    ) -> None:
         if self.records:
-            self.sent(site, site.desk.outcome(one.ref, fate, self.now))
-        elif fate is Fate.ANSWERED and life is not None:
-            site.pins[one.caller] = life
-        if fate is Fate.ANSWERED:
-            if life is not None:
-                self.last[one.caller] = life, site.name
-            self.end(site, one, "200")
-        elif fate is Fate.MAY_RUN:
-            self.end(site, one, "502")
-        elif not one.gone:
-            self.go(site, one, None)
+            self.carry_out(gateway, gateway.coordinator.end_attempt(request.request_id, outcome, self.now))
+        elif outcome is ExchangeOutcome.ANSWERED and instance_id is not None:
+            gateway.pins[request.caller] = instance_id
+        if outcome is ExchangeOutcome.ANSWERED:
+            if instance_id is not None:
+                self.last_served[request.caller] = instance_id, gateway.name
+            self.end_request(gateway, request, "200")
+        elif outcome is ExchangeOutcome.MAY_RUN:
+            self.end_request(gateway, request, "502")
+        elif not request.disconnected:
+            self.choose_server(gateway, request, None)
         else:
-            self.end(site, one, "closed")
-
-    def tell(self, site: Site, ref: str, state: State, exchange: str) -> None:
-        one = site.tries[ref]
-        if state is State.UNKNOWN:
-            self.unknown[exchange] += 1
-        elif exchange not in self.runs:
-            self.faults.append(f"{self.now:.2f} {exchange} told to have run, and never has")
-        self.end(site, one, f"409 {state.value} {exchange}")
-
-    def ask(self, site: Site, ref: str, life: str, attempt: str) -> None:
-        server = next((s for s in self.servers.values() if s.life == life and s.up), None)
-        state = State.UNKNOWN
+            self.end_request(gateway, request, "closed")
+
+    def report_state(self, gateway: Gateway, request_id: str, state: ExchangeState, exchange_id: str) -> None:
+        request = gateway.requests[request_id]
+        if state is ExchangeState.UNKNOWN:
+            self.reported_unknown[exchange_id] += 1
+        elif exchange_id not in self.runs:
+            self.violations.append(f"{self.now:.2f} {exchange_id} told to have run, and never has")
+        self.end_request(gateway, request, f"409 {state.value} {exchange_id}")
+
+    def query_server(self, gateway: Gateway, request_id: str, instance_id: str, attempt_id: str) -> None:
+        server = next((s for s in self.servers.values() if s.instance_id == instance_id and s.up), None)
+        state = ExchangeState.UNKNOWN
         if server is not None:
-            state = State.RUN if attempt in server.ran else State.NOT_RUN
-            if attempt in server.running:
-                state = State.OPEN
-            if state is State.NOT_RUN and "unsealed" not in self.guards:
-                server.sealed.add(attempt)
+            state = ExchangeState.RUN if attempt_id in server.completed else ExchangeState.NOT_RUN
+            if attempt_id in server.running:
+                state = ExchangeState.OPEN
+            if state is ExchangeState.NOT_RUN and "unsealed" not in self.guards:
+                server.sealed.add(attempt_id)
         elif "silence" in self.guards:
-            state = State.NOT_RUN
-        self.at(0.01, lambda: self.on(site, lambda: self.sent(site, site.desk.asked(ref, state, self.now))))
-
-    def end(self, site: Site, one: Try, answer: str) -> None:
-        one.done = True
-        if not one.answer:
-            one.answer = answer
-            if answer == "503" and one.ran:
-                self.faults.append(f"{self.now:.2f} {one.ref} ran and was answered 503")
-        site.tries.pop(one.ref, None)
-        site.desk.end(one.ref)
+            state = ExchangeState.NOT_RUN
+        self.schedule(
+            0.01,
+            lambda: self.run_at(
+                gateway,
+                lambda: self.carry_out(
+                    gateway, gateway.coordinator.on_server_state(request_id, state, self.now)
+                ),
+            ),
+        )
+
+    def end_request(self, gateway: Gateway, request: ClientRequest, answer: str) -> None:
+        request.done = True
+        if not request.answer:
+            request.answer = answer
+            if answer == "503" and request.ran:
+                self.violations.append(f"{self.now:.2f} {request.request_id} ran and was answered 503")
+        gateway.requests.pop(request.request_id, None)
+        gateway.coordinator.end_request(request.request_id)
 
     # Callers.
 
-    def live_callers(self) -> None:
+    def start_callers(self) -> None:
         for caller in self.callers:
-            home = self.draw.choice(list(self.sites))
-            self.at(self.draw.uniform(0, 1), partial(self.exchange, caller, home, 1))
+            first_gateway = self.rng.choice(list(self.gateways))
+            self.schedule(self.rng.uniform(0, 1), partial(self.start_exchange, caller, first_gateway, 1))
 
-    def exchange(self, caller: str, name: str, number: int) -> None:
+    def start_exchange(self, caller: str, gateway_name: str, number: int) -> None:
         if self.now < self.stop_at:
-            self.attempt(caller, f"{caller}.{number}", name, number, 1)
-
-    def elsewhere(self, name: str) -> str:
-        if self.draw.random() >= self.travel:
-            return name
-        return self.draw.choice([n for n in self.sites if n != name])
-
-    def attempt(self, caller: str, exchange: str, name: str, number: int, tries: int) -> None:
-        one = self.request(caller, exchange, name)
-        leaves = self.draw.random() < self.travel / 2
-        patience = self.draw.uniform(0.005, 0.4) if leaves else CLIENT
-        self.wait(one, self.now + patience, lambda: self.answered(one, number, tries))
-
-    def wait(self, one: Try, until: float, then: Callable[[], None]) -> None:
-        if one.answer or self.now >= until:
-            if not one.answer:
-                one.left, one.answer, one.gone = True, "left", self.draw.random() < 0.5
-            then()
+            self.send_request(caller, f"{caller}.{number}", gateway_name, number, 1)
+
+    def next_gateway(self, gateway_name: str) -> str:
+        if self.rng.random() >= self.move_probability:
+            return gateway_name
+        return self.rng.choice([other for other in self.gateways if other != gateway_name])
+
+    def send_request(
+        self, caller: str, exchange_id: str, gateway_name: str, number: int, attempts: int
+    ) -> None:
+        request = self.request(caller, exchange_id, gateway_name)
+        abandons = self.rng.random() < self.move_probability / 2
+        wait_s = self.rng.uniform(0.005, 0.4) if abandons else CLIENT_TIMEOUT_S
+        self.await_answer(request, self.now + wait_s, lambda: self.on_answer(request, number, attempts))
+
+    def await_answer(self, request: ClientRequest, until: float, continuation: Callable[[], None]) -> None:
+        if request.answer or self.now >= until:
+            if not request.answer:
+                request.abandoned, request.answer, request.disconnected = (
+                    True,
+                    "left",
+                    self.rng.random() < 0.5,
+                )
+            continuation()
         else:
-            self.at(0.005, lambda: self.wait(one, until, then))
-
-    def answered(self, one: Try, number: int, tries: int) -> None:
-        name, again = one.site, one.exchange
-        told = one.answer.split()
-        if told[0] == "200" or (told[0] == "409" and told[1] == "run" and told[2] == again):
-            self.finished[again] += 1
-            if again not in self.runs:
-                self.faults.append(f"{self.now:.2f} {again} is lost: {one.answer}")
-            self.at(
-                self.draw.uniform(0.1, 2 * self.pause),
-                lambda: self.exchange(one.caller, self.elsewhere(name), number + 1),
+            self.schedule(0.005, lambda: self.await_answer(request, until, continuation))
+
+    def on_answer(self, request: ClientRequest, number: int, attempts: int) -> None:
+        gateway_name, exchange_id = request.gateway_name, request.exchange_id
+        answer = request.answer.split()
+        if answer[0] == "200" or (answer[0] == "409" and answer[1] == "run" and answer[2] == exchange_id):
+            self.finished[exchange_id] += 1
+            if exchange_id not in self.runs:
+                self.violations.append(f"{self.now:.2f} {exchange_id} is lost: {request.answer}")
+            self.schedule(
+                self.rng.uniform(0.1, 2 * self.pause_s),
+                lambda: self.start_exchange(request.caller, self.next_gateway(gateway_name), number + 1),
             )
             return
         # Not answered, or told to come back, or told that nobody knows: sent again, perhaps elsewhere.
-        if tries > 400:
-            self.faults.append(f"{self.now:.2f} {again} comes to no end")
+        if attempts > 400:
+            self.violations.append(f"{self.now:.2f} {exchange_id} comes to no end")
             return
-        where = self.elsewhere(name) if told[0] != "closed" else self.draw.choice(list(self.sites))
-        pause = 0.3 if told[0] == "503" else 0.02
-        self.at(pause, lambda: self.attempt(one.caller, again, where, number, tries + 1))
+        gateway = (
+            self.next_gateway(gateway_name) if answer[0] != "closed" else self.rng.choice(list(self.gateways))
+        )
+        pause = 0.3 if answer[0] == "503" else 0.02
+        self.schedule(
+            pause, lambda: self.send_request(request.caller, exchange_id, gateway, number, attempts + 1)
+        )
 
     # What came of it.
 
     def check(self) -> list[str]:
         """Faults; among them what ran more often than once, and once for each time it was told as unknown."""
-        found = list(self.faults)
+        violations = list(self.violations)
         for exchange, lives in self.runs.items():
-            if self.terms.strict and len(lives) > 1 + self.unknown[exchange]:
-                found.append(f"{exchange} ran {len(lives)} times: {lives}")
-        return found
+            if self.policy.strict and len(lives) > 1 + self.reported_unknown[exchange]:
+                violations.append(f"{exchange} ran {len(lives)} times: {lives}")
+        return violations
 
 
-class Unfenced(Office):
+class UnfencedStore(RecordStore):
     """The copy writes for whoever asks."""
 
-    def on_copy(self, owner: str, m: Message) -> None:
-        held = read(m, self.now)
-        assert held is not None
-        self.store(held)
-        self.post(owner, {"w": "kept", "q": m["q"], "ok": True})
+    def on_replicate(self, owner: str, message: Message) -> None:
+        stored = decode_stored(message, self.now)
+        assert stored is not None
+        self.store(stored)
+        self.send(owner, {"w": "kept", "q": message["q"], "ok": True})
 
 
-class Rightless(Office):
+class LeaselessStore(RecordStore):
     """The owner acts without a right."""
 
-    def act(self, sender: str, m: Message, again: bool = False) -> None:
-        self.right = lambda: 1e18
-        super().act(sender, m, again)
+    def execute(self, sender: str, message: Message, retried: bool = False) -> None:
+        self.lease_until = lambda: 1e18
+        super().execute(sender, message, retried)
 
 
-class Hasty(Office):
+class UnconfirmedTakeoverStore(RecordStore):
     """A new owner asks nobody."""
 
-    def needs(self, key: str, homes: tuple[str, ...]) -> list[str] | None:
+    def required_confirmations(self, key: str, home_regions: tuple[str, ...]) -> list[str] | None:
         return []
 
 
-class Unproven(Office):
+class UnrenewedLeaseStore(RecordStore):
     """A new owner acts though nothing says that it is not cut off."""
 
-    def needs(self, key: str, homes: tuple[str, ...]) -> list[str] | None:
-        self.lease = -1e18
-        return super().needs(key, homes)
+    def required_confirmations(self, key: str, home_regions: tuple[str, ...]) -> list[str] | None:
+        self.lease_s = -1e18
+        return super().required_confirmations(key, home_regions)
 
 
-class Adopting(Office):
+class EpochAdoptingStore(RecordStore):
     """An owner counts on from whatever tenure it is told of."""
 
-    def mend(self, held: Held) -> bool:
-        deposed, sure = set(self.deposed), dict(self.sure)
-        found = super().mend(held)
-        self.deposed, self.sure = deposed, sure
-        return found
+    def merge(self, stored: StoredRecord) -> bool:
+        superseded, recovered = set(self.superseded), dict(self.recovered_in_view)
+        merged = super().merge(stored)
+        self.superseded, self.recovered_in_view = superseded, recovered
+        return merged
 
 
-class Careless(Office):
+class UncheckedWriteStore(RecordStore):
     """The owner takes a write from whichever site."""
 
-    def act(self, sender: str, m: Message, again: bool = False) -> None:
-        held = self.get(m["b"].key) if m["w"] == "write" else None
-        if held is not None:
-            new = held.bill.site, held.bill.move, held.bill.turn + 1
-            m = m | {"b": changed(m["b"], *new)}
-        super().act(sender, m, again)
+    def execute(self, sender: str, message: Message, retried: bool = False) -> None:
+        stored = self.get(message["b"].key) if message["w"] == "write" else None
+        if stored is not None:
+            position = stored.record.gateway_instance, stored.record.move, stored.record.write_number + 1
+            message = message | {"b": with_position(message["b"], *position)}
+        super().execute(sender, message, retried)
 
 
-class Mute(Office):
+class SilentStore(RecordStore):
     """Nobody tells a new pair what it has."""
 
-    def tell_on(self) -> None:
+    def send_updates(self) -> None:
         pass
 
 
-class Forgetful(Office):
+class UndeclaredEvictionStore(RecordStore):
     """A full store says none of what it has forgotten."""
 
-    def needs(self, key: str, homes: tuple[str, ...]) -> list[str] | None:
-        self.blind_until = 0.0
-        return super().needs(key, homes)
+    def required_confirmations(self, key: str, home_regions: tuple[str, ...]) -> list[str] | None:
+        self.incomplete_until = 0.0
+        return super().required_confirmations(key, home_regions)
 
 
-def changed(bill: Bill, site: str, move: int, turn: int) -> Bill:
+def with_position(
+    record: SessionRecord, gateway_instance: str, move: int, write_number: int
+) -> SessionRecord:
     from msgspec.structs import replace
 
-    return replace(bill, site=site, move=move, turn=turn)
+    return replace(record, gateway_instance=gateway_instance, move=move, write_number=write_number)
 
 
-GUARDED: dict[str, type[Office]] = {
-    "unfenced": Unfenced, "rightless": Rightless, "hasty": Hasty, "careless": Careless, "mute": Mute,
-    "forgetful": Forgetful, "unproven": Unproven, "adopting": Adopting,
+GUARD_MUTATIONS: dict[str, type[RecordStore]] = {
+    "unfenced": UnfencedStore, "rightless": LeaselessStore, "hasty": UnconfirmedTakeoverStore,
+    "careless": UncheckedWriteStore, "mute": SilentStore,
+    "forgetful": UndeclaredEvictionStore, "unproven": UnrenewedLeaseStore, "adopting": EpochAdoptingStore,
 }  # fmt: skip
 
 
-KINDS = ("kill", "cut", "freeze", "stall", "stall", "region", "server", "server", "pool")
+FAULT_KINDS = ("kill", "cut", "freeze", "stall", "stall", "region", "server", "server", "pool")
 
 
-def troubles(world: World, until: float, kinds: tuple[str, ...] = KINDS) -> None:
+def schedule_faults(simulation: Simulation, until: float, kinds: tuple[str, ...] = FAULT_KINDS) -> None:
     """Drawn: gateways killed, cut off, stopped and continued, regions lost, servers restarted and away.
 
     One at a time, and the next not before the last one's records have found their new places: a deployment is
     to bear the loss of a machine, a zone or a region, and the three who have a record may be lost by two.
     """
-    draw, at = world.draw, 1.0
-    while at < until:
-        kind = draw.choice(kinds)
-        name, lasts = draw.choice(list(world.sites)), draw.uniform(0.3, 9.0)
-        begin, end = trouble(world, kind, name, draw)
-        world.at(at, begin)
-        world.at(at + lasts, end)
-        at += max(lasts, APART) + draw.uniform(0.0, 3.0)
-
-
-def trouble(
-    world: World, kind: str, name: str, draw: random.Random
+    rng, fault_at = simulation.rng, 1.0
+    while fault_at < until:
+        kind = rng.choice(kinds)
+        name, duration_s = rng.choice(list(simulation.gateways)), rng.uniform(0.3, 9.0)
+        begin, end = fault_actions(simulation, kind, name, rng)
+        simulation.schedule(fault_at, begin)
+        simulation.schedule(fault_at + duration_s, end)
+        fault_at += max(duration_s, FAULT_SPACING_S) + rng.uniform(0.0, 3.0)
+
+
+def fault_actions(
+    simulation: Simulation, kind: str, name: str, rng: random.Random
 ) -> tuple[Callable[[], None], Callable[[], None]]:
-    region = world.sites[name].region
-    inside = [n for n, s in world.sites.items() if s.region == region]
-    place = draw.choice(list(world.servers))
-    ways: dict[str, tuple[Callable[[], None], Callable[[], None]]] = {
-        "kill": (lambda: world.kill(name), lambda: world.start(name)),
-        "cut": (lambda: world.cut_off([name]), world.join),
-        "freeze": (lambda: world.freeze(name), lambda: world.thaw(name)),
-        "stall": (partial(world.stalls.add, name), lambda: world.thaw(name)),
-        "region": (partial(each, world.kill, inside), partial(each, world.start, inside)),
-        "server": (lambda: world.restart(place), lambda: None),
-        "pool": (lambda: world.restart(place, 8.0), lambda: None),
+    region = simulation.gateways[name].region
+    region_gateways = [
+        gateway_name for gateway_name, gateway in simulation.gateways.items() if gateway.region == region
+    ]
+    server_name = rng.choice(list(simulation.servers))
+    actions: dict[str, tuple[Callable[[], None], Callable[[], None]]] = {
+        "kill": (lambda: simulation.kill(name), lambda: simulation.start(name)),
+        "cut": (lambda: simulation.partition([name]), simulation.heal),
+        "freeze": (lambda: simulation.freeze(name), lambda: simulation.thaw(name)),
+        "stall": (partial(simulation.stall_before_send.add, name), lambda: simulation.thaw(name)),
+        "region": (
+            partial(for_each, simulation.kill, region_gateways),
+            partial(for_each, simulation.start, region_gateways),
+        ),
+        "server": (lambda: simulation.restart_server(server_name), lambda: None),
+        "pool": (lambda: simulation.restart_server(server_name, 8.0), lambda: None),
     }
-    return ways[kind]
+    return actions[kind]
 
 
-def each(act: Callable[[str], None], names: list[str]) -> None:
+def for_each(action: Callable[[str], None], names: list[str]) -> None:
     for name in names:
-        act(name)
+        action(name)
 
 
-def play(seed: int, lasts: float = 40.0, kinds: tuple[str, ...] = KINDS, **settings: object) -> World:
+def run_schedule(
+    seed: int, duration_s: float = 40.0, kinds: tuple[str, ...] = FAULT_KINDS, **settings: object
+) -> Simulation:
     """One drawn schedule to its end; the troubles end before the callers do, so that all may finish."""
-    world = World(seed, **settings)  # type: ignore[arg-type]
-    world.live_callers()
-    troubles(world, lasts - 12.0, kinds)
-    world.stop_at = lasts
-    world.run(lasts + 40.0)
-    return world
+    simulation = Simulation(seed, **settings)  # type: ignore[arg-type]
+    simulation.start_callers()
+    schedule_faults(simulation, duration_s - 12.0, kinds)
+    simulation.stop_at = duration_s
+    simulation.run(duration_s + 40.0)
+    return simulation
--- a/tests/session_records/test_stale_replies.py
+++ b/tests/session_records/test_stale_replies.py
@@ -3,34 +3,40 @@
 from __future__ import annotations
 
 from latchspoke.session_records.record import Peer
-from latchspoke.session_records.store import Answer, Letter, Office, Out
+from latchspoke.session_records.store import OutgoingMessage, RecordStore, StoreOutput, StoreReply
 
 KEYS = [f"caller-{number}" for number in range(20)]
 
 
-def gateway(life: str) -> Office:
-    office = Office("g1", life, 5.0, 0.0, lambda: 1e9)
-    office.live({name: Peer("waw-a", "mazowsze", f"{name}-{life}") for name in ("g1", "g2")}, 0.0)
+def gateway(life: str) -> RecordStore:
+    office = RecordStore("g1", life, 5.0, 0.0, lambda: 1e9)
+    office.update_membership(
+        {name: Peer("waw-a", "mazowsze", f"{name}-{life}") for name in ("g1", "g2")}, 0.0
+    )
     return office
 
 
-def asked(office: Office, key: str) -> Letter:
+def asked(office: RecordStore, key: str) -> OutgoingMessage:
     """What goes to the owner when a caller's record is asked for."""
-    letters = [out for out in office.take(f"request of {key}", key, (), 30.0, 1.0) if isinstance(out, Letter)]
-    assert len(letters) == 1 and letters[0].to == "g2"
+    letters = [
+        out
+        for out in office.acquire(f"request of {key}", key, (), 30.0, 1.0)
+        if isinstance(out, OutgoingMessage)
+    ]
+    assert len(letters) == 1 and letters[0].target == "g2"
     return letters[0]
 
 
-def told(out: list[Out]) -> list[str]:
-    return [each.ref for each in out if isinstance(each, Answer)]
+def told(out: list[StoreOutput]) -> list[str]:
+    return [each.reference for each in out if isinstance(each, StoreReply)]
 
 
 def test_an_answer_to_the_former_life_is_nobody_s() -> None:
     first, second = gateway("one"), gateway("two")
-    key, other = [k for k in KEYS if first.eras[-1].pair(k, ())[0] == "g2"][:2]
+    key, other = [k for k in KEYS if first.views[-1].placement(k, ())[0] == "g2"][:2]
     late = asked(first, key).message
     own = asked(second, other).message
-    assert told(second.heard("g2", {"w": "done", "q": late["q"], "word": "unsettled"}, 1.1)) == []
-    assert told(second.heard("g2", {"w": "done", "q": own["q"], "word": "unsettled"}, 1.2)) == [
+    assert told(second.receive("g2", {"w": "done", "q": late["q"], "word": "unsettled"}, 1.1)) == []
+    assert told(second.receive("g2", {"w": "done", "q": own["q"], "word": "unsettled"}, 1.2)) == [
         f"request of {other}"
     ]
