--- a/latchspoke/session_records/__init__.py
+++ b/latchspoke/session_records/__init__.py
@@ -1,6 +1,7 @@
-"""Records of callers that travel between edge sites: who has them, under which number, what they say.
+"""Replicated session records of callers that move between gateways.
 
-``record`` is the record and who owns it; ``office`` keeps records with the other gateways; ``verdict`` says
-what is done by one, and ``desk`` takes a site's requests through it. All of it is pure: messages and the time
-go in, what is to be sent and answered comes out. docs/travel.md tells why it is as it is.
+``record`` defines the record and its placement on gateways, ``store`` replicates records between gateways,
+``decision`` resolves a request from a record, and ``coordinator`` takes a gateway's requests through all of
+it. None of these modules performs I/O or reads a clock: messages and the time are passed in, messages to send
+and directives to carry out are returned. The design is described in docs/travel.md.
 """
--- a/latchspoke/session_records/coordinator.py
+++ b/latchspoke/session_records/coordinator.py
@@ -1,8 +1,9 @@
-"""A site's way with the requests of travelling callers: looks up, judges, opens before sending, tells fates.
+"""Takes a gateway's requests through their session records: lookup, decision, opening, outcome.
 
-Pure: it sits between a gateway's decisions and its ``Office``. A request goes ``arrive`` → a step
-(go, tell, later, ask) → ``attempt`` before each server's first byte → a pass → ``outcome``; ``end`` once
-nothing of it is out.
+Sits between the gateway's dispatcher and its ``RecordStore``, without I/O. Each request passes through
+``start_request``, which leads to a directive (``Proceed``, ``ReportState``, ``RetryLater`` or
+``QueryServer``); ``begin_attempt`` before the first byte to a server, which leads to an ``AttemptPermit``;
+``end_attempt``; and ``end_request`` once none of its attempts is in flight.
 """
 
 from __future__ import annotations
@@ -21,31 +22,29 @@
     StoreReply,
 )
 
-PERMIT_S = 1.0  # s after an opening was asked for in which its first byte may go out
-BUSY_RETRY_S = 0.2  # s; when to come back while an exchange is at work
-UNAVAILABLE_RETRY_S = 0.5  # s; when to come back while a record can't be had
-STALL_THRESHOLD_S = 0.6  # s between two beats of the process: it has stood still
-STALL_RECOVERY_S = 0.25  # s that its sockets then may bring what is old
-MIN_TTL_CONVERGENCE_PERIODS = (
-    3.0  # settling times that a strict record lives, at least: two losses, each seen and settled
-)
-REFRESH_FRACTION = 0.5  # of a record's time: then it is written again, where nothing else writes it
+PERMIT_S = 1.0  # from the request for an opening, within which the first byte may be sent
+BUSY_RETRY_S = 0.2  # Retry-After while an exchange is in flight
+UNAVAILABLE_RETRY_S = 0.5  # Retry-After while the record is unavailable
+STALL_THRESHOLD_S = 0.6  # a longer gap between ticks means that the process was stalled
+STALL_RECOVERY_S = 0.25  # after a stall, within which sockets may deliver old requests
+MIN_TTL_CONVERGENCE_PERIODS = 3.0  # of a strict record, so that it outlives two consecutive gateway failures
+REFRESH_FRACTION = 0.5  # of the TTL; a record with less left is written again
 
 
 @dataclass(frozen=True, slots=True)
 class RequestPolicy:
-    """Of a route, and of one request on it. Times in s."""
+    """What the route of a request demands."""
 
     home_regions: tuple[str, ...]
     ttl_s: float
-    lookup_timeout_s: float  # the longest that a request waits to know its record
-    strict: bool  # refuse rather than guess; only for what may not be repeated
-    can_query: bool  # its servers can be asked what became of an exchange
+    lookup_timeout_s: float  # how long a request waits for its record
+    strict: bool  # refuse rather than risk running an exchange twice
+    can_query: bool  # servers of the route answer exchange state queries
 
 
 @dataclass(frozen=True, slots=True)
 class Proceed:
-    """Send it: to the life in the record if that may be sent to, else by placement."""
+    """Send the request: to the instance in the record if it accepts requests, else to a newly chosen one."""
 
     request_id: str
     record: SessionRecord | None
@@ -53,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportState:
-    """Answer with the truth about an exchange: it ran, or nobody knows."""
+    """Answer the request with the state of an exchange: it has run, or its outcome is unknown."""
 
     request_id: str
     state: ExchangeState
@@ -62,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLater:
-    """It has not run and won't: come back in ``pause`` s."""
+    """Refuse the request, which has not run and will not, with Retry-After."""
 
     request_id: str
     retry_after_s: float
@@ -71,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryServer:
-    """Ask that life what became of the try; the answer goes to ``asked``."""
+    """Query the server instance for the state of the attempt; pass the answer to ``on_server_state``."""
 
     request_id: str
     instance_id: str
@@ -80,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptPermit:
-    """Whether an attempt may go out, and until when its first byte may (s)."""
+    """Whether an attempt may be sent, and until when (s) its first byte may."""
 
     request_id: str
     granted: bool
@@ -92,49 +91,52 @@
 
 @dataclass(slots=True)
 class TrackedRequest:
-    """A request of a travelling caller."""
+    """A request in progress."""
 
     key: str
     exchange_id: str
     policy: RequestPolicy
     started_at: float
     record: SessionRecord | None = None
-    exchange_age_s: float = 0.0  # s since the record's exchange was opened, when that was learnt
+    exchange_age_s: float = 0.0  # age of the record's exchange when the record was received
     awaiting_record: bool = False
-    opened_record: SessionRecord | None = None  # the record of its last opening
-    opening_requested_at: float = 0.0  # when that was asked for
+    opened_record: SessionRecord | None = None  # as written by the latest opening
+    opening_requested_at: float = 0.0
     awaiting_opening: bool = False
-    target: AttemptTarget | None = None  # of its last attempt
+    target: AttemptTarget | None = None  # of the latest attempt
     reported_state: ExchangeState | None = None
 
 
 class RequestCoordinator:
-    """``known``: whether a server's life may be asked here; ``lives``: whether a site is among the live."""
+    """Tracks the requests of one gateway.
+
+    ``is_known_instance`` tells whether a server instance is known to this gateway and may be queried.
+    """
 
     def __init__(self, store: RecordStore, is_known_instance: Callable[[str], bool]) -> None:
         self.store, self.is_known_instance = store, is_known_instance
         self.requests: dict[str, TrackedRequest] = {}
-        self.pending_openings: dict[
-            str, tuple[SessionRecord, float]
-        ] = {}  # what was asked to be written, and when
+        # By reference: the record to be written, and when that was requested.
+        self.pending_openings: dict[str, tuple[SessionRecord, float]] = {}
         self.directives: list[Directive] = []
         self.stats = store.stats
         self.last_tick, self.stalled_until = store.now, store.now
         self.opening_numbers = itertools.count(1)
 
     def recently_stalled(self, now: float) -> bool:
-        """Whether this process has just done so: what it reads now may have been sent long ago."""
+        """Whether this process has just been stalled, so that what it reads may have been sent long ago."""
         if now - self.last_tick > STALL_THRESHOLD_S:
             self.stalled_until = now + STALL_RECOVERY_S
         return now < self.stalled_until
 
     def gateway_alive(self, gateway_instance: str) -> bool:
+        """Whether a gateway instance is in the current membership view."""
         name, _, instance_id = gateway_instance.partition("/")
         peer = self.store.views[-1].gateways.get(name)
         return peer is not None and peer.instance_id in ("", instance_id)
 
     def record_ttl_s(self, requested_s: float, strict: bool) -> float:
-        """How long (s) a record lives: what is open must not be forgotten while nobody may tell of it."""
+        """The TTL of a record. A strict one must not expire while the outcome of its exchange is in doubt."""
         return (
             max(requested_s, MIN_TTL_CONVERGENCE_PERIODS * self.store.convergence_s)
             if strict
@@ -146,13 +148,14 @@
     def start_request(
         self, request_id: str, key: str, exchange_id: str, policy: RequestPolicy, now: float
     ) -> list[Directive]:
+        """A request has arrived: look up its record, or resolve it by the local one."""
         request = self.requests[request_id] = TrackedRequest(key, exchange_id, policy, now)
         if policy.strict and self.recently_stalled(now):
             self.defer(request_id, BUSY_RETRY_S, "stood_still")
             return self.take_directives()
         record = self.store.local_record(key, now)
         if record is not None and policy.strict and record.unsettled and not self.is_sending(record):
-            record = None  # others may know more of it by now
+            record = None  # its owner may know the outcome by now
         if record is not None:
             request.record, request.exchange_age_s = record, now - self.store.local_records[key].opened_at
             self.resolve(request_id, request)
@@ -166,7 +169,7 @@
         return self.take_directives()
 
     def resolve(self, request_id: str, request: TrackedRequest) -> None:
-        """The record is here: what is done by it."""
+        """The record is available: decide what to do with the request."""
         record, strict = request.record, request.policy.strict
         if not strict or record is None:
             self.directives.append(Proceed(request_id, record))
@@ -184,7 +187,7 @@
         if decision.state is ExchangeState.UNKNOWN and (
             request.exchange_age_s < PERMIT_S or (knowledge.instance_known and knowledge.can_query)
         ):
-            # Its first byte may be on its way, or its server could not be asked just now.
+            # Its first byte may still be sent, or its server could not be queried just now.
             self.defer(request_id, BUSY_RETRY_S, "unsettled")
             return
         if decision.outcome is not None:
@@ -208,7 +211,7 @@
                 self.defer(request_id, BUSY_RETRY_S, "at_work")
 
     def is_sending(self, record: SessionRecord) -> bool:
-        """Whether this site itself is sending that exchange."""
+        """Whether this gateway has an attempt of the record's exchange in flight."""
         return record.opened_by == self.store.gateway_instance and any(
             request.opened_record is not None
             and request.key == record.key
@@ -217,11 +220,12 @@
         )
 
     def defer(self, request_id: str, retry_after_s: float, reason: str) -> None:
+        """Refuse a request for now; ``reason`` is the suffix of a counter."""
         self.stats[f"travel.refused_{reason}"] += 1
         self.directives.append(RetryLater(request_id, retry_after_s, reason))
 
     def on_record_unavailable(self, request_id: str, request: TrackedRequest) -> None:
-        """No record in time, or nobody can say: the route's own choice."""
+        """The record was not received in time: a strict route refuses the request, others send it."""
         request.awaiting_record = False
         self.stats["travel.misses"] += 1
         if request.policy.strict:
@@ -230,7 +234,7 @@
             self.directives.append(Proceed(request_id, None))
 
     def on_server_state(self, request_id: str, state: ExchangeState, now: float) -> list[Directive]:
-        """What the server's life said; unknown if it said nothing."""
+        """The server's answer to a query; unknown if there was none."""
         self.store.now = now
         request = self.requests.get(request_id)
         if request is not None:
@@ -243,7 +247,7 @@
     def begin_attempt(
         self, request_id: str, service: str, instance_id: str, address: str, now: float, attempt_id: str = ""
     ) -> list[Directive]:
-        """Before anything of it goes to that server; ``attempt``: the id by which that one knows the try."""
+        """Call before anything is sent to the server; ``attempt_id`` is the ID sent to it."""
         request = self.requests[request_id]
         request.target = AttemptTarget(
             service, instance_id, address, request.exchange_id, attempt_id or request_id
@@ -251,21 +255,20 @@
         if not request.policy.strict:
             self.directives.append(AttemptPermit(request_id, True, float("inf")))
             return self.take_directives()
-        record = request.record  # under the move by which it was judged, not under a later one
+        record = request.record  # the version that the decision was made by, not a later one
         if record is None or request.awaiting_opening:
             self.directives.append(AttemptPermit(request_id, False))
             return self.take_directives()
         request.awaiting_opening, request.opening_requested_at, request.opened_record = True, now, None
-        reference = (
-            f"{request_id}\n{next(self.opening_numbers)}"  # an answer to an earlier opening may still come
-        )
+        # Numbered, as a reply to an earlier opening may still arrive.
+        reference = f"{request_id}\n{next(self.opening_numbers)}"
         opening, outs = self.store.open_exchange(reference, record, request.target, now)
         self.pending_openings[reference] = opening, now
         self.process_outputs(outs, now)
         return self.take_directives()
 
     def end_attempt(self, request_id: str, outcome: ExchangeOutcome, now: float) -> list[Directive]:
-        """An attempt that was passed is over."""
+        """A permitted attempt has ended."""
         request = self.requests.get(request_id)
         if request is None:
             return []
@@ -278,7 +281,7 @@
         return self.take_directives()
 
     def refresh_server(self, request: TrackedRequest, now: float) -> None:
-        """The server is written after the answer: when it is another, or the record gets old."""
+        """After an answer, write the server to the record if it has changed or the record is near expiry."""
         stored, target = self.store.local_records.get(request.key), request.target
         if stored is None or target is None or now >= stored.expires_at:
             return
@@ -292,16 +295,18 @@
             )
 
     def end_request(self, request_id: str) -> None:
+        """Forget a request; call it once none of its attempts is in flight."""
         self.requests.pop(request_id, None)
 
-    # The office's answers.
+    # Messages and replies of the store.
 
     def receive(self, sender: str, message: dict[str, object], now: float) -> list[Directive]:
+        """A message of another gateway. Raises KeyError, TypeError or ValueError if it is malformed."""
         self.process_outputs(self.store.receive(sender, message, now), now)
         return self.take_directives()
 
     def tick(self, now: float) -> list[Directive]:
-        """At least each quarter of a second."""
+        """Call at least every 0.25 s."""
         self.recently_stalled(now)
         self.last_tick = now
         self.process_outputs(self.store.tick(now), now)
@@ -314,7 +319,7 @@
         return self.take_directives()
 
     def lookup_expired(self, request_id: str, now: float) -> list[Directive]:
-        """A request has waited for its record for as long as its route lets it."""
+        """The lookup timeout of a request has passed."""
         self.store.now = now
         request = self.requests.get(request_id)
         if request is not None and request.awaiting_record:
@@ -322,6 +327,7 @@
         return self.take_directives()
 
     def process_outputs(self, outputs: list[StoreOutput], now: float) -> None:
+        """Handle the store's replies, and add its messages to the directives."""
         for output in outputs:
             if isinstance(output, OutgoingMessage):
                 self.directives.append(output)
@@ -329,6 +335,7 @@
                 self.on_reply(output, now)
 
     def on_reply(self, reply: StoreReply, now: float) -> None:
+        """Route a reply of the store to the lookup or the opening that waits for it."""
         request_id, _, opening_number = reply.reference.partition("\n")
         request = self.requests.get(request_id)
         if opening_number:
@@ -350,12 +357,13 @@
     def on_opening_reply(
         self, request_id: str, request: TrackedRequest | None, reply: StoreReply, now: float
     ) -> None:
+        """Permit or deny the attempt that waits for its opening."""
         written = reply.status == "kept"
         if reply.reference not in self.pending_openings:
             return
         opening, _ = self.pending_openings.pop(reply.reference)
         if reply.status == "unsure" or (written and request is None):
-            # It may be written; nothing was sent by it, and nothing will be.
+            # It may have been written, but nothing was sent under it, and nothing will be.
             self.process_outputs(self.store.record_outcome("", opening, ExchangeOutcome.NOT_RUN, now), now)
         if request is None:
             return
@@ -367,5 +375,6 @@
         self.directives.append(AttemptPermit(request_id, written, request.opening_requested_at + PERMIT_S))
 
     def take_directives(self) -> list[Directive]:
+        """The directives since the last call."""
         directives, self.directives = self.directives, []
         return directives
--- a/latchspoke/session_records/decision.py
+++ b/latchspoke/session_records/decision.py
@@ -1,4 +1,4 @@
-"""What a site does with a request of a travelling caller, by the record and by what its server says."""
+"""Decides what to do with a request, from the caller's session record and the state its server reports."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 
 class Action(Enum):
-    SEND = "go"  # send it
-    REPORT = "tell"  # answer with what is known of the exchange
-    RETRY_LATER = "later"  # it has not run: come back
-    QUERY_SERVER = "ask"  # ask the server's life first
+    """What to do with a request."""
+
+    SEND = "go"
+    REPORT = "tell"  # answer with the state of the exchange
+    RETRY_LATER = "later"  # refuse with Retry-After; the request has not run
+    QUERY_SERVER = "ask"  # query the server instance, then decide again
 
 
 class ExchangeState(Enum):
-    """Of an exchange, as callers are told it and servers say it."""
+    """State of an exchange in the ``X-Exchange-State`` header, to callers and from servers."""
 
     RUN = "run"
     NOT_RUN = "not-run"
@@ -26,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """``fate``: what is to be written of the record's exchange before anything else, if it is news."""
+    """What to do; ``outcome``, if set, is recorded for the record's exchange first."""
 
     action: Action
     state: ExchangeState | None = None
@@ -35,16 +37,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Knowledge:
-    """What a site knows beside the record."""
+    """What the gateway knows in addition to the record."""
 
-    can_query: bool  # servers of the route can be asked
-    instance_known: bool  # the life in the record is known and may be asked
-    opener_alive: bool  # the site that opened the exchange lives
-    reported_state: ExchangeState | None = None  # by the server, once it has been asked
+    can_query: bool  # servers of the route answer exchange state queries
+    instance_known: bool  # the server instance in the record is known and may be queried
+    opener_alive: bool  # the gateway that opened the exchange is alive
+    reported_state: ExchangeState | None = None  # by the server, once it has been queried
 
 
 def decide(record: SessionRecord, exchange_id: str, knowledge: Knowledge) -> Decision:
-    """For a strict route; a guess is never told, and nothing is sent anew before the last fate is known."""
+    """The decision for a request on a strict route.
+
+    No state is reported that is not known, and nothing is sent while the previous exchange is unsettled.
+    """
     if record.has_run(exchange_id):
         return Decision(Action.REPORT, ExchangeState.RUN)
     if not record.unsettled:
@@ -65,7 +70,7 @@
 
 
 def parse_exchange_state(value: bytes) -> ExchangeState:
-    """What a server's ``X-Exchange-State`` says; anything else is unknown."""
+    """Parse a server's ``X-Exchange-State`` header; an unrecognised value counts as unknown."""
     try:
         return ExchangeState(value.strip().lower().decode("latin-1"))
     except ValueError:
--- a/latchspoke/session_records/record.py
+++ b/latchspoke/session_records/record.py
@@ -1,4 +1,4 @@
-"""The record of a caller, its number, and who among the live gateways has it."""
+"""Session records, their versions, and their placement on the live gateways."""
 
 from __future__ import annotations
 
@@ -11,51 +11,56 @@
 
 from barleyhub.line.budget import rank
 
-MAX_PAST_EXCHANGES = 3  # exchanges before the last one that are remembered, if they ran
+MAX_PAST_EXCHANGES = 3
 
 
 class ExchangeOutcome(IntEnum):
-    """What is known of an exchange; it only ever goes from unsettled to settled."""
+    """What is known of an exchange. It only changes from unsettled to settled."""
 
     NONE = 0
-    OPEN = 1  # sent, or about to be
-    MAY_RUN = 2  # sent, and no answer came
+    OPEN = 1  # sent or about to be sent
+    MAY_RUN = 2  # in doubt: sent, but not answered
     ANSWERED = 3
-    NOT_RUN = 4  # and never will
-    TOLD = 5  # nobody knows, and its caller has been told so
+    NOT_RUN = 4  # has not run and never will
+    TOLD = 5  # in doubt, and the caller has been told so
 
 
 UNSETTLED = (ExchangeOutcome.OPEN, ExchangeOutcome.MAY_RUN)
-Version = tuple[int, int, int]  # tenure, move, step
+Version = tuple[int, int, int]  # ownership epoch, move, step
 
 
 class SessionRecord(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
-    """One record. ``site``: a gateway's name and life. ``opened``: how that site names the opening."""
+    """Where a caller's session is, and what became of its latest exchange.
+
+    Encoded as an array: the order and number of the fields are part of the protocol.
+    """
 
     key: str
-    home_regions: tuple[str, ...] = ()  # regions, sorted; none: it may rest anywhere
-    epoch: int = 0
-    move: int = 0
-    step: int = 0
-    gateway_instance: str = ""
-    ttl_s: float = 0.0  # s from its last write
+    home_regions: tuple[str, ...] = ()  # sorted regions that may store the record; empty: all
+    epoch: int = 0  # ownership epoch
+    move: int = 0  # incremented whenever a gateway acquires the record
+    step: int = 0  # writes since the latest move
+    gateway_instance: str = ""  # "name/instance ID" of the gateway that serves the caller
+    ttl_s: float = 0.0  # from the latest write
     service: str = ""
     instance_id: str = ""
     address: str = ""
     exchange_id: str = ""
-    attempt_id: str = ""  # the try that was sent for it: what its server knows
+    attempt_id: str = ""  # the attempt ID that the server was sent
     outcome: ExchangeOutcome = ExchangeOutcome.NONE
-    opened_by: str = ""  # the site that opened it
-    opening_id: str = ""
-    write_number: int = 0  # the site's own count of its writes: one that comes late is not taken
-    past_exchanges: tuple[str, ...] = ()  # exchanges before it that ran
+    opened_by: str = ""  # gateway instance that opened the exchange
+    opening_id: str = ""  # unique ID of the write that opened the exchange
+    write_number: int = 0  # sequence number of the serving gateway's writes; late writes are rejected
+    past_exchanges: tuple[str, ...] = ()  # IDs of earlier exchanges that have run
 
     @property
     def version(self) -> Version:
+        """Versions are ordered; a copy of a record is only replaced by one of a higher version."""
         return self.epoch, self.move, self.step
 
     @property
     def unsettled(self) -> bool:
+        """Whether the outcome of the exchange is still unknown."""
         return self.outcome in UNSETTLED
 
     def has_run(self, exchange_id: str) -> bool:
@@ -66,7 +71,7 @@
 
 
 def record_key(route: str, tenant: str, caller: bytes) -> str:
-    """The key of a caller's record. The digest hides the caller's text, which may be a secret cookie."""
+    """The key of a caller's record: a digest, as the caller may be identified by a secret cookie."""
     prefix = f"{len(route)}:{route}{len(tenant)}:{tenant}".encode()
     return blake2b(prefix + caller, digest_size=12).hexdigest()
 
@@ -80,12 +85,12 @@
     instance_id: str = ""
 
 
-Placement = tuple[str, str]  # owner and copy; empty where there is none
+Placement = tuple[str, str]  # names of owner and replica; empty where there is none
 
 
 @dataclass(slots=True)
 class MembershipView:
-    """The live gateways as one gateway knew them, from ``at`` (s) until the next era."""
+    """The live gateways as one gateway knew them, from ``valid_from`` (s) until the next view."""
 
     valid_from: float
     gateways: Mapping[str, Peer]
@@ -93,7 +98,11 @@
     placements: dict[tuple[str, tuple[str, ...]], Placement] = field(default_factory=dict)
 
     def placement(self, key: str, home_regions: tuple[str, ...], excluded: str = "") -> Placement:
-        """The owner: first by rank. Its copy: the next in another region, else in another zone, else any."""
+        """Owner and replica of a record, by rendezvous hashing.
+
+        The owner is the gateway of the highest rank; the replica is the next one in another region, else in
+        another zone, else any. ``excluded`` names a gateway to leave out.
+        """
         if not excluded and (cached := self.placements.get((key, home_regions))) is not None:
             return cached
         eligible = [
--- a/latchspoke/session_records/simulation.py
+++ b/latchspoke/session_records/simulation.py
@@ -1,7 +1,8 @@
-"""Gateways, servers and travelling callers in virtual time, under drawn troubles, and a checker of all of it.
+"""Deterministic simulation of the session record protocol with fault injection and invariant checks.
 
-Nothing waits and no clock is read: a seed decides everything. Guards can be taken out by ``guards``; the
-checker must then find fault (tests/session_records). The same world measures (benchmarks/travel.py).
+Gateways, servers and callers that move between gateways run in virtual time; a seed determines the schedule.
+``guards`` names mutations of the protocol that the checks must detect (tests/session_records). The simulation
+also yields the figures of benchmarks/travel.py.
 """
 
 from __future__ import annotations
@@ -39,21 +40,21 @@
 )
 from latchspoke.transport.netstring import frame
 
-LEASE_S, LEASE_RENEWAL_S = 4.5, 0.8  # s; of the right to act, and between its proofs
+LEASE_S, LEASE_RENEWAL_S = 4.5, 0.8
 CONVERGENCE_S = 6.0
-FAILURE_DETECTION_S = (1.5, 3.0)  # s until a gateway that is lost is seen to be
-RECOVERY_DETECTION_S = (0.05, 0.4)  # and one that is back
+FAILURE_DETECTION_S = (1.5, 3.0)  # range
+RECOVERY_DETECTION_S = (0.05, 0.4)  # range
 TICK_S = 0.25
-SERVER_END_DELAY_S = 0.8  # s until a site hears that a server has ended
-FAULT_SPACING_S = 5.0  # s between two losses
-CLIENT_TIMEOUT_S = 2.5  # s that a caller waits for an answer
-LINK_DELAYS_S = (0.0014, 0.012)  # s one way, between zones and between regions
+SERVER_END_DELAY_S = 0.8  # until gateways learn that a server instance has ended
+FAULT_SPACING_S = 5.0  # minimum time from one fault to the next
+CLIENT_TIMEOUT_S = 2.5
+LINK_DELAYS_S = (0.0014, 0.012)  # one way, between zones and between regions
 SAME_ZONE_DELAY_S = 0.0002
 
 
 @dataclass(slots=True)
 class Server:
-    """A place; each start is a new life. The sets are of tries."""
+    """A server process. The sets hold the IDs of attempts; sealed ones will never run."""
 
     name: str
     zone: str
@@ -67,7 +68,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of a caller's, at one site."""
+    """A caller's request to one gateway."""
 
     request_id: str
     caller: str
@@ -78,15 +79,15 @@
     tried_instances: list[str] = field(default_factory=list)
     target: str = ""
     permitted_until: float = 0.0
-    abandoned: bool = False  # its caller waits no longer
-    disconnected: bool = False  # and its site has seen that: a phone that loses its net says nothing
-    done: bool = False  # the site has ended it
+    abandoned: bool = False  # the caller no longer waits for the answer
+    disconnected: bool = False  # the gateway has noticed that the caller is gone
+    done: bool = False  # the gateway has ended the request
     ran: bool = False
     lookup_s: float = -1.0
 
 
 class Gateway:
-    """One gateway with its own view of the others and of the servers."""
+    """A gateway with its own membership view and its own knowledge of servers."""
 
     def __init__(self, simulation: Simulation, name: str, zone: str, region: str, instance_id: int) -> None:
         self.simulation, self.name, self.zone, self.region, self.instance_id = (
@@ -103,7 +104,7 @@
         self.stats: Counter[str] = Counter()
         self.store = simulation.create_store(self)
         self.coordinator = RequestCoordinator(self.store, self.is_known_instance)
-        self.pins: dict[str, str] = {}  # where there are no records
+        self.pins: dict[str, str] = {}  # instance by caller, without session records
         self.requests: dict[str, ClientRequest] = {}
 
     def is_known_instance(self, instance_id: str) -> bool:
@@ -126,7 +127,7 @@
 
 
 class Simulation:
-    """See the module. ``records`` off: by placement and each site's own pins, as without ``travels``."""
+    """A simulated deployment. Without ``records``, each gateway only pins callers to servers by itself."""
 
     def __init__(
         self, seed: int, gateways: int = 9, servers: int = 9, callers: int = 12, strict: bool = True,
@@ -149,20 +150,18 @@
         self.bytes_by_kind: Counter[str] = Counter()
         self.messages_by_kind: Counter[str] = Counter()
         self.lookup_times_s: list[float] = []
-        self.affinity_results = [
-            0,
-            0,
-        ]  # first requests at another site, while the last server serves: at it, elsewhere
-        self.committed: dict[str, tuple[Version, SessionRecord, float]] = {}  # and until when it lives
+        # First requests after a move while the caller's server is up: sent to that server, sent elsewhere.
+        self.affinity_results = [0, 0]
+        self.committed: dict[str, tuple[Version, SessionRecord, float]] = {}  # with its expiry time
         self.last_delivery: dict[tuple[str, str], float] = {}
         self.runs: dict[str, list[str]] = {}
-        self.last_run_at: dict[str, float] = {}  # the last run of an exchange
-        self.remembered_s = max(ttl_s, MIN_TTL_CONVERGENCE_PERIODS * CONVERGENCE_S)  # s after its last write
+        self.last_run_at: dict[str, float] = {}  # by exchange
+        self.remembered_s = max(ttl_s, MIN_TTL_CONVERGENCE_PERIODS * CONVERGENCE_S)  # since the last run
         self.reported_unknown: Counter[str] = Counter()
         self.requests: list[ClientRequest] = []
         self.finished: Counter[str] = Counter()
         self.cuts: set[frozenset[str]] = set()
-        self.stall_before_send: set[str] = set()  # sites that are to stand still once they are to send
+        self.stall_before_send: set[str] = set()  # gateways to freeze right before they send
         self.servers: dict[str, Server] = {}
         for number in range(servers):
             region = number % 3
@@ -186,7 +185,7 @@
             self.schedule(self.rng.uniform(0, TICK_S), partial(self.tick, gateway))
         self.callers = [f"c{number}" for number in range(callers)]
         self.stop_at = 1e9
-        self.last_served: dict[str, tuple[str, str]] = {}  # the life that served a caller last, and the site
+        self.last_served: dict[str, tuple[str, str]] = {}  # by caller: instance and gateway
 
     # Time.
 
@@ -200,7 +199,7 @@
         self.now = until
 
     def run_at(self, gateway: Gateway, action: Callable[[], None]) -> None:
-        """At a site: not while it stands still, and not once it has died."""
+        """Run an action at a gateway: deferred while it is frozen, dropped if it is down or was restarted."""
         if not gateway.up or self.gateways.get(gateway.name) is not gateway:
             return
         if gateway.frozen:
@@ -208,7 +207,7 @@
         else:
             action()
 
-    # Machines.
+    # Gateways and servers.
 
     def create_store(self, gateway: Gateway) -> RecordStore:
         store_class = GUARD_MUTATIONS.get(next(iter(self.guards & GUARD_MUTATIONS.keys()), ""), RecordStore)
@@ -230,11 +229,11 @@
             self.schedule(LEASE_RENEWAL_S, lambda: self.renew_lease(gateway))
 
     def tick(self, gateway: Gateway) -> None:
-        def tick() -> None:
+        def run_tick() -> None:
             self.carry_out(gateway, gateway.coordinator.tick(self.now))
 
         if gateway.up and self.gateways[gateway.name] is gateway:
-            self.run_at(gateway, tick)
+            self.run_at(gateway, run_tick)
             self.schedule(TICK_S, lambda: self.tick(gateway))
 
     def is_reachable(self, a: str, b: str) -> bool:
@@ -243,7 +242,7 @@
         return running and frozenset((a, b)) not in self.cuts
 
     def update_views(self) -> None:
-        """Views follow what can be reached, each after a time of its own; a third party's word counts."""
+        """Adapt membership views to what is reachable, directly or by a third gateway, with random delays."""
         names = list(self.gateways)
         for a in names:
             for b in names:
@@ -310,7 +309,7 @@
         self.update_views()
 
     def partition(self, names: list[str], from_control_plane: bool = True) -> None:
-        """These from all others; ``core``: from the core as well, so that their right ends."""
+        """Cut these gateways off from all others and, optionally, from lease renewal by the control plane."""
         inside = set(names)
         self.cuts |= {frozenset((a, b)) for a in inside for b in self.gateways if b not in inside}
         for name in names:
@@ -324,12 +323,12 @@
         self.update_views()
 
     def add_server(self, name: str, region: int) -> None:
-        """A server that was not there before."""
+        """Add a server to the pool."""
         self.servers[name] = Server(name, f"r{region}z0", f"r{region}", f"{name}-1")
         self.instances.add(f"{name}-1")
 
     def restart_server(self, name: str, down_s: float = 0.5) -> None:
-        """The same address, a new life; what the old one knew and was at is lost with it."""
+        """Restart a server at the same address as a new instance; the state of its attempts is lost."""
         server = self.servers[name]
         server.up = False
         self.ended_at.setdefault(server.instance_id, self.now)
@@ -391,11 +390,12 @@
         self.schedule(delivered_at - self.now, lambda: self.run_at(target, deliver))
 
     def observe(self, gateway: Gateway, message: Message) -> None:
-        """What an owner has agreed to: numbers only go up, and none means two things."""
+        """Check the versions that owners acknowledge."""
         if message["w"] == "done" and message["word"] in ("given", "kept"):
             self.check_version(message["b"])
 
     def check_version(self, record: SessionRecord) -> None:
+        """Invariant: versions of a record only increase, and no version stands for two contents."""
         last = self.committed.get(record.key)
         if last is not None and self.now > last[2]:
             last = None
@@ -417,7 +417,7 @@
         if not gateway.up:
             request.answer = "closed"
         elif gateway.frozen:
-            # It waits in the socket, and is read once the process goes on.
+            # It waits in the socket until the process continues.
             gateway.backlog.append(partial(self.accept, gateway, request))
         else:
             self.accept(gateway, request)
@@ -453,15 +453,15 @@
             request.lookup_s = self.now - request.started_at
             self.lookup_times_s.append(request.lookup_s)
         ready = {
-            directive.instance_id: directive
-            for directive in self.servers.values()
-            if gateway.is_known_instance(directive.instance_id)
-            and directive.instance_id not in request.tried_instances
+            candidate.instance_id: candidate
+            for candidate in self.servers.values()
+            if gateway.is_known_instance(candidate.instance_id)
+            and candidate.instance_id not in request.tried_instances
         }
         server = ready.get(record.instance_id) if record is not None and not request.tried_instances else None
         if server is None:
             members = [
-                Member(directive.name, 4.0, directive.zone, directive.region) for directive in ready.values()
+                Member(candidate.name, 4.0, candidate.zone, candidate.region) for candidate in ready.values()
             ]
             ranks = order(placed_key(request.caller.encode()), members)
             server = self.servers[ranks[0][2]] if ranks else None
@@ -471,7 +471,7 @@
         request.tried_instances.append(server.instance_id)
         request.target = server.name
         last, last_gateway = self.last_served.get(request.caller, ("", ""))
-        serving = any(directive.instance_id == last and directive.up for directive in self.servers.values())
+        serving = any(candidate.instance_id == last and candidate.up for candidate in self.servers.values())
         if serving and last_gateway != gateway.name and len(request.tried_instances) == 1:
             self.affinity_results[last != server.instance_id] += 1
         if not self.records:
@@ -500,13 +500,13 @@
             self.end_attempt(gateway, request, ExchangeOutcome.NOT_RUN, None)
             return
         if gateway.name in self.stall_before_send:
-            # It stands still right before the first byte.
+            # The process is stalled right before the first byte.
             self.stall_before_send.discard(gateway.name)
             self.freeze(gateway.name)
         instance_id, server_name = request.tried_instances[-1], request.target
         if "no_pass" in self.guards:
             valid_until = 1e9
-        # A connection comes up first; the site may stand still meanwhile.
+        # The connection is established first; the gateway may be stalled meanwhile.
         connect_s = self.rng.uniform(0.0005, 0.03)
 
         def write() -> None:
@@ -538,7 +538,7 @@
             return
         request.ran = True
         if self.now - self.last_run_at.get(request.exchange_id, -1e9) > self.remembered_s:
-            self.runs.pop(request.exchange_id, None)  # nobody promises to know of it for so long
+            self.runs.pop(request.exchange_id, None)  # its record may have expired
         self.last_run_at[request.exchange_id] = self.now
         self.runs.setdefault(request.exchange_id, []).append(instance_id)
         server.running.add(request.request_id)
@@ -585,11 +585,18 @@
         if state is ExchangeState.UNKNOWN:
             self.reported_unknown[exchange_id] += 1
         elif exchange_id not in self.runs:
-            self.violations.append(f"{self.now:.2f} {exchange_id} told to have run, and never has")
+            self.violations.append(f"{self.now:.2f} {exchange_id} reported as run, but it never ran")
         self.end_request(gateway, request, f"409 {state.value} {exchange_id}")
 
     def query_server(self, gateway: Gateway, request_id: str, instance_id: str, attempt_id: str) -> None:
-        server = next((s for s in self.servers.values() if s.instance_id == instance_id and s.up), None)
+        server = next(
+            (
+                candidate
+                for candidate in self.servers.values()
+                if candidate.instance_id == instance_id and candidate.up
+            ),
+            None,
+        )
         state = ExchangeState.UNKNOWN
         if server is not None:
             state = ExchangeState.RUN if attempt_id in server.completed else ExchangeState.NOT_RUN
@@ -660,15 +667,19 @@
         if answer[0] == "200" or (answer[0] == "409" and answer[1] == "run" and answer[2] == exchange_id):
             self.finished[exchange_id] += 1
             if exchange_id not in self.runs:
-                self.violations.append(f"{self.now:.2f} {exchange_id} is lost: {request.answer}")
+                self.violations.append(
+                    f"{self.now:.2f} {exchange_id} was answered {request.answer}, but it never ran"
+                )
             self.schedule(
                 self.rng.uniform(0.1, 2 * self.pause_s),
                 lambda: self.start_exchange(request.caller, self.next_gateway(gateway_name), number + 1),
             )
             return
-        # Not answered, or told to come back, or told that nobody knows: sent again, perhaps elsewhere.
+        # Unanswered, refused or in doubt: the caller sends it again, possibly to another gateway.
         if attempts > 400:
-            self.violations.append(f"{self.now:.2f} {exchange_id} comes to no end")
+            self.violations.append(
+                f"{self.now:.2f} {exchange_id} is still unanswered after {attempts} attempts"
+            )
             return
         gateway = (
             self.next_gateway(gateway_name) if answer[0] != "closed" else self.rng.choice(list(self.gateways))
@@ -678,10 +689,13 @@
             pause, lambda: self.send_request(request.caller, exchange_id, gateway, number, attempts + 1)
         )
 
-    # What came of it.
+    # Results.
 
     def check(self) -> list[str]:
-        """Faults; among them what ran more often than once, and once for each time it was told as unknown."""
+        """Violations, among them exchanges that ran too often.
+
+        On strict routes an exchange may run once, and once more for each time it was reported as unknown.
+        """
         violations = list(self.violations)
         for exchange, lives in self.runs.items():
             if self.policy.strict and len(lives) > 1 + self.reported_unknown[exchange]:
@@ -690,7 +704,7 @@
 
 
 class UnfencedStore(RecordStore):
-    """The copy writes for whoever asks."""
+    """Mutation: the replica accepts writes of any gateway and version."""
 
     def on_replicate(self, owner: str, message: Message) -> None:
         stored = decode_stored(message, self.now)
@@ -700,7 +714,7 @@
 
 
 class LeaselessStore(RecordStore):
-    """The owner acts without a right."""
+    """Mutation: the owner acts without a lease."""
 
     def execute(self, sender: str, message: Message, retried: bool = False) -> None:
         self.lease_until = lambda: 1e18
@@ -708,14 +722,14 @@
 
 
 class UnconfirmedTakeoverStore(RecordStore):
-    """A new owner asks nobody."""
+    """Mutation: a new owner acts without recovery."""
 
     def required_confirmations(self, key: str, home_regions: tuple[str, ...]) -> list[str] | None:
         return []
 
 
 class UnrenewedLeaseStore(RecordStore):
-    """A new owner acts though nothing says that it is not cut off."""
+    """Mutation: a new owner acts before its lease is renewed, though it may be partitioned off."""
 
     def required_confirmations(self, key: str, home_regions: tuple[str, ...]) -> list[str] | None:
         self.lease_s = -1e18
@@ -723,7 +737,7 @@
 
 
 class EpochAdoptingStore(RecordStore):
-    """An owner counts on from whatever tenure it is told of."""
+    """Mutation: an owner continues in a later epoch of another owner without recovery."""
 
     def merge(self, stored: StoredRecord) -> bool:
         superseded, recovered = set(self.superseded), dict(self.recovered_in_view)
@@ -733,7 +747,7 @@
 
 
 class UncheckedWriteStore(RecordStore):
-    """The owner takes a write from whichever site."""
+    """Mutation: the owner accepts writes of gateways that no longer serve the caller."""
 
     def execute(self, sender: str, message: Message, retried: bool = False) -> None:
         stored = self.get(message["b"].key) if message["w"] == "write" else None
@@ -744,14 +758,14 @@
 
 
 class SilentStore(RecordStore):
-    """Nobody tells a new pair what it has."""
+    """Mutation: records are not sent to their new owners and replicas."""
 
     def send_updates(self) -> None:
         pass
 
 
 class UndeclaredEvictionStore(RecordStore):
-    """A full store says none of what it has forgotten."""
+    """Mutation: the loss of evicted records is ignored."""
 
     def required_confirmations(self, key: str, home_regions: tuple[str, ...]) -> list[str] | None:
         self.incomplete_until = 0.0
@@ -777,10 +791,11 @@
 
 
 def schedule_faults(simulation: Simulation, until: float, kinds: tuple[str, ...] = FAULT_KINDS) -> None:
-    """Drawn: gateways killed, cut off, stopped and continued, regions lost, servers restarted and away.
+    """Schedule random faults: gateways killed, partitioned off or frozen, regions lost, servers restarted.
 
-    One at a time, and the next not before the last one's records have found their new places: a deployment is
-    to bear the loss of a machine, a zone or a region, and the three who have a record may be lost by two.
+    One fault at a time, each spaced from the previous one so that records have been replicated anew: the
+    protocol tolerates the loss of a machine, a zone or a region, but not of owner, replica and serving
+    gateway by two faults in quick succession.
     """
     rng, fault_at = simulation.rng, 1.0
     while fault_at < until:
@@ -795,6 +810,7 @@
 def fault_actions(
     simulation: Simulation, kind: str, name: str, rng: random.Random
 ) -> tuple[Callable[[], None], Callable[[], None]]:
+    """Begin and end of a fault."""
     region = simulation.gateways[name].region
     region_gateways = [
         gateway_name for gateway_name, gateway in simulation.gateways.items() if gateway.region == region
@@ -823,7 +839,7 @@
 def run_schedule(
     seed: int, duration_s: float = 40.0, kinds: tuple[str, ...] = FAULT_KINDS, **settings: object
 ) -> Simulation:
-    """One drawn schedule to its end; the troubles end before the callers do, so that all may finish."""
+    """Run one random schedule; faults end before the callers do, so that all exchanges can finish."""
     simulation = Simulation(seed, **settings)  # type: ignore[arg-type]
     simulation.start_callers()
     schedule_faults(simulation, duration_s - 12.0, kinds)
--- a/latchspoke/session_records/store.py
+++ b/latchspoke/session_records/store.py
@@ -1,13 +1,22 @@
-"""One gateway's part in keeping the records: as their owner, as their copy, and as the site of its callers.
+"""Replication of session records between gateways, without I/O.
 
-Pure: messages of others, requests of its own site, the live gateways and the time (monotonic, s) go in;
-letters to others and answers to its own site come out. The rules are numbered as in docs/travel.md.
+Each record has an owner and a replica among the live gateways. A ``RecordStore`` acts as the owner and the
+replica of records, and on behalf of its own gateway as their client. Messages of other gateways, requests
+of its own gateway, changes of the membership view and the time (monotonic, s) are passed in; messages to
+send and replies to its own gateway are returned. The rules mentioned below are numbered as in docs/travel.md.
 
-Messages, ``w`` says which: ``take``, ``write`` and ``fate`` from a site to the owner, ``done`` back; ``copy``
-from the owner to the copy, ``kept`` back; ``read`` from a new owner to who had it, ``had`` back; ``tell``
-from anybody who has it, ``have`` back; ``left`` to the site that a caller has left; ``blind`` to all from
-whoever forgets a record before its end. ``q`` is the sender's
-number, ``b`` a bill, ``l`` the seconds that it still has, ``a`` those since its exchange was opened.
+Kinds of messages (key ``w``):
+
+``take``, ``write``, ``fate``  request of a gateway to the owner; answered by ``done``
+``copy``    write of the owner to the replica; answered by ``kept``
+``read``    recovery request of a new owner to a previous owner or replica; answered by ``had``
+``tell``    batch of records to their current owner and replica; answered by ``have``
+``left``    notice to a gateway that the caller has moved to another
+``blind``   notice that the sender has lost records before their expiry
+``bye``     notice that the sender shuts down
+
+Other keys: ``q`` request number of the sender, ``b`` record, ``l`` seconds until its expiry, ``a`` seconds
+since its exchange was opened, ``t`` epoch, ``p`` highest epoch known to the sender.
 """
 
 from __future__ import annotations
@@ -33,35 +42,41 @@
 
 Message = dict[str, Any]
 
-MAX_RECORDS = 100_000  # records of one gateway
-MAX_LOCAL_RECORDS = 50_000  # callers whose site this is
-REPLY_TIMEOUT_S = 1.0  # s that an owner waits for a copy, or for those who had a record
-SWEEP_INTERVAL_S = 2.0  # s between tellings of what isn't confirmed
-UPDATE_BATCH_SIZE = 200  # bills of one telling
-MAX_UNCONFIRMED_OUTCOMES = 10_000  # fates that no owner has confirmed yet
-PROMISE_CONVERGENCE_PERIODS = 10.0  # settling times that a promise is kept, at least
-TRANSIT_MARGIN_S = 0.05  # s that a record sent to another is taken to have been under way, at least
+MAX_RECORDS = 100_000  # as owner or replica
+MAX_LOCAL_RECORDS = 50_000  # of callers served by this gateway
+REPLY_TIMEOUT_S = 1.0  # of a replica, and of gateways asked for recovery
+SWEEP_INTERVAL_S = 2.0
+UPDATE_BATCH_SIZE = 200  # records
+MAX_UNCONFIRMED_OUTCOMES = 10_000
+PROMISE_CONVERGENCE_PERIODS = 10.0  # how long an epoch promise is kept
+TRANSIT_MARGIN_S = 0.05  # taken off the TTL of a received record for its time in transit
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
+    """A message to send to another gateway."""
+
     target: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class StoreReply:
-    """To the own site. ``word``: given, kept, moved (another site has the caller), ran, unsettled, unsure."""
+    """The reply to a request of the own gateway.
+
+    ``status``: given, kept, settled, moved (another gateway serves the caller), ran (the exchange has run
+    already), unsettled (a previous exchange is open or in doubt) or unsure (it may have been done or not).
+    """
 
     reference: str
     status: str
     record: SessionRecord | None = None
-    exchange_age_s: float = 0.0  # s since its exchange was opened
+    exchange_age_s: float = 0.0  # since the record's exchange was opened
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTarget:
-    """A server's life, and what is to be sent there; no exchange: only where the caller is."""
+    """A server instance and the attempt to be sent to it; without an exchange, only the caller's server."""
 
     service: str
     instance_id: str
@@ -75,16 +90,20 @@
 
 @dataclass(slots=True)
 class StoredRecord:
-    """A bill that is here, until when, and under which era it is known to be with the pair."""
+    """A record held by this gateway.
+
+    ``view_number`` is the membership view in which owner and replica are known to have it.
+    """
 
     record: SessionRecord
     expires_at: float
-    opened_at: float  # when its exchange was opened
+    opened_at: float  # when the record's exchange was opened
     view_number: int = -1
-    confirmed_by: tuple[str, ...] = ()  # who has confirmed it under the era ``by_era``
+    confirmed_by: tuple[str, ...] = ()  # gateways that confirmed it in the view ``confirmed_in_view``
     confirmed_in_view: int = -1
 
     def add_confirmation(self, name: str, view_number: int) -> tuple[str, ...]:
+        """Note that a gateway has the record; returns all that have confirmed it in this view."""
         if self.confirmed_in_view != view_number:
             self.confirmed_by, self.confirmed_in_view = (), view_number
         if name not in self.confirmed_by:
@@ -94,7 +113,7 @@
 
 @dataclass(slots=True)
 class PendingWrite:
-    """An act that waits for its copy."""
+    """A write of this owner that awaits the acknowledgement of the replica."""
 
     sender: str
     message: Message
@@ -106,7 +125,7 @@
 
 @dataclass(slots=True)
 class Recovery:
-    """Acts that wait for those who had the record under former eras."""
+    """Requests that wait until previous owners or replicas have sent the record to this new owner."""
 
     missing: list[str]
     started_at: float
@@ -116,8 +135,12 @@
 
 
 class RecordStore:
-    """See the module. ``right``: until when (s) this gateway may act, asked at each act; ``lease``: how long
-    (s) one proof of it lasts."""
+    """The records of one gateway.
+
+    ``convergence_s``: time after a change of the membership view by which previous owners have lost their
+    leases or answered a recovery request. ``lease_until`` returns the end of this gateway's lease, without
+    which it does not act as an owner; ``lease_s``: how long a lease lasts when it is renewed.
+    """
 
     def __init__(
         self, name: str, instance_id: str, convergence_s: float, now: float, lease_until: Callable[[], float],
@@ -132,25 +155,24 @@
             max_records,
         )
         self.stats: Counter[str] = Counter() if stats is None else stats
-        self.records: dict[str, StoredRecord] = {}  # as owner or copy; what was written longest ago first
-        self.local_records: dict[str, StoredRecord] = {}  # of callers whose site this is
-        self.incomplete_until = now  # something was forgotten before its end: "none" isn't known till then
-        self.cluster_incomplete_until = (
-            now  # the same of anybody: it is blindness here once the live gateways change
-        )
+        self.records: dict[str, StoredRecord] = {}  # as owner or replica, least recently written first
+        self.local_records: dict[str, StoredRecord] = {}  # of callers served here
+        # Records may have been lost here: until then, a missing record is not known to have never existed.
+        self.incomplete_until = now
+        # The same for any gateway; it applies here once the membership view changes.
+        self.cluster_incomplete_until = now
         self.views: list[MembershipView] = [MembershipView(now, {}, 0)]
-        self.recovered_in_view: dict[str, int] = {}  # keys of which all is known, and under which era
-        self.highest_dropped_move = 0  # the highest move of any record that was dropped here
-        # The tenure below which nothing is written, whose it is, and since when; the oldest first.
+        self.recovered_in_view: dict[str, int] = {}  # by key: the view in which its record was recovered
+        self.highest_dropped_move = 0
+        # By key: the epoch below which writes are rejected, its owner, when it was promised. Oldest first.
         self.promised_epochs: dict[str, tuple[int, str, float]] = {}
-        self.superseded: set[str] = set()  # keys whose copy knows of a later tenure
-        self.departed: dict[str, float] = {}  # gateways that left in order, and when
+        self.superseded: set[str] = set()  # keys for which a later epoch than this owner's exists
+        self.departed: dict[str, float] = {}  # gateways that shut down in order, and when
         self.pending_writes: dict[int, PendingWrite] = {}
         self.recoveries: dict[str, Recovery] = {}
-        self.pending_requests: dict[int, str] = {}  # own questions to owners
-        self.unconfirmed_outcomes: dict[
-            int, tuple[Message, float]
-        ] = {}  # own fates, until confirmed, and until when they matter
+        self.pending_requests: dict[int, str] = {}  # references by request number
+        # By request number: outcomes that no owner has confirmed yet, and when they expire.
+        self.unconfirmed_outcomes: dict[int, tuple[Message, float]] = {}
         self.request_numbers, self.write_numbers = (
             itertools.count(first_number(instance_id) + 1),
             itertools.count(1),
@@ -160,10 +182,10 @@
         self.now = now
         self.region = ""
 
-    # What comes in.
+    # Inputs.
 
     def update_membership(self, gateways: Mapping[str, Peer], now: float) -> list[StoreOutput]:
-        """The live gateways have changed, this one among them."""
+        """The set of live gateways, this one among them, has changed."""
         self.now = now
         if dict(gateways) != dict(self.views[-1].gateways):
             self.views.append(MembershipView(now, dict(gateways), self.views[-1].number + 1))
@@ -171,14 +193,14 @@
             self.incomplete_until = max(self.incomplete_until, self.cluster_incomplete_until)
             if self.name in gateways:
                 self.region = gateways[self.name].region
-            # What waits for a copy of before: whether it wrote can't count under the new pair.
+            # An acknowledgement by a replica of the previous view does not count in the new one.
             for number in list(self.pending_writes):
                 self.reply_unsure(*self.pop_pending(number))
             self.sweep()
         return self.take_outputs()
 
     def leave(self, now: float) -> list[StoreOutput]:
-        """This gateway stops: what it has goes to those who come after it, and it acts no more."""
+        """This gateway shuts down: hand its records over, and stop acting as an owner."""
         self.lease_until = lambda: -math.inf
         outputs = self.update_membership(
             {gateway: peer for gateway, peer in self.views[-1].gateways.items() if gateway != self.name}, now
@@ -186,7 +208,7 @@
         return outputs + [OutgoingMessage(name, {"w": "bye"}) for name in self.views[-1].gateways]
 
     def tick(self, now: float) -> list[StoreOutput]:
-        """At least each quarter of a second."""
+        """Call at least every 0.25 s."""
         self.now = now
         for number in [
             number for number, write in self.pending_writes.items() if now - write.sent_at > REPLY_TIMEOUT_S
@@ -202,15 +224,15 @@
         return self.take_outputs()
 
     def receive(self, sender: str, message: Message, now: float) -> list[StoreOutput]:
-        """A message of another gateway's. Raises KeyError, TypeError, ValueError where it can't be read."""
+        """A message of another gateway. Raises KeyError, TypeError or ValueError if it is malformed."""
         self.now = now
         self.dispatch(sender, message)
         return self.take_outputs()
 
-    # The own site's questions.
+    # Requests of the own gateway.
 
     def local_record(self, key: str, now: float) -> SessionRecord | None:
-        """The record of a caller whose site this is."""
+        """The record of a caller that is served by this gateway."""
         stored = self.local_records.get(key)
         return stored.record if stored is not None and now < stored.expires_at else None
 
@@ -223,9 +245,9 @@
         now: float,
         soft: bool = False,
     ) -> list[StoreOutput]:
-        """Ask for a caller's record, and for the caller. Answers: given, unsure.
+        """Request a caller's record, to serve the caller from here on. Replies: given, unsure.
 
-        ``soft``: only the server matters, so that the owner waits neither for the copy nor to be sure.
+        ``soft``: the record is only a hint, so that the owner need neither recover it nor await its replica.
         """
         self.now = now
         request: Message = {
@@ -241,9 +263,9 @@
     def open_exchange(
         self, reference: str, record: SessionRecord, target: AttemptTarget, now: float
     ) -> tuple[SessionRecord, list[StoreOutput]]:
-        """Write that an exchange is about to be sent, and what is written; without an exchange, the server.
+        """Write that an exchange is about to be sent or, without an exchange, the caller's server.
 
-        Answers: kept, moved, ran, unsettled, unsure.
+        Returns the record to be written. Replies: kept, moved, ran, unsettled, unsure.
         """
         self.now = now
         write_number = next(self.write_numbers)
@@ -271,13 +293,12 @@
     def record_outcome(
         self, reference: str, record: SessionRecord, outcome: ExchangeOutcome, now: float
     ) -> list[StoreOutput]:
-        """Write what became of the bill's exchange; told again until it is confirmed."""
+        """Write the outcome of the record's exchange; it is sent again until the owner confirms it."""
         self.now = now
         local = self.local_records.get(record.key)
         if local is not None and local.record.opening_id == record.opening_id and local.record.unsettled:
-            local.record = replace(
-                local.record, outcome=outcome
-            )  # what it opens next comes to the owner behind this
+            # Safe, as the next opening reaches the owner after this outcome.
+            local.record = replace(local.record, outcome=outcome)
         message: Message = {
             "w": "fate", "key": record.key, "homes": list(record.home_regions), "opened": record.opening_id,
             "fate": int(outcome), "site": self.gateway_instance,
@@ -290,6 +311,7 @@
         return self.take_outputs()
 
     def send_request(self, reference: str, message: Message) -> int:
+        """Send a request to the owner of the record; returns its number."""
         number = message["q"] = next(self.request_numbers)
         self.pending_requests[number] = reference
         while len(self.pending_requests) > MAX_LOCAL_RECORDS:
@@ -308,6 +330,7 @@
         return number
 
     def complete_request(self, number: int, status: str, stored: StoredRecord | None) -> None:
+        """Pass the owner's reply on, and keep the record if this gateway serves the caller."""
         reference = self.pending_requests.pop(number, None)
         if status != "unsure":
             self.unconfirmed_outcomes.pop(number, None)
@@ -321,7 +344,7 @@
                 ):
                     self.put(self.local_records, stored, MAX_LOCAL_RECORDS)
         if status == "unsettled" and record is not None:
-            # Its fate may be known here, and not have come there.
+            # The outcome may be known here without having reached the owner.
             for message, _ in [
                 pending
                 for pending in self.unconfirmed_outcomes.values()
@@ -335,9 +358,10 @@
                 )
             )
 
-    # The owner.
+    # Messages.
 
     def dispatch(self, sender: str, message: Message) -> None:
+        """Call the handler for a message."""
         match message["w"]:
             case "take" | "write" | "fate":
                 self.execute(sender, message)
@@ -360,13 +384,13 @@
             case "blind" | "bye" | "left":
                 self.on_notice(sender, message)
             case other:
-                raise ValueError(f"no message {other!r}")
+                raise ValueError(f"unknown message kind {other!r}")
 
     def on_notice(self, sender: str, message: Message) -> None:
-        """What is told without being asked for, and not answered."""
+        """Handle messages that are not answered: ``blind``, ``bye`` and ``left``."""
         if message["w"] == "blind":
             self.cluster_incomplete_until = max(self.cluster_incomplete_until, self.now + float(message["l"]))
-            if len(self.views) > 1:  # the live gateways have changed lately
+            if len(self.views) > 1:  # the membership view has changed recently
                 self.incomplete_until = max(self.incomplete_until, self.cluster_incomplete_until)
         elif message["w"] == "bye":
             self.departed[sender] = self.now
@@ -376,7 +400,7 @@
                 del self.local_records[str(message["key"])]
 
     def execute(self, sender: str, message: Message, retried: bool = False) -> None:
-        """A move, an opening or a fate, where this gateway owns the record, has the right, and knows all."""
+        """Carry out a request as the owner: requires ownership, a valid lease, and the recovered record."""
         key, home_regions = key_and_homes(message)
         owner, replica = self.views[-1].placement(key, home_regions)
         if owner != self.name or self.now >= self.lease_until():
@@ -427,22 +451,22 @@
         self.send(replica, {"w": "copy", "q": number, "b": record, "l": record.ttl_s})
 
     def required_confirmations(self, key: str, home_regions: tuple[str, ...]) -> list[str] | None:
-        """Rule 4: of each pair that may have acted lately, the one whose word ends that. None: wait.
+        """Gateways that must answer a recovery request before this new owner acts (rule 4); None: wait.
 
-        It is the copy, for only with it could its owner act; where there was none, the owner. One that has
-        left in order acts no more: then the other's word is enough.
+        Of each placement within the convergence time it is the replica, as the owner could not write without
+        it, or else the owner. Of a placement with a gateway that shut down in order, the other one is enough.
         """
         view = self.views[-1]
         if self.now < self.incomplete_until and key not in self.records:
             return None
         if self.lease_until() < self.placement_changed_at(key, home_regions) + self.lease_s:
-            # Not proven since: it may be cut off with the copy of before, and nobody would hear of its acts.
+            # The lease was not renewed since: this gateway may be partitioned off with the previous replica.
             return None
         required: set[str] = set()
         for previous, following in itertools.pairwise(self.views):
             if following.valid_from <= self.now - self.convergence_s:
                 continue
-            # Before its start, this gateway stands beside those who were there.
+            # For the time before its start, this gateway assumes the current view without itself.
             gateways = previous.gateways or view.gateways
             placement = (
                 previous.placement(key, home_regions)
@@ -465,7 +489,7 @@
         return sorted(required - {self.name, ""})
 
     def ownership_changed(self, key: str, home_regions: tuple[str, ...]) -> bool:
-        """Whether others may have acted since this gateway last did: then a new tenure begins."""
+        """Whether others may have owned the record since this gateway did, so that a new epoch must begin."""
         _, promised_to, _ = self.promised_epochs.get(key, (0, self.name, 0.0))
         return (
             self.placement_changed_at(key, home_regions) > -math.inf
@@ -474,7 +498,10 @@
         )
 
     def placement_changed_at(self, key: str, home_regions: tuple[str, ...]) -> float:
-        """When its pair, or the life of one of them, last changed, if that is lately."""
+        """When owner, replica or an instance of either last changed.
+
+        -inf if they have not changed within the convergence time.
+        """
         view, changed_at = self.views[-1], -math.inf
         placement = view.placement(key, home_regions)
         for previous, following in itertools.pairwise(self.views):
@@ -486,29 +513,30 @@
         return changed_at
 
     def highest_epoch(self, key: str) -> int:
-        """The highest that is known here."""
+        """The highest epoch of the record that is known here."""
         stored = self.records.get(key)
         return max(
             self.promised_epochs.get(key, (0, "", 0.0))[0], stored.record.epoch if stored is not None else 0
         )
 
     def promise_epoch(self, key: str, epoch: int, promised_to: str) -> None:
-        """Nothing of a lower tenure is written here from now on."""
+        """Reject writes of lower epochs from now on."""
         self.promised_epochs.pop(key, None)
         self.promised_epochs[key] = epoch, promised_to, self.now
         if len(self.promised_epochs) > self.max_records:
-            # Whoever it was given against may come back: as if the record had been forgotten.
+            # A previous owner may come back, which amounts to the loss of the record.
             del self.promised_epochs[next(iter(self.promised_epochs))]
             self.mark_incomplete(self.now + PROMISE_CONVERGENCE_PERIODS * self.convergence_s)
 
     def mark_incomplete(self, until: float) -> None:
-        """Something that matters till then is lost here. Others hear of it: they may be the next owners."""
+        """Note the loss of a record that is valid until then; notify others, as possible next owners."""
         self.incomplete_until = max(self.incomplete_until, until)
         if self.incomplete_until > self.cluster_incomplete_until:
             self.cluster_incomplete_until = self.incomplete_until + SWEEP_INTERVAL_S
             self.announce_incomplete()
 
     def announce_incomplete(self) -> None:
+        """Notify all gateways that records have been lost."""
         remaining_s = round(self.cluster_incomplete_until - self.now, 3)
         for name in [gateway for gateway in self.views[-1].gateways if gateway != self.name]:
             self.send(name, {"w": "blind", "l": remaining_s})
@@ -516,6 +544,7 @@
     def start_recovery(
         self, key: str, home_regions: tuple[str, ...], missing: list[str], sender: str, message: Message
     ) -> None:
+        """Request the record from previous owners or replicas; the client's request waits for them."""
         recovery = self.recoveries.get(key)
         if (
             recovery is None
@@ -533,7 +562,7 @@
         recovery.waiting.append((sender, message))
 
     def on_recovery_request(self, sender: str, message: Message) -> None:
-        """A new owner asks. Who answers takes nothing of an older tenure any more."""
+        """A new owner requests a record. By a positive reply this gateway rejects writes of older epochs."""
         key, home_regions = key_and_homes(message)
         view, cutoff = self.views[-1], self.now - self.convergence_s
         recent = [
@@ -572,6 +601,7 @@
         self.send(sender, reply | encode_stored(stored, self.now))
 
     def on_recovery_reply(self, sender: str, message: Message) -> None:
+        """Once all required replies have arrived, carry out the requests that wait for them."""
         key, _ = key_and_homes(message)
         if (stored := decode_stored(message, self.now)) is not None:
             self.merge(stored)
@@ -584,7 +614,7 @@
             return
         if not message["ok"]:
             if int(message["p"]) >= recovery.epoch:
-                # Somebody has gone beyond: those who wait ask again above that.
+                # A higher epoch exists: start again above it.
                 del self.recoveries[key]
                 self.promise_epoch(key, int(message["p"]), "")
                 for requester, request in recovery.waiting:
@@ -599,7 +629,7 @@
                 self.execute(requester, request)
 
     def on_replicate(self, owner: str, message: Message) -> None:
-        """Rule 1: only from who owns it by this gateway's own view, and only a higher number."""
+        """Accept a write only of a higher version and from the owner in this gateway's view (rule 1)."""
         stored = decode_stored(message, self.now)
         assert stored is not None
         record = stored.record
@@ -618,11 +648,12 @@
         self.send(owner, reply if ok else reply | encode_stored(current, self.now))
 
     def on_replicate_ack(self, message: Message) -> None:
+        """Reply to the client, or retry once if the replica rejected the write."""
         pending = self.pending_writes.pop(int(message["q"]), None)
         if pending is None:
             return
         if self.now - pending.sent_at > REPLY_TIMEOUT_S:
-            # This process has stood still, and others may have gone on.
+            # This process has been stalled, and others may have acted since.
             self.reply_unsure(pending.sender, pending.message)
             return
         if message["ok"]:
@@ -631,7 +662,7 @@
             return
         record, newer = pending.stored.record, decode_stored(message, self.now)
         if int(message["p"]) > record.epoch:
-            # Another has begun a tenure since: it is asked for anew.
+            # Another owner has begun a later epoch: recover the record from the replica.
             self.promise_epoch(record.key, max(int(message["p"]), self.highest_epoch(record.key)), "")
             self.superseded.add(record.key)
             self.recovered_in_view.pop(record.key, None)
@@ -644,19 +675,23 @@
             self.execute(pending.sender, pending.message, retried=True)
 
     def reply(self, sender: str, number: int, status: str, stored: StoredRecord | None) -> None:
+        """Answer a request of a gateway to this owner."""
         self.send(sender, {"w": "done", "q": number, "word": status} | encode_stored(stored, self.now))
 
     def reply_unsure(self, sender: str, message: Message) -> None:
+        """Answer that it is not known whether the request was carried out."""
         self.stats["travel.unsure"] += 1
         self.reply(sender, int(message["q"]), "unsure", None)
 
     def pop_pending(self, number: int) -> tuple[str, Message]:
+        """Remove a pending write; returns its client and the client's request."""
         pending = self.pending_writes.pop(number)
         return pending.sender, pending.message
 
-    # What is here.
+    # Stored records.
 
     def get(self, key: str) -> StoredRecord | None:
+        """The record held as owner or replica, unless it has expired."""
         stored = self.records.get(key)
         if stored is not None and self.now >= stored.expires_at:
             self.drop(key)
@@ -664,7 +699,11 @@
         return stored
 
     def drop(self, key: str) -> None:
-        """Numbers never go back: a record that begins anew begins above, whoever still tells the old one."""
+        """Remove a record.
+
+        Its move number and epoch are remembered: a new record under the key gets a higher version, so that
+        a copy of the old one, should it still arrive, is not taken for newer.
+        """
         record = self.records.pop(key).record
         self.highest_dropped_move = max(self.highest_dropped_move, record.move)
         if record.epoch and len(self.promised_epochs) < self.max_records:
@@ -672,9 +711,11 @@
             self.promise_epoch(key, max(epoch, record.epoch), promised_to)
 
     def store(self, stored: StoredRecord) -> None:
+        """Keep a record as owner or replica."""
         self.put(self.records, stored, self.max_records)
 
     def put(self, table: dict[str, StoredRecord], stored: StoredRecord, limit: int) -> None:
+        """Put a record into a table of limited size; the least recently written one is evicted."""
         table.pop(stored.record.key, None)
         table[stored.record.key] = stored
         if len(table) > limit:
@@ -686,7 +727,7 @@
                 self.recovered_in_view.clear()
 
     def merge(self, stored: StoredRecord) -> bool:
-        """Take in a bill of another's, if it is newer than the one here."""
+        """Keep a record of another gateway if it is newer than the one here; returns whether it was."""
         record, current = stored.record, self.get(stored.record.key)
         if stored.expires_at <= self.now or (record.home_regions and self.region not in record.home_regions):
             return False
@@ -698,14 +739,14 @@
             record.epoch > self.highest_epoch(record.key)
             and self.views[-1].placement(record.key, record.home_regions)[0] == self.name
         ):
-            # Another has owned it since, whose tenure is not this one's to count on from.
+            # Another gateway has owned it since: this one must recover before it acts in that epoch.
             self.superseded.add(record.key)
             self.recovered_in_view.pop(record.key, None)
         self.store(stored)
         return True
 
     def sweep(self) -> None:
-        """Drop what has ended, and tell the pair of the day what it hasn't confirmed under this era."""
+        """Drop what has expired, and send what the current owners and replicas have not confirmed."""
         now = self.swept_at = self.now
         while len(self.views) > 1 and self.views[1].valid_from <= now - self.convergence_s:
             del self.views[0]
@@ -725,7 +766,7 @@
             del self.promised_epochs[key]
         self.departed = {name: at for name, at in self.departed.items() if now - at < 2 * self.convergence_s}
         if self.cluster_incomplete_until > now and len(self.views) > 1:
-            self.announce_incomplete()  # there may be newcomers
+            self.announce_incomplete()  # gateways may have joined
         self.send_updates()
         self.unconfirmed_outcomes = {
             number: pending for number, pending in self.unconfirmed_outcomes.items() if pending[1] > now
@@ -736,6 +777,7 @@
                 self.send(owner, message)
 
     def send_updates(self) -> None:
+        """Send records to those of their owners and replicas that are not known to have them."""
         view = self.views[-1]
         updates: dict[str, list[list[Any]]] = {}
         for stored in [*self.records.values(), *self.local_records.values()]:
@@ -755,7 +797,7 @@
                 self.send(name, {"w": "tell", "b": entries[first : first + UPDATE_BATCH_SIZE]})
 
     def on_update(self, sender: str, message: Message) -> None:
-        """Answered with what is here then: of an older one told, the newer."""
+        """Merge records, and acknowledge their versions; where this gateway has a newer one, return it."""
         entries = []
         for entry in message["b"]:
             stored = decode_entry(entry, self.now)
@@ -772,6 +814,7 @@
         self.send(sender, {"w": "have", "b": entries})
 
     def on_update_ack(self, sender: str, message: Message) -> None:
+        """Note confirmed records, and drop those that belong to others and are confirmed by them."""
         view = self.views[-1]
         for version, acknowledged in message["b"]:
             if isinstance(acknowledged, list):
@@ -794,15 +837,17 @@
                     if table is self.records and self.name not in placement:
                         self.drop(key)
 
-    # What goes out.
+    # Outputs.
 
     def send(self, target: str, message: Message) -> None:
+        """Queue a message; one to this gateway itself is handled at once."""
         if target == self.name:
             self.dispatch(target, message)
         else:
             self.outputs.append(OutgoingMessage(target, message))
 
     def take_outputs(self) -> list[StoreOutput]:
+        """The outputs since the last call."""
         outputs, self.outputs = self.outputs, []
         return outputs
 
@@ -810,7 +855,7 @@
 def apply_request(
     current: SessionRecord | None, request: Message, highest_dropped_move: int, epoch: int
 ) -> tuple[str, SessionRecord | None]:
-    """What an act makes of a record: a word, and the new record if there is one. Rules 2 and 3."""
+    """Apply a request to a record (rules 2 and 3); returns a status and the new record, if any."""
     if request["w"] == "take":
         blank = SessionRecord(
             key=str(request["key"]),
@@ -843,7 +888,7 @@
 
 
 def apply_write(current: SessionRecord | None, requested: SessionRecord) -> tuple[str, SessionRecord | None]:
-    """By the holder: another server, or an exchange that is about to be sent."""
+    """Apply a write of the serving gateway: a new server, or an exchange that is about to be sent."""
     if (
         current is None
         or (current.gateway_instance, current.move) != (requested.gateway_instance, requested.move)
@@ -871,6 +916,7 @@
 
 
 def key_and_homes(message: Message) -> tuple[str, tuple[str, ...]]:
+    """Key and home regions of the record that a request concerns."""
     if "key" in message:
         return str(message["key"]), tuple(message["homes"])
     record = parse_record(message["b"])
@@ -878,17 +924,19 @@
 
 
 def parse_record(raw: object) -> SessionRecord:
-    """Raises ValueError."""
+    """Decode a record. Raises ValueError if it is malformed."""
     return raw if isinstance(raw, SessionRecord) else msgspec.convert(raw, SessionRecord, strict=False)
 
 
 def encode_stored(stored: StoredRecord | None, now: float) -> Message:
+    """The keys of a message that carry a record; none without a record."""
     if stored is None:
         return {}
     return {"b": stored.record, "l": round(stored.expires_at - now, 3), "a": round(now - stored.opened_at, 3)}
 
 
 def decode_stored(message: Message, now: float) -> StoredRecord | None:
+    """The record in a message, if any. Raises KeyError, TypeError or ValueError if it is malformed."""
     if "b" not in message:
         return None
     record = parse_record(message["b"])
@@ -898,10 +946,12 @@
 
 
 def encode_entry(stored: StoredRecord, now: float) -> list[Any]:
+    """An entry of a batch: record, seconds until its expiry, age of its exchange (s)."""
     return [stored.record, round(stored.expires_at - now, 3), round(now - stored.opened_at, 3)]
 
 
 def decode_entry(entry: list[Any], now: float) -> StoredRecord:
+    """Inverse of ``encode_entry``. Raises TypeError or ValueError if the entry is malformed."""
     return StoredRecord(
         parse_record(entry[0]), now + float(entry[1]) - TRANSIT_MARGIN_S, now - float(entry[2])
     )
