--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -34,7 +34,7 @@
 from latchspoke.membership.post import PACKS
 from latchspoke.membership.watch import News
 from latchspoke.node_process import CORE_PORT, NodeProcess
-from latchspoke.outliers.evidence import Ledger
+from latchspoke.outliers.evidence import EvidenceStore
 from latchspoke.registry.registry import BeatError, Entry, State, read_beat
 from latchspoke.transport.door import PRESENT, Answer, Caller, Door
 from latchspoke.transport.log import log
@@ -84,7 +84,7 @@
         s = self.settings
         self.me = self.link
         founders = tuple(f"{host}:{port}" for host, port in self.seeds())
-        self.ledger, self.telling = Ledger(), False
+        self.ledger, self.telling = EvidenceStore(), False
         self.relays = Relays(self.me, self.draw)
         regions = Regions(self.me, s.region, self.draw)
         self.peers = Peers(self.me, self.peer_joined, self.peer_answers, self.relays, regions, self.clock.now)
@@ -259,7 +259,7 @@
             case "hello":
                 self.teller.heard(wire, message)
                 self.relays.joined(wire)
-                if known := self.ledger.whole(now, wire.tag.zone):
+                if known := self.ledger.snapshot(now, wire.tag.zone):
                     wire.send({"k": "hot", "e": known})
             case _:
                 if not self.from_peer(str(wire.tag), message, now, wire.send):
@@ -270,12 +270,12 @@
         super().left(wire, reason)
         self.relays.left(wire)
         if isinstance(wire.tag, Reader):
-            self.ledger.left(wire.tag.name)
+            self.ledger.remove_gateway(wire.tag.name)
 
     def evidence(self, wire: Wire, message: Message, now: float) -> None:
         """What gateways that follow here, or another control machine's, saw of servers."""
         if isinstance(wire.tag, Reader):
-            self.ledger.heard(wire.tag.name, wire.tag.zone, message["w"], now)
+            self.ledger.add_reports(wire.tag.name, wire.tag.zone, message["w"], now)
         else:
             self.ledger.merge(str(wire.tag), message["e"], now)
         self.gather(now + EVIDENCE)
@@ -289,13 +289,13 @@
     def tell_evidence(self, now: float) -> None:
         """Tell other control machines and gateways what gateways saw of servers."""
         self.telling = False
-        if entries := self.ledger.to_peers(now):
+        if entries := self.ledger.updates_for_peers(now):
             self.peers.all({"k": "hot", "e": entries})
-        news = self.ledger.to_gateways(now, {reader.zone for reader in self.board.readers})
+        news = self.ledger.updates_for_gateways(now, {reader.zone for reader in self.board.readers})
         for reader in list(self.board.readers):
             if told := news.get(reader.zone):
                 reader.send({"k": "hot", "e": told})
-        if self.ledger.waiting():
+        if self.ledger.has_pending():
             self.gather(now + EVIDENCE_AGAIN)
 
     def learn(self, message: Message, now: float) -> None:
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from latchspoke.outliers.formatting import evidence
+from latchspoke.outliers.formatting import evidence_view
 from latchspoke.registry.registry import Entry, State
 from latchspoke.transport.metrics import Family, page
 
@@ -96,8 +96,8 @@
         "gone": sorted(node.post.membership.gone),
         "servers": [server(e, settings.zones, now) for e in node.registry.entries.values()],
         "evidence": {
-            ident: evidence(node.ledger.evidence(ident, now))
-            for ident in sorted({*node.ledger.first, *node.ledger.second})
+            ident: evidence_view(node.ledger.evidence(ident, now))
+            for ident in sorted({*node.ledger.direct, *node.ledger.relayed})
         },
         "history": history(node)[:5],
     }
--- a/latchspoke/ctl/pages.py
+++ b/latchspoke/ctl/pages.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from typing import Any
 
-from latchspoke.outliers.formatting import line
+from latchspoke.outliers.formatting import format_evidence
 
 View = Mapping[str, Any]
 LATELY = 60.0  # s; refusals older than this want no look
@@ -191,7 +191,7 @@
             (
                 s["id"], s["service"], ", ".join(s["avoided"]), s["errors"], s["pace"],
                 seconds(s["answered_s_ago"]) + ("" if s["answered_s_ago"] is None else " ago"),
-                line(view.get("evidence", {}).get(s["id"])),
+                format_evidence(view.get("evidence", {}).get(s["id"])),
             )
             for s in view["servers"]
             if s["avoided"]
@@ -245,7 +245,7 @@
                 s["id"], f"{s['region']}/{s['zone']}", s["address"],
                 "-" if s["expected_s"] is None else f"{s['expected_s']:.3f} s",
                 ", ".join(s["barred"]) or "-", ", ".join(s["avoided"]) or "-", s["out"], s["errors"],
-                s["pace"], line(s.get("evidence")),
+                s["pace"], format_evidence(s.get("evidence")),
             )
             for s in those
         ]  # fmt: skip
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -26,7 +26,7 @@
 from latchspoke.net.http import GRACE, Dialer, Shared, Sockets, pending
 from latchspoke.net.stats import Stats
 from latchspoke.node_process import EDGE_PORT, NodeProcess
-from latchspoke.outliers.evidence import read as read_evidence
+from latchspoke.outliers.evidence import decode_entry as read_evidence
 from latchspoke.reach.recorder import Graph
 from latchspoke.registry.registry import BeatError, Entry
 from latchspoke.transport.door import PRESENT, Answer, Caller, Door
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -13,7 +13,7 @@
 
 from barleyhub.line.dispatch import Dispatcher
 from barleyhub.line.stock import Stock, Upstream
-from latchspoke.outliers.formatting import evidence
+from latchspoke.outliers.formatting import evidence_view
 from latchspoke.reach.recorder import standing
 from latchspoke.transport.metrics import Family, page
 
@@ -63,7 +63,8 @@
 def told(node: Node, now: float) -> dict[str, dict[str, Any]]:
     """By server: the evidence of others, and the share of failures that it makes here (0: none)."""
     return {
-        ident: evidence(node.examiner.seen(ident, now)) | {"share": round(node.stock.told.get(ident, 0.0), 3)}
+        ident: evidence_view(node.examiner.seen(ident, now))
+        | {"share": round(node.stock.told.get(ident, 0.0), 3)}
         for ident in sorted(node.examiner.told)
     }
 
--- a/latchspoke/outliers/__init__.py
+++ b/latchspoke/outliers/__init__.py
@@ -1,4 +1,5 @@
-"""Evidence on sick servers: what gateways saw, under leases on control machines, told to all gateways.
+"""Outlier detection across gateways: evidence on failing servers, shared by the control plane.
 
-Named after the trackside detectors that feel for hot axle boxes and tell the stations ahead.
+Gateways report failures and attempts by server to a control-plane node, which keeps them under leases and
+sends the sums to all gateways.
 """
--- a/latchspoke/outliers/evidence.py
+++ b/latchspoke/outliers/evidence.py
@@ -1,9 +1,8 @@
-"""What gateways have told a control machine of servers' failures, and what other control machines add. Pure.
+"""Evidence on failing servers at a control-plane node: counts of gateways and of other nodes. No I/O.
 
-Soft state under leases: counts fade by themselves, and what isn't told again is dropped after ``LEASE`` s.
-Told are sums as they stand, each by who heard them first hand, so that a word lost, told twice or late does
-no harm. It is no numbered change of the board: a gateway that missed one hears the next, and none has to be
-acknowledged.
+Soft state under leases: counts decay over time and are dropped unless reported again within ``LEASE_S``. Each
+report carries the current sums of its source rather than increments, so that lost, duplicate or late messages
+do no harm and need no acknowledgement.
 """
 
 from __future__ import annotations
@@ -16,165 +15,204 @@
 
 from barleyhub.line.examiner import FORGOTTEN, LEAST, WITNESSES, Seen, condensed, together
 
-LEASE = 8.0  # s
-NAMED = 2  # witnesses that travel by name, of each zone
-RENEW = 1.0  # s after which a server is told of again, though little has changed
-NEWS = 0.25  # change of the failures, as a part of them, that is told at once
-MOST = 400  # servers in one word: what is longer is cut, and comes with the next
+LEASE_S = 8.0
+MAX_NAMED_WITNESSES = 2  # names of witnesses sent for each zone
+REFRESH_INTERVAL_S = 1.0  # after which a server is sent again though little has changed
+URGENT_CHANGE_FRACTION = 0.25  # relative change of the failures that is sent at once
+MAX_SERVERS_PER_MESSAGE = 400  # the rest follows with the next message
 Entries = list[list[Any]]
 
 
 class EvidenceError(ValueError):
-    """A word that can't be read; one line."""
+    """A malformed message; the text is one line."""
 
 
-class Word(msgspec.Struct):
-    """What one source said of one server, as of ``at``."""
+class Report(msgspec.Struct):
+    """What one source reported on one server: counts by zone of the gateways that saw them."""
 
-    seen: dict[str, Seen]
-    at: float
+    by_zone: dict[str, Seen]
+    received_at: float
 
-    def now(self, now: float) -> dict[str, Seen]:
-        return {zone: each.faded(now - self.at) for zone, each in self.seen.items()}
+    def decayed(self, now: float) -> dict[str, Seen]:
+        """The counts as they have decayed since they were received."""
+        return {zone: counts.faded(now - self.received_at) for zone, counts in self.by_zone.items()}
 
 
-def write(ident: str, seen: dict[str, Seen]) -> list[Any]:
-    """An entry on the wire: server, then zone, failed, attempts, some witnesses, zones for each zone."""
+def encode_entry(server_id: str, by_zone: dict[str, Seen]) -> list[Any]:
+    """Wire format: server, then for each zone its name, failures, attempts, some witnesses, zone count."""
     zones = [
-        [zone, round(each.bad, 2), round(each.all, 2), sorted(each.witnesses)[:NAMED], each.zones]
-        for zone, each in sorted(seen.items())
+        [
+            zone,
+            round(counts.bad, 2),
+            round(counts.all, 2),
+            sorted(counts.witnesses)[:MAX_NAMED_WITNESSES],
+            counts.zones,
+        ]
+        for zone, counts in sorted(by_zone.items())
     ]
-    return [ident, zones]
+    return [server_id, zones]
 
 
-def read(entry: Any) -> tuple[str, dict[str, Seen]]:
-    """What ``write`` wrote. Raises EvidenceError."""
+def decode_entry(entry: Any) -> tuple[str, dict[str, Seen]]:
+    """Inverse of ``encode_entry``. Raises EvidenceError if the entry is malformed."""
     try:
-        ident, zones = entry
-        seen = {}
-        for zone, bad, tries, witnesses, count in zones:
-            names = frozenset(str(name) for name in witnesses)
-            seen[str(zone)] = Seen(float(bad), float(tries), names, int(count))
-            if not 0 <= seen[str(zone)].bad <= seen[str(zone)].all:
-                raise EvidenceError(f"counts of {ident}: {bad} of {tries}")
-        return str(ident), seen
+        server_id, zones = entry
+        by_zone = {}
+        for zone, failed, attempts, witnesses, zone_count in zones:
+            witness_names = frozenset(str(name) for name in witnesses)
+            by_zone[str(zone)] = Seen(float(failed), float(attempts), witness_names, int(zone_count))
+            if not 0 <= by_zone[str(zone)].bad <= by_zone[str(zone)].all:
+                raise EvidenceError(f"counts of {server_id}: {failed} of {attempts}")
+        return str(server_id), by_zone
     except (TypeError, ValueError) as e:
-        raise EvidenceError(f"evidence that can't be read: {e!r}") from None
+        raise EvidenceError(f"malformed evidence: {e!r}") from None
 
 
-class Ledger(msgspec.Struct):
-    """Words by server and source: gateways that follow here, and other control machines."""
+class EvidenceStore(msgspec.Struct):
+    """Reports by server and source: gateways that subscribe to this node, and other control-plane nodes."""
 
-    first: dict[str, dict[str, Word]] = msgspec.field(default_factory=dict)  # by server and gateway
-    second: dict[str, dict[str, Word]] = msgspec.field(default_factory=dict)  # by server and control machine
-    for_peers: set[str] = msgspec.field(default_factory=set)  # servers of which something is new
-    for_gateways: set[str] = msgspec.field(default_factory=set)
-    told: dict[tuple[bool, str], tuple[float, Seen]] = msgspec.field(
-        default_factory=dict
-    )  # to peers or gateways
+    direct: dict[str, dict[str, Report]] = msgspec.field(default_factory=dict)  # by server and gateway
+    # By server and control-plane node.
+    relayed: dict[str, dict[str, Report]] = msgspec.field(default_factory=dict)
+    pending_for_peers: set[str] = msgspec.field(default_factory=set)  # servers with unsent changes
+    pending_for_gateways: set[str] = msgspec.field(default_factory=set)
+    # By whether it was sent to peers, and server.
+    last_sent: dict[tuple[bool, str], tuple[float, Seen]] = msgspec.field(default_factory=dict)
 
-    def heard(self, gateway: str, zone: str, told: Iterable[Iterable[Any]], now: float) -> None:
-        """A gateway that follows here tells its counts. Raises EvidenceError."""
-        for entry in told:
+    def add_reports(self, gateway: str, zone: str, entries: Iterable[Iterable[Any]], now: float) -> None:
+        """Counts of a gateway that subscribes to this node. Raises EvidenceError if they are malformed."""
+        for entry in entries:
             try:
-                ident, bad, tries = entry
-                bad, tries = float(bad), float(tries)
+                server_id, failed, attempts = entry
+                failed, attempts = float(failed), float(attempts)
             except (TypeError, ValueError) as e:
-                raise EvidenceError(f"counts that can't be read: {e!r}") from None
-            if not 0 <= bad <= tries:
-                raise EvidenceError(f"counts of {ident}: {bad} of {tries}")
-            saw = bad >= FORGOTTEN
-            seen = {zone: Seen(bad, tries, frozenset((gateway,)) if saw else frozenset(), int(saw))}
-            self.first.setdefault(str(ident), {})[gateway] = Word(seen, now)
-            self.for_peers.add(str(ident))
-            self.for_gateways.add(str(ident))
-
-    def left(self, gateway: str) -> None:
-        """It follows here no more, and tells another machine from now on."""
-        for ident, words in self.first.items():
-            if words.pop(gateway, None) is not None:
-                self.for_peers.add(ident)
-
-    def merge(self, source: str, told: Iterable[object], now: float) -> None:
-        """Another control machine tells what it heard first hand. Raises EvidenceError."""
-        for entry in told:
-            ident, seen = read(entry)
-            self.second.setdefault(ident, {})[source] = Word(seen, now)
-            self.for_gateways.add(ident)
+                raise EvidenceError(f"malformed counts: {e!r}") from None
+            if not 0 <= failed <= attempts:
+                raise EvidenceError(f"counts of {server_id}: {failed} of {attempts}")
+            has_failures = failed >= FORGOTTEN
+            by_zone = {
+                zone: Seen(
+                    failed,
+                    attempts,
+                    frozenset((gateway,)) if has_failures else frozenset(),
+                    int(has_failures),
+                )
+            }
+            self.direct.setdefault(str(server_id), {})[gateway] = Report(by_zone, now)
+            self.pending_for_peers.add(str(server_id))
+            self.pending_for_gateways.add(str(server_id))
+
+    def remove_gateway(self, gateway: str) -> None:
+        """The gateway no longer subscribes to this node, and reports to another from now on."""
+        for server_id, reports in self.direct.items():
+            if reports.pop(gateway, None) is not None:
+                self.pending_for_peers.add(server_id)
+
+    def merge(self, source: str, entries: Iterable[object], now: float) -> None:
+        """Sums of the gateways of another control-plane node. Raises EvidenceError if they are malformed."""
+        for entry in entries:
+            server_id, by_zone = decode_entry(entry)
+            self.relayed.setdefault(server_id, {})[source] = Report(by_zone, now)
+            self.pending_for_gateways.add(server_id)
 
     @staticmethod
-    def sum(words: Iterable[Word], now: float) -> dict[str, Seen]:
-        found: dict[str, Seen] = {}
-        for word in words:
-            for zone, seen in word.now(now).items():
-                found[zone] = found[zone].plus(seen) if zone in found else seen
-                found[zone].zones = min(found[zone].zones, 1)
-        return found
-
-    def evidence(self, ident: str, now: float) -> dict[str, Seen]:
-        """All that is known of one server, by zone of those who saw it."""
-        words = [*self.first.get(ident, {}).values(), *self.second.get(ident, {}).values()]
-        return self.sum(words, now)
-
-    def to_peers(self, now: float) -> Entries:
-        """What was heard first hand and is new."""
-        found = [(i, self.sum(self.first.get(i, {}).values(), now)) for i in sorted(self.for_peers)]
-        return [write(i, seen) for i, seen in self.news(True, self.for_peers, found, now)]
-
-    def to_gateways(self, now: float, zones: Iterable[str]) -> dict[str, Entries]:
-        """What is new of servers that enough gateways have seen fail, for the gateways of each zone."""
-        found = [(ident, self.evidence(ident, now)) for ident in sorted(self.for_gateways)]
-        # Also that one of whom they were told is well after all.
-        doubted = [(i, seen) for i, seen in found if self.doubted(seen) or (False, i) in self.told]
-        self.for_gateways.intersection_update(i for i, _ in doubted)
-        told = self.news(False, self.for_gateways, doubted, now)
-        for ident, seen in told:
-            if not self.doubted(seen):
-                del self.told[False, ident]
-        return {zone: [write(i, condensed(seen, zone)) for i, seen in told] for zone in zones if told}
-
-    def news(
-        self, peers: bool, due: set[str], found: list[tuple[str, dict[str, Seen]]], now: float
+    def sum_reports(reports: Iterable[Report], now: float) -> dict[str, Seen]:
+        """Sums by zone; each zone counts once, however many reports include it."""
+        totals: dict[str, Seen] = {}
+        for report in reports:
+            for zone, counts in report.decayed(now).items():
+                totals[zone] = totals[zone].plus(counts) if zone in totals else counts
+                totals[zone].zones = min(totals[zone].zones, 1)
+        return totals
+
+    def evidence(self, server_id: str, now: float) -> dict[str, Seen]:
+        """All evidence on one server, by zone of the gateways that saw it."""
+        reports = [*self.direct.get(server_id, {}).values(), *self.relayed.get(server_id, {}).values()]
+        return self.sum_reports(reports, now)
+
+    def updates_for_peers(self, now: float) -> Entries:
+        """Entries for other control-plane nodes: changed sums of the gateways that subscribe to this node."""
+        candidates = [
+            (server_id, self.sum_reports(self.direct.get(server_id, {}).values(), now))
+            for server_id in sorted(self.pending_for_peers)
+        ]
+        return [
+            encode_entry(server_id, by_zone)
+            for server_id, by_zone in self.select_updates(True, self.pending_for_peers, candidates, now)
+        ]
+
+    def updates_for_gateways(self, now: float, zones: Iterable[str]) -> dict[str, Entries]:
+        """Entries for the gateways of each zone: changes of servers that enough gateways have seen fail."""
+        candidates = [
+            (server_id, self.evidence(server_id, now)) for server_id in sorted(self.pending_for_gateways)
+        ]
+        # Gateways also learn that a server they were sent is no longer suspected.
+        suspected = [
+            (server_id, by_zone)
+            for server_id, by_zone in candidates
+            if self.is_suspected(by_zone) or (False, server_id) in self.last_sent
+        ]
+        self.pending_for_gateways.intersection_update(server_id for server_id, _ in suspected)
+        updates = self.select_updates(False, self.pending_for_gateways, suspected, now)
+        for server_id, by_zone in updates:
+            if not self.is_suspected(by_zone):
+                del self.last_sent[False, server_id]
+        return {
+            zone: [encode_entry(server_id, condensed(by_zone, zone)) for server_id, by_zone in updates]
+            for zone in zones
+            if updates
+        }
+
+    def select_updates(
+        self, to_peers: bool, pending: set[str], candidates: list[tuple[str, dict[str, Seen]]], now: float
     ) -> list[tuple[str, dict[str, Seen]]]:
-        """What is told now; the rest stays due until it has changed more, or for ``RENEW`` s."""
-        told = []
-        for ident, seen in found[:MOST]:
-            new = together(seen.values())
-            at, old = self.told.get((peers, ident), (-math.inf, Seen()))
-            old = old.faded(now - at)
-            moved = abs(new.bad - old.bad) > NEWS * max(old.bad, 1.0) or len(new.witnesses) > len(
-                old.witnesses
-            )
-            if moved or now - at >= RENEW:
-                self.told[peers, ident] = now, new
-                due.discard(ident)
-                told.append((ident, seen))
-        return told
-
-    def waiting(self) -> bool:
-        """Something is due, and will be told before long."""
-        return bool(self.for_peers or self.for_gateways)
+        """What to send now; the rest stays pending until it has changed more or its refresh is due."""
+        updates = []
+        for server_id, by_zone in candidates[:MAX_SERVERS_PER_MESSAGE]:
+            current = together(by_zone.values())
+            sent_at, previous = self.last_sent.get((to_peers, server_id), (-math.inf, Seen()))
+            previous = previous.faded(now - sent_at)
+            changed = abs(current.bad - previous.bad) > URGENT_CHANGE_FRACTION * max(
+                previous.bad, 1.0
+            ) or len(current.witnesses) > len(previous.witnesses)
+            if changed or now - sent_at >= REFRESH_INTERVAL_S:
+                self.last_sent[to_peers, server_id] = now, current
+                pending.discard(server_id)
+                updates.append((server_id, by_zone))
+        return updates
+
+    def has_pending(self) -> bool:
+        """Whether updates are pending."""
+        return bool(self.pending_for_peers or self.pending_for_gateways)
 
     @staticmethod
-    def doubted(seen: dict[str, Seen]) -> bool:
-        whole = together(seen.values())
-        return len(whole.witnesses) >= WITNESSES and whole.bad >= LEAST / 2 * whole.all
-
-    def whole(self, now: float, zone: str) -> Entries:
-        """For a gateway of this zone that has just come."""
-        found = [(ident, self.evidence(ident, now)) for ident in sorted({*self.first, *self.second})]
-        return [write(i, condensed(seen, zone)) for i, seen in found if self.doubted(seen)][:MOST]
+    def is_suspected(by_zone: dict[str, Seen]) -> bool:
+        """Whether enough gateways have seen enough failures of a server for it to be sent to gateways."""
+        total = together(by_zone.values())
+        return len(total.witnesses) >= WITNESSES and total.bad >= LEAST / 2 * total.all
+
+    def snapshot(self, now: float, zone: str) -> Entries:
+        """Full snapshot for a new subscriber in this zone."""
+        candidates = [
+            (server_id, self.evidence(server_id, now)) for server_id in sorted({*self.direct, *self.relayed})
+        ]
+        return [
+            encode_entry(server_id, condensed(by_zone, zone))
+            for server_id, by_zone in candidates
+            if self.is_suspected(by_zone)
+        ][:MAX_SERVERS_PER_MESSAGE]
 
     def sweep(self, now: float) -> None:
-        """Leases end, and what has faded goes."""
-        for table in (self.first, self.second):
-            for ident, words in list(table.items()):
-                for source in [s for s, word in words.items() if self.over(word, now)]:
-                    del words[source]
-                if not words:
-                    del table[ident]
-        self.told = {key: word for key, word in self.told.items() if now - word[0] <= LEASE}
+        """Drop reports whose lease has ended or whose counts have decayed."""
+        for table in (self.direct, self.relayed):
+            for server_id, reports in list(table.items()):
+                for source in [name for name, report in reports.items() if self.has_expired(report, now)]:
+                    del reports[source]
+                if not reports:
+                    del table[server_id]
+        self.last_sent = {key: report for key, report in self.last_sent.items() if now - report[0] <= LEASE_S}
 
     @staticmethod
-    def over(word: Word, now: float) -> bool:
-        return now - word.at > LEASE or together(word.now(now).values()).all < FORGOTTEN
+    def has_expired(report: Report, now: float) -> bool:
+        """Whether the lease of a report has ended, or next to nothing is left of its counts."""
+        return now - report.received_at > LEASE_S or together(report.decayed(now).values()).all < FORGOTTEN
--- a/latchspoke/outliers/formatting.py
+++ b/latchspoke/outliers/formatting.py
@@ -1,4 +1,4 @@
-"""Evidence on servers, for people."""
+"""Evidence on servers, as shown to operators."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from barleyhub.line.examiner import Seen, together
 
 
-def evidence(seen: dict[str, Seen]) -> dict[str, Any]:
-    """What gateways saw of one server of late, faded, by their zone (``*``: all others), and witnesses."""
-    whole = together(seen.values())
+def evidence_view(by_zone: dict[str, Seen]) -> dict[str, Any]:
+    """Decayed counts of one server by the gateways' zone (``*``: all others), and who saw failures."""
+    total = together(by_zone.values())
     return {
-        "failed": round(whole.bad, 2),
-        "attempts": round(whole.all, 2),
-        "witnesses": sorted(whole.witnesses),
+        "failed": round(total.bad, 2),
+        "attempts": round(total.all, 2),
+        "witnesses": sorted(total.witnesses),
         "zones": {
-            zone: {"failed": round(each.bad, 2), "attempts": round(each.all, 2)}
-            for zone, each in sorted(seen.items())
+            zone: {"failed": round(counts.bad, 2), "attempts": round(counts.all, 2)}
+            for zone, counts in sorted(by_zone.items())
         },
     }
 
 
-def line(told: dict[str, Any] | None) -> str:
-    """In a table: failed of all attempts, and who saw it."""
-    if told is None:
+def format_evidence(view: dict[str, Any] | None) -> str:
+    """Table cell: failed attempts of all, and who saw them."""
+    if view is None:
         return "-"
-    return f"{told['failed']:g} of {told['attempts']:g}, by {', '.join(told['witnesses']) or 'nobody'}"
+    return f"{view['failed']:g} of {view['attempts']:g}, by {', '.join(view['witnesses']) or 'nobody'}"
--- a/latchspoke/outliers/simulation.py
+++ b/latchspoke/outliers/simulation.py
@@ -1,8 +1,8 @@
-"""Plays gateways that share what they see of sick servers, in virtual time, and measures what that brings.
+"""Simulation of gateways that share evidence on failing servers, and its benefit and cost.
 
-The real decisions, witnesses, examiners and ledgers; servers, ways and clients are models. One seed gives
-one result. ``python -m latchspoke.outliers.simulation --gateways 84 --how one_zone`` prints the figures with
-and without.
+Runs the real dispatchers, examiners and evidence stores in virtual time; servers, network and clients are
+models. A seed determines the result. The command ``python -m latchspoke.outliers.simulation --how one_zone``
+prints the figures with and without sharing.
 """
 
 from __future__ import annotations
@@ -22,263 +22,319 @@
 from barleyhub.line.examiner import Examiner
 from barleyhub.line.stock import State, Stock, Upstream
 from latchspoke.configuration.routes import NO_HOMES, Route
-from latchspoke.outliers.evidence import Ledger, read
+from latchspoke.outliers.evidence import EvidenceStore, decode_entry
 
-SOON, CALM, GATHER, AGAIN = 0.2, 0.8, 0.1, 0.3  # s, as the programs have them
-LINK = 0.002  # s one way between machines of one region
-FAR = 0.02
-AVOIDED = 0.25  # of its usual requests: a server that gets less counts as avoided
-BIN = 0.5  # s
+URGENT_REPORT_INTERVAL_S, REPORT_INTERVAL_S, GATHER_DELAY_S, RETRY_DELAY_S = (
+    0.2,
+    0.8,
+    0.1,
+    0.3,
+)
+SAME_REGION_DELAY_S = 0.002  # one way
+CROSS_REGION_DELAY_S = 0.02  # one way
+AVOIDED_FRACTION = 0.25  # a server that gets less than this part of its usual requests counts as avoided
+BIN_S = 0.5
 
 
 @dataclass(slots=True)
-class Trouble:
-    """What ails servers: ``share`` of them fail ``x`` of their requests from ``at`` for ``lasts`` s."""
+class Fault:
+    """A fault of part of the servers."""
 
-    share: float = 0.14
-    x: float = 0.45
-    at: float = 6.0
-    lasts: float = 6.5
-    how: str = "errors"  # or one_zone: only for callers of the server's zone; flap: dead and alive by turns
-    gap: float = 1.4  # s a turn of a flap
-    own: float = 0.002  # of all requests fail at every server, always
+    server_fraction: float = 0.14
+    failure_rate: float = 0.45
+    starts_at: float = 6.0
+    duration_s: float = 6.5
+    kind: str = "errors"  # one_zone: only for callers in the server's zone; flap: unreachable by turns
+    flap_interval_s: float = 1.4
+    background_failure_rate: float = 0.002  # at all servers and times
 
 
 @dataclass(slots=True)
-class Sums:
-    """Figures of one play."""
+class Results:
+    """Figures of one run."""
 
     requests: int = 0
     failed: int = 0
-    failed_by_trouble: int = 0
-    tries: int = 0
-    turned: float = 0.0  # pairs of gateway and good server times s
-    pairs: float = 0.0  # all such pairs times s
-    words: int = 0
+    failed_by_fault: int = 0
+    retries: int = 0
+    wrongly_avoided_samples: float = 0.0  # samples of a gateway that avoids a healthy server
+    healthy_samples: float = 0.0  # samples of a gateway and a healthy server
+    messages: int = 0
     bytes: int = 0
-    far_bytes: int = 0  # between regions
-    slow: list[float] = field(default_factory=list)  # s until each sick server was avoided
+    cross_region_bytes: int = 0
+    detection_times_s: list[float] = field(default_factory=list)  # until each faulty server was avoided
 
-    def told(self) -> dict[str, Any]:
-        times = sorted(self.slow)
+    def summary(self) -> dict[str, Any]:
+        """The figures to print."""
+        times = sorted(self.detection_times_s)
         return {
             "requests": self.requests,
-            "failed_by_trouble": self.failed_by_trouble,
+            "failed_by_trouble": self.failed_by_fault,
             "failed": self.failed,
-            "tries": self.tries,
+            "tries": self.retries,
             "avoided_after_s": [round(times[len(times) // 2], 2), round(times[-1], 2)] if times else None,
-            "wrongly_turned": round(self.turned / max(self.pairs, 1e-9), 5),
-            "words": self.words,
+            "wrongly_turned": round(self.wrongly_avoided_samples / max(self.healthy_samples, 1e-9), 5),
+            "words": self.messages,
             "bytes": self.bytes,
-            "far_bytes": self.far_bytes,
+            "far_bytes": self.cross_region_bytes,
         }
 
 
 class Server:
-    def __init__(self, upstream: Upstream, sick: bool) -> None:
-        self.upstream, self.sick, self.free = upstream, sick, [0.0] * upstream.slots
-        self.came: dict[int, int] = {}
+    """A server with a number of slots, each of which serves one request at a time."""
 
-    def serve(self, now: float, work: float) -> float:
-        """When the answer to a request of this work is ready."""
-        begun = max(heapq.heappop(self.free), now)
-        heapq.heappush(self.free, begun + work)
-        return begun + work
+    def __init__(self, upstream: Upstream, faulty: bool) -> None:
+        self.upstream, self.faulty, self.slots_free_at = upstream, faulty, [0.0] * upstream.slots
+        self.requests_by_bin: dict[int, int] = {}
 
+    def serve(self, now: float, work_s: float) -> float:
+        """Queue a request; returns the time (s) at which its answer is ready."""
+        started_at = max(heapq.heappop(self.slots_free_at), now)
+        heapq.heappush(self.slots_free_at, started_at + work_s)
+        return started_at + work_s
 
-class Drill:
-    """One play."""
+
+class Simulation:
+    """One run."""
 
     def __init__(
-        self, gateways: int, servers: int, seed: int, trouble: Trouble, sharing: bool = True,
-        zones: int = 9, regions: int = 3, per_s: float = 0.0, repeatable: bool = False, load: float = 0.4,
+        self, gateways: int, servers: int, seed: int, fault: Fault, sharing: bool = True,
+        zones: int = 9, regions: int = 3, requests_per_s: float = 0.0, idempotent: bool = False,
+        load: float = 0.4,
     ) -> None:  # fmt: skip
-        """``per_s``: requests of all; 0: as many as take ``load`` of the servers' slots."""
-        self.draw, self.trouble, self.sharing = Random(seed), trouble, sharing
-        self.work, self.now, self.sums = 0.31, 0.0, Sums()
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        """``requests_per_s``: total rate; 0: the rate that keeps ``load`` of the servers' slots busy."""
+        self.rng, self.fault, self.sharing = Random(seed), fault, sharing
+        self.mean_work_s, self.now, self.results = 0.31, 0.0, Results()
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_numbers = itertools.count()
         self.zones = [f"z{i}" for i in range(zones)]
         self.region = {zone: f"r{i % regions}" for i, zone in enumerate(self.zones)}
-        self.route = Route("r", "h", "/", repeatable, 1.5, 6.0, 2, 0, False, NO_HOMES, (("pool", 1.0),))
+        self.route = Route("r", "h", "/", idempotent, 1.5, 6.0, 2, 0, False, NO_HOMES, (("pool", 1.0),))
         self.servers = {}
         for i in range(servers):
             zone = self.zones[i % zones]
             upstream = Upstream(f"s{i:03d}", "pool", "h", 1, zone, self.region[zone], 6, State.READY)
             self.servers[upstream.ident] = Server(upstream, False)
-        for name in self.draw.sample(sorted(self.servers), round(servers * trouble.share)):
-            self.servers[name].sick = True
+        for name in self.rng.sample(sorted(self.servers), round(servers * fault.server_fraction)):
+            self.servers[name].faulty = True
         names = {f"g{i:03d}": self.zones[i % zones] for i in range(gateways)}
         self.gateways = {}
         for name, zone in names.items():
-            stock = Stock(name, zone, self.region[zone], self.draw, 1.5)
+            stock = Stock(name, zone, self.region[zone], self.rng, 1.5)
             for server in self.servers.values():
-                w = server.upstream
-                stock.put(Upstream(w.ident, "pool", "h", 1, w.zone, w.region, 6, State.READY), 0.0)
-            dispatcher = Dispatcher(stock, self.draw, 0.2, 208.0)
+                source = server.upstream
+                stock.put(
+                    Upstream(source.ident, "pool", "h", 1, source.zone, source.region, 6, State.READY), 0.0
+                )
+            dispatcher = Dispatcher(stock, self.rng, 0.2, 208.0)
             dispatcher.live(names, 0.0)
             self.gateways[name] = dispatcher, Examiner(zone)
-        self.ledgers = {zone: Ledger() for zone in self.zones}  # a control machine in each zone
-        self.telling: set[str] = set()
-        self.told_at = dict.fromkeys(names, 0.0)
-        self.rate = (per_s or load * servers * 6 / self.work) / gateways
-        self.numbers = itertools.count()
-
-    def after(self, delay: float, call: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (self.now + delay, next(self.order), call))
-
-    def play(self, until: float) -> Sums:
+        # One control-plane node in each zone.
+        self.evidence_stores = {zone: EvidenceStore() for zone in self.zones}
+        self.gathering_zones: set[str] = set()
+        self.reported_at = dict.fromkeys(names, 0.0)
+        self.gateway_requests_per_s = (requests_per_s or load * servers * 6 / self.mean_work_s) / gateways
+        self.request_numbers = itertools.count()
+
+    def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
+        """Run an action after a delay."""
+        heapq.heappush(self.events, (self.now + delay_s, next(self.event_numbers), action))
+
+    def run(self, until: float) -> Results:
+        """Run all events up to that time (s)."""
         for name in self.gateways:
-            self.after(self.draw.expovariate(self.rate), partial(self.ask, name))
+            self.schedule(
+                self.rng.expovariate(self.gateway_requests_per_s), partial(self.start_request, name)
+            )
             if self.sharing:
-                self.after(self.draw.random() * SOON, partial(self.step, name))
-        while self.queue and self.queue[0][0] < until:
-            self.now, _, call = heapq.heappop(self.queue)
-            call()
-        self.measure(until)
-        return self.sums
+                self.schedule(
+                    self.rng.random() * URGENT_REPORT_INTERVAL_S, partial(self.report_evidence, name)
+                )
+        while self.events and self.events[0][0] < until:
+            self.now, _, action = heapq.heappop(self.events)
+            action()
+        self.measure_detection(until)
+        return self.results
 
     # Requests.
 
-    def ask(self, name: str) -> None:
-        self.after(self.draw.expovariate(self.rate), partial(self.ask, name))
-        self.sums.requests += 1
-        ident = f"{name}.{next(self.numbers)}"
-        call = Call(ident, "", "pool", "r", 1.0, 6.0, 1, route=self.route)
-        self.act(name, self.gateways[name][0].handle(call, self.now))
+    def start_request(self, gateway_name: str) -> None:
+        """Start a request at a gateway, and schedule the next."""
+        self.schedule(
+            self.rng.expovariate(self.gateway_requests_per_s), partial(self.start_request, gateway_name)
+        )
+        self.results.requests += 1
+        request_id = f"{gateway_name}.{next(self.request_numbers)}"
+        call = Call(request_id, "", "pool", "r", 1.0, 6.0, 1, route=self.route)
+        self.carry_out(gateway_name, self.gateways[gateway_name][0].handle(call, self.now))
 
-    def act(self, name: str, actions: list[api.Action]) -> None:
+    def carry_out(self, gateway_name: str, actions: list[api.Action]) -> None:
+        """Carry out the actions of a gateway's dispatcher."""
         for action in actions:
             if isinstance(action, api.Send):
-                self.send(name, action)
+                self.send(gateway_name, action)
             elif isinstance(action, api.SetTimer):
                 fired = api.TimerFired(action.mark)
-                self.after(action.after, partial(self.give, name, fired))
+                self.schedule(action.after, partial(self.dispatch, gateway_name, fired))
             elif isinstance(action, api.Fail | api.Refuse):
-                self.sums.failed += 1
+                self.results.failed += 1
 
-    def give(self, name: str, event: api.Event) -> None:
-        self.act(name, self.gateways[name][0].handle(event, self.now))
+    def dispatch(self, gateway_name: str, event: api.Event) -> None:
+        """Pass an event to a gateway's dispatcher."""
+        self.carry_out(gateway_name, self.gateways[gateway_name][0].handle(event, self.now))
 
-    def ails(self, server: Server, zone: str) -> str:
-        """How a request of a caller in this zone ends now, if it is ill for it."""
-        trouble, since = self.trouble, self.now - self.trouble.at
-        if self.draw.random() < trouble.own:
+    def failure_kind(self, server: Server, zone: str) -> str:
+        """How a request from this zone fails at the server now; empty if it does not."""
+        fault, elapsed_s = self.fault, self.now - self.fault.starts_at
+        if self.rng.random() < fault.background_failure_rate:
             return "error"
-        if not server.sick or not 0 <= since < trouble.lasts:
+        if not server.faulty or not 0 <= elapsed_s < fault.duration_s:
             return ""
-        if trouble.how == "flap":
-            return "dead" if int(since / trouble.gap) % 2 == 0 else ""
-        if trouble.how == "one_zone" and zone != server.upstream.zone:
+        if fault.kind == "flap":
+            return "dead" if int(elapsed_s / fault.flap_interval_s) % 2 == 0 else ""
+        if fault.kind == "one_zone" and zone != server.upstream.zone:
             return ""
-        return "error" if self.draw.random() < trouble.x else ""
+        return "error" if self.rng.random() < fault.failure_rate else ""
 
-    def send(self, name: str, action: api.Send) -> None:
-        dispatcher = self.gateways[name][0]
+    def send(self, gateway_name: str, action: api.Send) -> None:
+        """Send an attempt, and schedule its outcome."""
+        dispatcher = self.gateways[gateway_name][0]
         server = self.servers[action.server]
         zone = dispatcher.stock.zone
-        way = LINK if dispatcher.stock.region == server.upstream.region else FAR
-        number = dispatcher.jobs[action.request].sends - 1
-        tick = int(self.now / BIN)
-        server.came[tick] = server.came.get(tick, 0) + 1
-        ill = self.ails(server, zone)
-        self.sums.tries += number > 0
-        if ill == "dead":
-            code, took = Code.UNREACHABLE, 2 * way
+        delay_s = (
+            SAME_REGION_DELAY_S if dispatcher.stock.region == server.upstream.region else CROSS_REGION_DELAY_S
+        )
+        attempt = dispatcher.jobs[action.request].sends - 1
+        bin_number = int(self.now / BIN_S)
+        server.requests_by_bin[bin_number] = server.requests_by_bin.get(bin_number, 0) + 1
+        failure = self.failure_kind(server, zone)
+        self.results.retries += attempt > 0
+        if failure == "dead":
+            code, latency_s = Code.UNREACHABLE, 2 * delay_s
         else:
-            work = self.work * math.exp(self.draw.gauss(0, 0.3))
-            took = server.serve(self.now, work if not ill else 0.2 * work) - self.now + 2 * way
-            code = Code.ERROR if ill else Code.OK
-            self.sums.failed_by_trouble += bool(ill)
-        done = code is Code.OK
-        outcome = api.Outcome(action.request, number, action.server, code, took, closed=done)
-        self.after(took, partial(self.give, name, outcome))
+            work_s = self.mean_work_s * math.exp(self.rng.gauss(0, 0.3))
+            latency_s = (
+                server.serve(self.now, work_s if not failure else 0.2 * work_s) - self.now + 2 * delay_s
+            )
+            code = Code.ERROR if failure else Code.OK
+            self.results.failed_by_fault += bool(failure)
+        closed = code is Code.OK
+        outcome = api.Outcome(action.request, attempt, action.server, code, latency_s, closed=closed)
+        self.schedule(latency_s, partial(self.dispatch, gateway_name, outcome))
 
     # Evidence.
 
-    def step(self, name: str) -> None:
-        """A gateway's own beat."""
-        self.after(SOON, partial(self.step, name))
-        dispatcher, examiner = self.gateways[name]
+    def report_evidence(self, gateway_name: str) -> None:
+        """Periodic step of a gateway: report new counts to its control-plane node."""
+        self.schedule(URGENT_REPORT_INTERVAL_S, partial(self.report_evidence, gateway_name))
+        dispatcher, examiner = self.gateways[gateway_name]
         witness = dispatcher.witness
-        if int(self.now / SOON) % 3 == 0:
+        if int(self.now / URGENT_REPORT_INTERVAL_S) % 3 == 0:
             witness.forget(self.now, examiner.forget(self.now))
-            self.examine(name)
-        due = SOON if witness.urgent else CALM
-        if witness.fresh and self.now - self.told_at[name] >= due:
-            self.told_at[name] = self.now
-            told, zone = witness.due(self.now), dispatcher.stock.zone
-            self.count(told, 1)
-            self.after(LINK, partial(self.heard, zone, name, told))
-
-    def count(self, told: Any, copies: int, far: bool = False) -> None:
-        size = copies * (len(str(told).replace(" ", "")) + 24)
-        self.sums.words += copies
-        self.sums.bytes += size
-        self.sums.far_bytes += size * far
-
-    def heard(self, zone: str, name: str, told: Any) -> None:
-        self.ledgers[zone].heard(name, zone, told, self.now)
-        self.gather(zone)
-
-    def gather(self, zone: str, delay: float = GATHER) -> None:
-        if zone not in self.telling:
-            self.telling.add(zone)
-            self.after(delay, partial(self.tell, zone))
-
-    def tell(self, zone: str) -> None:
-        self.telling.discard(zone)
-        ledger = self.ledgers[zone]
-        ledger.sweep(self.now)
-        if words := ledger.to_peers(self.now):
+            self.update_avoided_servers(gateway_name)
+        interval_s = URGENT_REPORT_INTERVAL_S if witness.urgent else REPORT_INTERVAL_S
+        if witness.fresh and self.now - self.reported_at[gateway_name] >= interval_s:
+            self.reported_at[gateway_name] = self.now
+            counts, zone = witness.due(self.now), dispatcher.stock.zone
+            self.count_messages(counts, 1)
+            self.schedule(SAME_REGION_DELAY_S, partial(self.receive_report, zone, gateway_name, counts))
+
+    def count_messages(self, content: Any, copies: int, cross_region: bool = False) -> None:
+        """Add a message to the traffic figures; the size is that of compact JSON with a header."""
+        size = copies * (len(str(content).replace(" ", "")) + 24)
+        self.results.messages += copies
+        self.results.bytes += size
+        self.results.cross_region_bytes += size * cross_region
+
+    def receive_report(self, zone: str, gateway_name: str, counts: Any) -> None:
+        """A report of a gateway arrives at its control-plane node."""
+        self.evidence_stores[zone].add_reports(gateway_name, zone, counts, self.now)
+        self.schedule_update(zone)
+
+    def schedule_update(self, zone: str, delay_s: float = GATHER_DELAY_S) -> None:
+        """Schedule the next updates of a control-plane node, unless they are already."""
+        if zone not in self.gathering_zones:
+            self.gathering_zones.add(zone)
+            self.schedule(delay_s, partial(self.send_updates, zone))
+
+    def send_updates(self, zone: str) -> None:
+        """Send the updates of a control-plane node to its peers and gateways."""
+        self.gathering_zones.discard(zone)
+        store = self.evidence_stores[zone]
+        store.sweep(self.now)
+        if entries := store.updates_for_peers(self.now):
             for other in self.zones:
                 if other != zone:
-                    near = self.region[other] == self.region[zone]
-                    self.count(words, 1, not near)
-                    self.after(LINK if near else FAR, partial(self.merge, other, zone, words))
-        if told := ledger.to_gateways(self.now, [zone]):
-            for name, (dispatcher, _) in self.gateways.items():
+                    same_region = self.region[other] == self.region[zone]
+                    self.count_messages(entries, 1, not same_region)
+                    self.schedule(
+                        SAME_REGION_DELAY_S if same_region else CROSS_REGION_DELAY_S,
+                        partial(self.merge_update, other, zone, entries),
+                    )
+        if updates := store.updates_for_gateways(self.now, [zone]):
+            for gateway_name, (dispatcher, _) in self.gateways.items():
                 if dispatcher.stock.zone == zone:
-                    self.count(told[zone], 1)
-                    self.after(LINK, partial(self.learn, name, told[zone]))
-        if ledger.waiting():
-            self.gather(zone, AGAIN)
-
-    def merge(self, zone: str, source: str, entries: Any) -> None:
-        self.ledgers[zone].merge(source, entries, self.now)
-        self.gather(zone)
-
-    def learn(self, name: str, entries: Any) -> None:
-        dispatcher, examiner = self.gateways[name]
+                    self.count_messages(updates[zone], 1)
+                    self.schedule(
+                        SAME_REGION_DELAY_S, partial(self.apply_update, gateway_name, updates[zone])
+                    )
+        if store.has_pending():
+            self.schedule_update(zone, RETRY_DELAY_S)
+
+    def merge_update(self, zone: str, source: str, entries: Any) -> None:
+        """An update of a control-plane node arrives at another."""
+        self.evidence_stores[zone].merge(source, entries, self.now)
+        self.schedule_update(zone)
+
+    def apply_update(self, gateway_name: str, entries: Any) -> None:
+        """An update of a control-plane node arrives at a gateway."""
+        dispatcher, examiner = self.gateways[gateway_name]
         for entry in entries:
-            examiner.learn(*read(entry), self.now)
+            examiner.learn(*decode_entry(entry), self.now)
         dispatcher.witness.question(examiner.told)
-        self.examine(name)
+        self.update_avoided_servers(gateway_name)
 
-    def examine(self, name: str) -> None:
-        dispatcher, examiner = self.gateways[name]
+    def update_avoided_servers(self, gateway_name: str) -> None:
+        """Derive the servers that a gateway avoids, and count healthy ones among them."""
+        dispatcher, examiner = self.gateways[gateway_name]
         dispatcher.stock.told = examiner.shares({"pool": self.servers}, self.now)
-        good = [s for s in self.servers.values() if not self.bad_for(s, dispatcher.stock.zone)]
-        self.sums.pairs += len(good)
-        self.sums.turned += sum(s.upstream.ident in dispatcher.stock.told for s in good)
-
-    def bad_for(self, server: Server, zone: str) -> bool:
-        since = self.now - self.trouble.at
-        ill = server.sick and 0 <= since < self.trouble.lasts + 2.0
-        return ill and (self.trouble.how != "one_zone" or server.upstream.zone == zone)
-
-    def measure(self, until: float) -> None:
-        """Until when a sick server got a quarter of its usual requests or more."""
-        begin = int(self.trouble.at / BIN)
-        end = int(min(self.trouble.at + self.trouble.lasts, until) / BIN)
+        healthy = [
+            server
+            for server in self.servers.values()
+            if not self.is_faulty_for(server, dispatcher.stock.zone)
+        ]
+        self.results.healthy_samples += len(healthy)
+        self.results.wrongly_avoided_samples += sum(
+            server.upstream.ident in dispatcher.stock.told for server in healthy
+        )
+
+    def is_faulty_for(self, server: Server, zone: str) -> bool:
+        """Whether the server fails requests from this zone, or did so until recently."""
+        elapsed_s = self.now - self.fault.starts_at
+        faulty = server.faulty and 0 <= elapsed_s < self.fault.duration_s + 2.0
+        return faulty and (self.fault.kind != "one_zone" or server.upstream.zone == zone)
+
+    def measure_detection(self, until: float) -> None:
+        """Note how long each faulty server got at least ``AVOIDED_FRACTION`` of its usual requests."""
+        first_bin = int(self.fault.starts_at / BIN_S)
+        last_bin = int(min(self.fault.starts_at + self.fault.duration_s, until) / BIN_S)
         for server in self.servers.values():
-            if server.sick:
-                usual = sum(server.came.get(t, 0) for t in range(2, begin)) / (begin - 2)
-                calm = [t for t in range(begin, end) if server.came.get(t, 0) < AVOIDED * usual]
-                self.sums.slow.append((calm[0] - begin + 1) * BIN if calm else self.trouble.lasts)
+            if server.faulty:
+                usual = sum(
+                    server.requests_by_bin.get(bin_number, 0) for bin_number in range(2, first_bin)
+                ) / (first_bin - 2)
+                avoided_bins = [
+                    bin_number
+                    for bin_number in range(first_bin, last_bin)
+                    if server.requests_by_bin.get(bin_number, 0) < AVOIDED_FRACTION * usual
+                ]
+                self.results.detection_times_s.append(
+                    (avoided_bins[0] - first_bin + 1) * BIN_S if avoided_bins else self.fault.duration_s
+                )
 
 
 def main() -> None:
+    """Print the figures with and without sharing."""
     import argparse
 
     parser = argparse.ArgumentParser(prog="latchspoke.outliers.simulation", description=__doc__)
@@ -290,11 +346,11 @@
     parser.add_argument("--zones", type=int, default=9)
     args = parser.parse_args()
     for sharing in (False, True):
-        trouble = Trouble(how=args.how, share=0.0 if args.how == "none" else 0.14)
-        drill = Drill(
-            args.gateways, args.servers, args.seed, trouble, sharing, zones=args.zones, load=args.load
+        fault = Fault(kind=args.how, server_fraction=0.0 if args.how == "none" else 0.14)
+        simulation = Simulation(
+            args.gateways, args.servers, args.seed, fault, sharing, zones=args.zones, load=args.load
         )
-        print("shared" if sharing else "alone ", drill.play(16.0).told())
+        print("shared" if sharing else "alone ", simulation.run(16.0).summary())
 
 
 if __name__ == "__main__":
--- a/tests/outliers/test_simulation.py
+++ b/tests/outliers/test_simulation.py
@@ -1,27 +1,32 @@
-"""Sick servers among many gateways, in virtual time: with and without each other's word."""
+"""Simulation of faulty servers and many gateways, with and without shared evidence."""
 
 from __future__ import annotations
 
 import pytest
 
-from latchspoke.outliers.simulation import Drill, Trouble
+from latchspoke.outliers.simulation import Fault, Simulation
 
 
-@pytest.mark.parametrize("how", ["errors", "one_zone"])
-def test_many_gateways_find_a_sick_server_sooner_together(how: str) -> None:
+@pytest.mark.parametrize("kind", ["errors", "one_zone"])
+def test_shared_evidence_reduces_failures_of_faulty_servers(kind: str) -> None:
     seeds = (3,)
     print(f"seeds {seeds}")
-    sums = {}
+    results = {}
     for sharing in (False, True):
-        plays = [Drill(84, 75, seed, Trouble(how=how), sharing).play(16.0) for seed in seeds]
-        sums[sharing] = plays
-    failed = {sharing: sum(s.failed_by_trouble for s in plays) for sharing, plays in sums.items()}
+        runs = [Simulation(84, 75, seed, Fault(kind=kind), sharing).run(16.0) for seed in seeds]
+        results[sharing] = runs
+    failed = {sharing: sum(run.failed_by_fault for run in runs) for sharing, runs in results.items()}
     assert failed[True] < 0.85 * failed[False], failed
-    wrong = sum(s.turned for s in sums[True]) / sum(s.pairs for s in sums[True])
-    assert wrong < 0.01
+    wrong_fraction = sum(run.wrongly_avoided_samples for run in results[True]) / sum(
+        run.healthy_samples for run in results[True]
+    )
+    assert wrong_fraction < 0.01
 
 
-def test_calm_days_cost_little_and_turn_hardly_anybody() -> None:
+def test_sharing_costs_little_without_faults() -> None:
     print("seed 5")
-    sums = Drill(36, 36, 5, Trouble(share=0.0)).play(13.0)
-    assert sums.turned < 0.005 * sums.pairs and sums.far_bytes / 13 < 3000
+    results = Simulation(36, 36, 5, Fault(server_fraction=0.0)).run(13.0)
+    assert (
+        results.wrongly_avoided_samples < 0.005 * results.healthy_samples
+        and results.cross_region_bytes / 13 < 3000
+    )
--- a/tests/outliers/test_wiring.py
+++ b/tests/outliers/test_wiring.py
@@ -1,4 +1,4 @@
-"""The way of a gateway's word through both programs, without sockets, to what people are shown."""
+"""The path of evidence through gateways and control-plane node, without sockets, to what operators see."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from tests.ctl.world import control, gateway
 
 
-class Line(Wire):
-    """One end; what it sends is kept."""
+class RecordingWire(Wire):
+    """A connection that keeps what is sent on it."""
 
     def __init__(self, tag: Any = None) -> None:
         super().__init__(lambda wire, message: None, lambda wire, reason: None)
@@ -32,8 +32,10 @@
         return True
 
 
-def fail(node: Node, code: Code, report: dict[str, float], server: str = "b1", times: int = 3) -> None:
-    """Requests to the one server that end so."""
+def record_failures(
+    node: Node, code: Code, report: dict[str, float], server: str = "b1", times: int = 3
+) -> None:
+    """Let requests to the server end with this code."""
     assert node.downstream.table is not None
     route, upstream = node.downstream.table.routes["r-all"], node.stock.upstreams[server]
     now = node.clock.now()
@@ -46,59 +48,62 @@
         node.dispatcher.handle(api.Outcome(ident, attempt, server, code, 0.1, report=report), now)
 
 
-def test_what_two_gateways_see_reaches_a_third_and_the_pages(
+def test_evidence_of_two_gateways_reaches_a_third_and_the_pages(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(dataplane, "MANY", 1)
     loop = asyncio.new_event_loop()
-    core, edges = control(loop, tmp_path), [gateway(loop) for _ in range(3)]
-    lines = [Line() for _ in edges]
-    for number, (edge, line) in enumerate(zip(edges, lines, strict=True)):
-        core.accepted(line, {"k": "hello", "name": f"edge-{number}", "zone": "a"})
-        edge.feed.wire, edge.feed.source = Line(), Source("core-a", ("127.0.0.2", 7601), "a", "north")
+    control_node, gateways = control(loop, tmp_path), [gateway(loop) for _ in range(3)]
+    wires = [RecordingWire() for _ in gateways]
+    for number, (node, wire) in enumerate(zip(gateways, wires, strict=True)):
+        control_node.accepted(wire, {"k": "hello", "name": f"edge-{number}", "zone": "a"})
+        node.feed.wire, node.feed.source = (
+            RecordingWire(),
+            Source("core-a", ("127.0.0.2", 7601), "a", "north"),
+        )
     for number in (0, 1):
-        fail(edges[number], Code.ERROR, {})
-        edges[number].testify(edges[number].clock.now())
-        (word,) = edges[number].feed.wire.sent  # type: ignore[union-attr]
-        assert word == {"k": "hot", "w": [["b1", 3.0, 3.0]]}
-        core.accepted(lines[number], word)
-        core.telling = False
-        core.tell_evidence(core.clock.now())
-    (told,) = [m for m in lines[2].sent if m["k"] == "hot"]
-    edges[2].feed.heard(Line(), told)
-    assert edges[2].stock.told == {} or set(edges[2].stock.told) == {"b1"}
-    seen = edges[2].readiness("GET", "/status", b"")[1]
-    assert seen["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
-    assert seen["evidence"]["b1"]["failed"] > 5
-    ask = json.dumps({"host": "a.example", "path": "/read/1", "tenant": "mill"}).encode()
-    page = pages.explained(edges[2].readiness("POST", "/explain", ask)[1])
+        record_failures(gateways[number], Code.ERROR, {})
+        gateways[number].testify(gateways[number].clock.now())
+        (report,) = gateways[number].feed.wire.sent  # type: ignore[union-attr]
+        assert report == {"k": "hot", "w": [["b1", 3.0, 3.0]]}
+        control_node.accepted(wires[number], report)
+        control_node.telling = False
+        control_node.tell_evidence(control_node.clock.now())
+    (update,) = [message for message in wires[2].sent if message["k"] == "hot"]
+    gateways[2].feed.heard(RecordingWire(), update)
+    assert gateways[2].stock.told == {} or set(gateways[2].stock.told) == {"b1"}
+    status = gateways[2].readiness("GET", "/status", b"")[1]
+    assert status["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
+    assert status["evidence"]["b1"]["failed"] > 5
+    query = json.dumps({"host": "a.example", "path": "/read/1", "tenant": "mill"}).encode()
+    page = pages.explained(gateways[2].readiness("POST", "/explain", query)[1])
     assert "by edge-0, edge-1" in page
-    fleet: Any = core.control("GET", "/status", b"")
-    assert fleet[1]["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
-    # One that comes later is told at once.
-    late = Line()
-    core.accepted(late, {"k": "hello", "name": "edge-9", "zone": "b"})
-    assert [m["k"] for m in late.sent if m["k"] == "hot"] == ["hot"]
-    core.replica.ledger.close()
+    control_status: Any = control_node.control("GET", "/status", b"")
+    assert control_status[1]["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
+    # A gateway that connects later is sent the evidence at once.
+    late_wire = RecordingWire()
+    control_node.accepted(late_wire, {"k": "hello", "name": "edge-9", "zone": "b"})
+    assert [message["k"] for message in late_wire.sent if message["k"] == "hot"] == ["hot"]
+    control_node.replica.ledger.close()
     loop.close()
 
 
-def test_few_gateways_tell_each_other_nothing() -> None:
+def test_few_gateways_share_no_evidence() -> None:
     loop = asyncio.new_event_loop()
     node = gateway(loop)
-    node.feed.wire, node.feed.source = Line(), Source("core-a", ("127.0.0.2", 7601), "a", "north")
-    fail(node, Code.ERROR, {})
+    node.feed.wire, node.feed.source = RecordingWire(), Source("core-a", ("127.0.0.2", 7601), "a", "north")
+    record_failures(node, Code.ERROR, {})
     node.testify(node.clock.now())
     assert not node.feed.wire.sent
     loop.close()
 
 
-def test_a_connection_let_go_and_a_far_server_are_no_evidence() -> None:
-    """``idle_race``: half of all servers reset a request on an idle connection, and none of them is sick."""
+def test_idle_connection_resets_and_unreachable_servers_are_no_evidence() -> None:
+    """A server that resets an idle connection as a request is sent on it is not failing."""
     loop = asyncio.new_event_loop()
     node = gateway(loop)
-    fail(node, Code.RESET, {"forgot": 1.0})
-    fail(node, Code.UNREACHABLE, {}, "b2")
-    fail(node, Code.FULL, {})
+    record_failures(node, Code.RESET, {"forgot": 1.0})
+    record_failures(node, Code.UNREACHABLE, {}, "b2")
+    record_failures(node, Code.FULL, {})
     assert not node.dispatcher.witness.due(node.clock.now())
     loop.close()
