--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -17,8 +17,8 @@
 
 from barleyhub.interface import Code
 from barleyhub.line.stock import State, Stock, Upstream
-from latchspoke.reach.endpoint import reach
-from latchspoke.reach.recorder import KEPT, Graph
+from latchspoke.reach.endpoint import reach_view
+from latchspoke.reach.recorder import RETENTION_S, AttemptRecorder
 
 TIMES = 200_000
 
@@ -42,20 +42,20 @@
     plain = time.perf_counter() - began
 
     tracemalloc.start()
-    graph, moment = Graph(0.0), 0.0
-    for ident, route, took in attempts[: int(rate * 2 * KEPT)]:
+    graph, moment = AttemptRecorder(0.0), 0.0
+    for ident, route, took in attempts[: int(rate * 2 * RETENTION_S)]:
         moment += 1 / rate
-        graph.note(ident, route, Code.OK, took, False, moment)
-    graph.look(stock, moment)
+        graph.record(ident, route, Code.OK, took, False, moment)
+    graph.check_statuses(stock, moment)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     began = time.perf_counter()
     for ident, route, took in attempts:
-        graph.note(ident, route, Code.OK, took, False, moment)
+        graph.record(ident, route, Code.OK, took, False, moment)
     noted = time.perf_counter() - began
     began = time.perf_counter()
     for _ in range(100):
-        graph.look(stock, moment)
+        graph.check_statuses(stock, moment)
     looked = (time.perf_counter() - began) / 100
 
     node = SimpleNamespace(
@@ -63,7 +63,7 @@
         settings=SimpleNamespace(name="edge-a-1", zone="a", region="north"),
         board=SimpleNamespace(orders=SimpleNamespace(version=7)),
     )  # fmt: skip
-    told = reach(node, 60.0)  # type: ignore[arg-type]
+    told = reach_view(node, 60.0)  # type: ignore[arg-type]
     return {
         "floor": plain / TIMES, "note": noted / TIMES, "look": looked, "memory": float(memory),
         "answer": float(len(json.dumps(told, separators=(",", ":")))),
--- a/latchspoke/ctl/app.py
+++ b/latchspoke/ctl/app.py
@@ -230,10 +230,10 @@
 ) -> int:
     """Which servers requests really reached over all gateways, how they fared, and why others got less."""
     from latchspoke.ctl import reach as pages_of
-    from latchspoke.reach.recorder import KEPT
+    from latchspoke.reach.recorder import RETENTION_S
 
-    if not 0 < since <= KEPT:
-        raise Ended(USAGE, f"--since: a number of seconds over 0, up to {KEPT:g}")
+    if not 0 < since <= RETENTION_S:
+        raise Ended(USAGE, f"--since: a number of seconds over 0, up to {RETENTION_S:g}")
     seen = heard(where, "/status").body
     query = urlencode({"since": f"{since:g}"} | ({"server": server} if server else {}))
     views = every_gateway(seen, f"/reach?{query}")
--- a/latchspoke/ctl/reach.py
+++ b/latchspoke/ctl/reach.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from latchspoke.ctl.pages import columns, finding
-from latchspoke.reach.aggregate import Reached, findings, gather, timeline
+from latchspoke.reach.aggregate import ServerSummary, findings, summarize, timeline
 from latchspoke.reach.recorder import quantile
 
 View = Mapping[str, Any]
@@ -18,7 +18,7 @@
 ) -> dict[str, Any]:
     """All that the command tells. ``zone``: only what gateways of that zone tell."""
     heard = {name: view for name, view in views.items() if view is None or not zone or view["zone"] == zone}
-    those = [each for each in gather(control, heard, service) if not server or each.ident == server]
+    those = [each for each in summarize(control, heard, service) if not server or each.server_id == server]
     answered = sum(view is not None for view in heard.values())
     return {
         "gateways": sorted(name for name, view in heard.items() if view is not None),
@@ -32,7 +32,7 @@
 
 def plain(found: Mapping[str, Any]) -> dict[str, Any]:
     """For ``--json``."""
-    return {**found, "servers": [each.told() for each in found["servers"]]}
+    return {**found, "servers": [each.as_json() for each in found["servers"]]}
 
 
 def page(found: Mapping[str, Any], changes: bool) -> str:
@@ -47,12 +47,13 @@
     return "\n\n".join(part for part in [*parts, wrong or "nothing wants a look"] if part)
 
 
-def servers(those: Iterable[Reached], answered: int) -> str:
+def servers(those: Iterable[ServerSummary], answered: int) -> str:
     rows = [
         (
-            each.service, each.ident, each.zone, each.state or "unknown", each.requests, percent(each.share),
-            percent(each.part), f"{each.failed:.0%}" if each.requests else "-", milliseconds(each, 0.5),
-            milliseconds(each, 0.95), f"{each.gateways}/{answered}", counted(each.zones),
+            each.service, each.server_id, each.zone, each.state or "unknown", each.requests,
+            percent(each.request_share), percent(each.slot_share),
+            f"{each.failure_rate:.0%}" if each.requests else "-", milliseconds(each, 0.5),
+            milliseconds(each, 0.95), f"{each.gateway_count}/{answered}", counted(each.requests_by_zone),
             avoided(each, answered),
         )
         for each in those
@@ -68,8 +69,8 @@
     return "-" if share is None else f"{share:.0%}"
 
 
-def milliseconds(each: Reached, part: float) -> str:
-    seconds = quantile(each.times, part)
+def milliseconds(each: ServerSummary, part: float) -> str:
+    seconds = quantile(each.latency_counts, part)
     return "-" if seconds is None else f"{seconds * 1000:.0f} ms"
 
 
@@ -77,7 +78,7 @@
     return ", ".join(f"{zone} {count}" for zone, count in sorted(zones.items(), key=lambda z: -z[1])) or "-"
 
 
-def avoided(each: Reached, answered: int) -> str:
+def avoided(each: ServerSummary, answered: int) -> str:
     return (
         ", ".join(f"{code} {len(ages)}/{answered} {max(ages):.0f} s" for code, ages in each.avoided.items())
         or "-"
--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -12,7 +12,7 @@
 from barleyhub import interface as api
 from barleyhub.line.dispatch import Call, Dispatcher, Full
 from latchspoke.core import Client, Core, Epoch, Flow, Forward, Ports
-from latchspoke.reach.recorder import Graph
+from latchspoke.reach.recorder import AttemptRecorder
 
 
 class LineClient(Client, Protocol):
@@ -29,7 +29,7 @@
         super().__init__(dispatcher, ports, stats)  # type: ignore[arg-type]
         self.dispatcher = dispatcher
         self.right: Rights | None = None
-        self.graph: Graph | None = None
+        self.graph: AttemptRecorder | None = None
 
     def arrived(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
         """A request has come whole; ``begin`` is to follow."""
@@ -58,7 +58,7 @@
         if self.graph is not None and not forward.ended and isinstance(request, Call) and request.route:
             upstream = self.dispatcher.stock.upstreams.get(forward.target)
             cold = upstream is not None and forward.sent_at < upstream.cold_until
-            self.graph.note(forward.target, request.route.name, code, now - forward.sent_at, cold, now)
+            self.graph.record(forward.target, request.route.name, code, now - forward.sent_at, cold, now)
         super().ended(forward, code, now, answer, report)
 
     def act(self, action: api.Action, now: float) -> None:
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -27,7 +27,7 @@
 from latchspoke.net.stats import Stats
 from latchspoke.node_process import EDGE_PORT, NodeProcess
 from latchspoke.outliers.evidence import decode_entry as read_evidence
-from latchspoke.reach.recorder import Graph
+from latchspoke.reach.recorder import AttemptRecorder
 from latchspoke.registry.registry import BeatError, Entry
 from latchspoke.transport.door import PRESENT, Answer, Caller, Door
 from latchspoke.transport.log import log
@@ -104,7 +104,7 @@
         self.ports = Ports(self.upstream_pools, self.clock)
         self.core = LineCore(self.dispatcher, self.ports, self.stats)
         self.upstream_pools.core = self.core
-        self.graph = self.core.graph = Graph(self.clock.now())
+        self.graph = self.core.graph = AttemptRecorder(self.clock.now())
         self.core.right = self
         self.downstream = Downstream(self.shared, self.core, self.draw, self.epoch)
         self.downstream.proven = lambda: self.lease.proven_at > -math.inf and self.met()
@@ -414,7 +414,7 @@
         self.counts.host.forget(now)
         self.dispatcher.witness.forget(now, self.examiner.forget(now))
         self.examine(now)
-        self.graph.look(self.stock, now)
+        self.graph.check_statuses(self.stock, now)
         self.watch.look(now)
         self.settle()
         if not self.old and now >= self.old_at:
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -14,7 +14,7 @@
 from barleyhub.line.dispatch import Dispatcher
 from barleyhub.line.stock import Stock, Upstream
 from latchspoke.outliers.formatting import evidence_view
-from latchspoke.reach.recorder import standing
+from latchspoke.reach.recorder import reason_codes
 from latchspoke.transport.metrics import Family, page
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 
 def avoided(stock: Stock, upstream: Upstream, now: float) -> list[str]:
     """Why it gets nothing, or less than its part: reason codes, the hardest first."""
-    return list(standing(stock, upstream, now))
+    return list(reason_codes(stock, upstream, now))
 
 
 def server(stock: Stock, upstream: Upstream, now: float) -> dict[str, Any]:
--- a/latchspoke/reach/__init__.py
+++ b/latchspoke/reach/__init__.py
@@ -1,1 +1,1 @@
-"""The train graph: which servers requests really reached from here, and why others were passed over."""
+"""Statistics of which servers requests reached, and why other servers were avoided."""
--- a/latchspoke/reach/aggregate.py
+++ b/latchspoke/reach/aggregate.py
@@ -1,8 +1,7 @@
-"""The train graphs of all gateways as one: which servers clients really reached, and why not others. Pure.
+"""Combines the reach statistics of all gateways: which servers requests reached, and why not others. No I/O.
 
-A gateway that does not answer is named, and what the others tell stands for itself: nothing is guessed for
-it. Times of changes are ages at each gateway's answer; the tool asks all at once, so they differ by the time
-that the answers took.
+Gateways that do not answer are listed, and their requests are missing from the figures. Times of changes are
+ages at the time of each gateway's answer; as all are queried at once, they differ by the answering times.
 """
 
 from __future__ import annotations
@@ -13,168 +12,212 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from latchspoke.reach.recorder import BUCKETS, COLD, ENDS, ERRING, quantile
+from latchspoke.reach.recorder import COLD_INDEX, ERROR_RATE_THRESHOLD, LATENCY_BUCKETS, OUTCOMES, quantile
 
 View = Mapping[str, Any]
-TRIED = tuple(end for end in ENDS[:COLD] if end != "unreachable")  # these reached the server
-FAILED = ("error", "lost")
-ENOUGH = 20  # requests of a service for each of its servers, from which on its shares are judged
-UNEVEN = 2.5  # times a server's part by its slots
-TOGETHER = 1.5  # s; the same change at several gateways within this time is told as one
+REACHED_OUTCOMES = tuple(outcome for outcome in OUTCOMES[:COLD_INDEX] if outcome != "unreachable")
+FAILED_OUTCOMES = ("error", "lost")
+MIN_REQUESTS_PER_SERVER = 20  # of a service, on average, for its request shares to be judged
+UNEVEN_FACTOR = 2.5  # request share relative to slot share above which a server is reported
+MERGE_WINDOW_S = 1.5  # within which the same change at several gateways counts as one
 
 
 @dataclass(slots=True)
-class Reached:
-    """One server, as all gateways that answered tell."""
+class ServerSummary:
+    """Statistics of one server, over all gateways that answered."""
 
-    ident: str
+    server_id: str
     service: str = ""
     zone: str = ""
     region: str = ""
     address: str = ""
-    state: str = ""  # as the control machine knows it; empty: it doesn't
+    state: str = ""  # at the control-plane node; empty: unknown there
     slots: int = 0
-    ends: Counter[str] = field(default_factory=Counter)
-    times: array[int] = field(default_factory=lambda: array("I", bytes(4 * BUCKETS)))
-    routes: Counter[str] = field(default_factory=Counter)  # requests
-    zones: Counter[str] = field(default_factory=Counter)  # requests by the gateways' zone
-    gateways: int = 0  # that reached it
-    avoided: dict[str, list[float]] = field(default_factory=dict)  # code -> since when (s), by gateway
-    share: float | None = None  # of its service's requests
-    part: float | None = None  # of its service's slots, among those that may be sent to
+    outcomes: Counter[str] = field(default_factory=Counter)
+    latency_counts: array[int] = field(default_factory=lambda: array("I", bytes(4 * LATENCY_BUCKETS)))
+    requests_by_route: Counter[str] = field(default_factory=Counter)
+    requests_by_zone: Counter[str] = field(default_factory=Counter)  # by the gateways' zone
+    gateway_count: int = 0  # gateways whose requests reached it
+    avoided: dict[str, list[float]] = field(
+        default_factory=dict
+    )  # by reason code: for how long (s), at each gateway
+    request_share: float | None = None  # of its service's requests
+    slot_share: float | None = None  # of its service's slots, among eligible servers
 
     @property
     def requests(self) -> int:
-        """How many requests reached it."""
-        return sum(self.ends[end] for end in TRIED)
+        """Number of requests that reached the server."""
+        return sum(self.outcomes[outcome] for outcome in REACHED_OUTCOMES)
 
     @property
-    def failed(self) -> float:
-        """Share of failures among those whose end says something of the server."""
-        judged = self.ends["ok"] + sum(self.ends[end] for end in FAILED)
-        return sum(self.ends[end] for end in FAILED) / judged if judged else 0.0
+    def failure_rate(self) -> float:
+        """Fraction of failures among outcomes that the server is responsible for."""
+        judged = self.outcomes["ok"] + sum(self.outcomes[outcome] for outcome in FAILED_OUTCOMES)
+        return sum(self.outcomes[outcome] for outcome in FAILED_OUTCOMES) / judged if judged else 0.0
 
-    def told(self) -> dict[str, Any]:
-        """For ``--json``."""
+    def as_json(self) -> dict[str, Any]:
+        """The server as an object for ``--json``."""
         return {
-            "id": self.ident, "service": self.service, "zone": self.zone, "region": self.region,
+            "id": self.server_id, "service": self.service, "zone": self.zone, "region": self.region,
             "address": self.address, "state": self.state, "slots": self.slots, "requests": self.requests,
-            "ends": dict(sorted(self.ends.items())), "failed": round(self.failed, 4),
-            "p50_s": quantile(self.times, 0.5), "p95_s": quantile(self.times, 0.95),
-            "routes": dict(self.routes.most_common()), "by_zone": dict(self.zones.most_common()),
-            "gateways": self.gateways, "share": self.share, "part": self.part,
+            "ends": dict(sorted(self.outcomes.items())), "failed": round(self.failure_rate, 4),
+            "p50_s": quantile(self.latency_counts, 0.5), "p95_s": quantile(self.latency_counts, 0.95),
+            "routes": dict(self.requests_by_route.most_common()),
+            "by_zone": dict(self.requests_by_zone.most_common()),
+            "gateways": self.gateway_count, "share": self.request_share, "part": self.slot_share,
             "avoided": {
                 code: {"gateways": len(ages), "since_s": max(ages)} for code, ages in self.avoided.items()
             },
         }  # fmt: skip
 
 
-def gather(control: View, views: Mapping[str, View | None], service: str = "") -> list[Reached]:
-    """All servers that a control machine or a gateway knows of, by service, the most reached first."""
-    found: dict[str, Reached] = {}
-    for each in control["servers"]:
-        if each["state"] != "gone":
-            found[each["id"]] = Reached(
-                each["id"], each["service"], each["zone"], "", each["address"], each["state"], each["slots"]
+def summarize(control: View, views: Mapping[str, View | None], service: str = "") -> list[ServerSummary]:
+    """All servers known to the control-plane node or a gateway, by service, most requests first."""
+    summaries: dict[str, ServerSummary] = {}
+    for server in control["servers"]:
+        if server["state"] != "gone":
+            summaries[server["id"]] = ServerSummary(
+                server["id"],
+                server["service"],
+                server["zone"],
+                "",
+                server["address"],
+                server["state"],
+                server["slots"],
             )
     for view in views.values():
         for row in () if view is None else view["servers"]:
-            add(found.setdefault(row["id"], Reached(row["id"])), row, view["zone"] if view else "")
-    those = [each for each in found.values() if not service or each.service == service]
-    parts(those, frozenset(control["evacuated"]))
-    return sorted(those, key=lambda each: (each.service, -each.requests, each.zone, each.ident))
-
-
-def add(reached: Reached, row: View, zone: str) -> None:
-    """What one gateway tells of it."""
-    reached.service = reached.service or row.get("service", "")
-    reached.zone = reached.zone or row.get("zone", "")
-    reached.region = reached.region or row.get("region", "")
-    reached.address = reached.address or row.get("address", "")
-    reached.slots = reached.slots or row.get("slots", 0)
-    before = reached.requests
-    for route, ends in row["routes"].items():
-        for place, count in ends["times"].items():
-            reached.times[int(place)] += count
-        reached.ends.update({end: ends[end] for end in ENDS if end in ends})
-        reached.routes[route] += sum(ends.get(end, 0) for end in TRIED)
-    if reached.requests > before:
-        reached.gateways += 1
-        reached.zones[zone] += reached.requests - before
+            add_gateway_row(
+                summaries.setdefault(row["id"], ServerSummary(row["id"])), row, view["zone"] if view else ""
+            )
+    selected = [server for server in summaries.values() if not service or server.service == service]
+    compute_shares(selected, frozenset(control["evacuated"]))
+    return sorted(
+        selected, key=lambda server: (server.service, -server.requests, server.zone, server.server_id)
+    )
+
+
+def add_gateway_row(summary: ServerSummary, row: View, zone: str) -> None:
+    """Add the statistics of one gateway to a server's."""
+    summary.service = summary.service or row.get("service", "")
+    summary.zone = summary.zone or row.get("zone", "")
+    summary.region = summary.region or row.get("region", "")
+    summary.address = summary.address or row.get("address", "")
+    summary.slots = summary.slots or row.get("slots", 0)
+    before = summary.requests
+    for route, counts in row["routes"].items():
+        for index, count in counts["times"].items():
+            summary.latency_counts[int(index)] += count
+        summary.outcomes.update({outcome: counts[outcome] for outcome in OUTCOMES if outcome in counts})
+        summary.requests_by_route[route] += sum(counts.get(outcome, 0) for outcome in REACHED_OUTCOMES)
+    if summary.requests > before:
+        summary.gateway_count += 1
+        summary.requests_by_zone[zone] += summary.requests - before
     for code in row.get("avoided", ()):
-        reached.avoided.setdefault(code, []).append(row["since_s"])
-
-
-def parts(those: Iterable[Reached], evacuated: frozenset[str]) -> None:
-    """Each one's share of its service's requests, and its part of the slots that may be sent to."""
-    by_service: dict[str, list[Reached]] = {}
-    for each in those:
-        by_service.setdefault(each.service, []).append(each)
-    for group in by_service.values():
-        requests = sum(each.requests for each in group)
-        able = [each for each in group if each.state == "ready" and each.zone not in evacuated]
-        slots = sum(each.slots for each in able)
-        for each in group:
-            each.share = round(each.requests / requests, 4) if requests else None
-        for each in able:
-            each.part = round(each.slots / slots, 4) if slots else None
-
-
-def findings(those: Iterable[Reached], answered: int) -> list[tuple[str, str, str]]:
-    """What wants a look: code, server, in words. Servers of a service with few requests are passed over."""
-    those, found = list(those), []
-    requests, able = Counter[str](), Counter[str]()
-    for each in those:
-        requests[each.service] += each.requests
-        able[each.service] += each.part is not None
-    for each in those:
-        judged = requests[each.service] >= ENOUGH * max(able[each.service], 1)
-        why = ", ".join(
+        summary.avoided.setdefault(code, []).append(row["since_s"])
+
+
+def compute_shares(summaries: Iterable[ServerSummary], evacuated: frozenset[str]) -> None:
+    """Set each server's share of its service's requests, and of the slots of eligible servers."""
+    by_service: dict[str, list[ServerSummary]] = {}
+    for server in summaries:
+        by_service.setdefault(server.service, []).append(server)
+    for servers in by_service.values():
+        requests = sum(server.requests for server in servers)
+        eligible = [server for server in servers if server.state == "ready" and server.zone not in evacuated]
+        slots = sum(server.slots for server in eligible)
+        for server in servers:
+            server.request_share = round(server.requests / requests, 4) if requests else None
+        for server in eligible:
+            server.slot_share = round(server.slots / slots, 4) if slots else None
+
+
+def findings(summaries: Iterable[ServerSummary], answered: int) -> list[tuple[str, str, str]]:
+    """Anomalies as code, server and text. Shares are not judged for services with few requests."""
+    summaries, found = list(summaries), []
+    requests, eligible = Counter[str](), Counter[str]()
+    for server in summaries:
+        requests[server.service] += server.requests
+        eligible[server.service] += server.slot_share is not None
+    for server in summaries:
+        judged = requests[server.service] >= MIN_REQUESTS_PER_SERVER * max(eligible[server.service], 1)
+        reasons = ", ".join(
             f"{code} at {len(ages)} of {answered} for up to {max(ages):.0f} s"
-            for code, ages in sorted(each.avoided.items(), key=lambda item: -len(item[1]))
+            for code, ages in sorted(server.avoided.items(), key=lambda item: -len(item[1]))
         )
-        if each.failed > ERRING and each.ends["ok"] + each.ends["error"] + each.ends["lost"] >= 5:
-            text = f"{each.failed:.0%} of {each.requests} requests from {each.gateways} gateways failed"
-            found.append(("failing", each.ident, f"{text}; {why or 'avoided by nobody'}"))
-        if each.part is not None and judged and not each.requests:
+        if (
+            server.failure_rate > ERROR_RATE_THRESHOLD
+            and server.outcomes["ok"] + server.outcomes["error"] + server.outcomes["lost"] >= 5
+        ):
+            text = (
+                f"{server.failure_rate:.0%} of {server.requests} requests"
+                f" from {server.gateway_count} gateways failed"
+            )
+            found.append(("failing", server.server_id, f"{text}; {reasons or 'avoided by no gateway'}"))
+        if server.slot_share is not None and judged and not server.requests:
             found.append(
-                ("unreached", each.ident, f"ready, and no request came to it; {why or 'no reason told'}")
+                (
+                    "unreached",
+                    server.server_id,
+                    f"ready, but no requests reached it; {reasons or 'no reason reported'}",
+                )
             )
-        if each.part and each.share and judged and each.share > UNEVEN * each.part:
+        if (
+            server.slot_share
+            and server.request_share
+            and judged
+            and server.request_share > UNEVEN_FACTOR * server.slot_share
+        ):
             found.append(
-                ("uneven", each.ident, f"{each.share:.0%} of the requests with {each.part:.0%} of the slots")
+                (
+                    "uneven",
+                    server.server_id,
+                    f"{server.request_share:.0%} of the requests with {server.slot_share:.0%} of the slots",
+                )
             )
-        if each.ends["while_cold"]:
+        if server.outcomes["while_cold"]:
             found.append(
-                ("while_cold", each.ident, f"{each.ends['while_cold']} requests came to it while cold")
+                (
+                    "while_cold",
+                    server.server_id,
+                    f"{server.outcomes['while_cold']} requests reached it while cold",
+                )
             )
-        if each.requests and each.state in ("", "draining"):
-            known = "draining" if each.state else "not known to the control machine any more"
+        if server.requests and server.state in ("", "draining"):
+            known = "draining" if server.state else "no longer known to the control-plane node"
             found.append(
-                ("leaving", each.ident, f"{each.requests} requests came to it lately; it is {known}")
+                (
+                    "leaving",
+                    server.server_id,
+                    f"{server.requests} requests reached it recently; it is {known}",
+                )
             )
     return found
 
 
 def timeline(views: Mapping[str, View | None]) -> list[dict[str, Any]]:
-    """Changes of servers' standings at all gateways, the oldest first; alike ones close together are one."""
-    every = [
+    """Status changes of servers at all gateways, oldest first; the same change at several is merged."""
+    observed = [
         (change["s_ago"], name, change)
         for name, view in views.items()
         if view is not None
         for change in view["changes"]
     ]
-    every.sort(key=lambda item: (-item[0], item[1]))
-    found: list[dict[str, Any]] = []
+    observed.sort(key=lambda item: (-item[0], item[1]))
+    merged: list[dict[str, Any]] = []
     latest: dict[tuple[str, tuple[str, ...]], dict[str, Any]] = {}
-    for ago, name, change in every:
+    for age_s, name, change in observed:
         key = change["id"], tuple(change["codes"])
-        known = latest.get(key)
-        if known is not None and known["s_ago"] - ago <= TOGETHER and name not in known["gateways"]:
-            known["gateways"].append(name)
-            known["errors"] = max(known["errors"], change["errors"])
-            known["told"] = max(known["told"], change["told"])
+        earlier = latest.get(key)
+        if (
+            earlier is not None
+            and earlier["s_ago"] - age_s <= MERGE_WINDOW_S
+            and name not in earlier["gateways"]
+        ):
+            earlier["gateways"].append(name)
+            earlier["errors"] = max(earlier["errors"], change["errors"])
+            earlier["told"] = max(earlier["told"], change["told"])
             continue
         latest[key] = {**change, "gateways": [name]}
-        found.append(latest[key])
-    return found
+        merged.append(latest[key])
+    return merged
--- a/latchspoke/reach/recorder.py
+++ b/latchspoke/reach/recorder.py
@@ -1,8 +1,8 @@
-"""What one gateway keeps of the servers that its requests reached: counts by span of time, and standings.
+"""Records attempts of one gateway by server and route, and why servers get fewer requests or none.
 
-For each span of ``SPAN`` s, server and route: how attempts ended and how long they took; and for each server
-why it got less or nothing, since when, and what it was before. Memory is bounded by ``SPANS`` and
-``CHANGES``; all of it ends with the process. Pure: every call brings the time.
+Attempts are counted by outcome and latency in spans of ``SPAN_S``. For each server the current reasons are
+kept, and the latest changes. Memory is bounded by ``MAX_SPANS`` and ``MAX_CHANGES``; nothing is persisted.
+Reads no clock: the time (s) is passed in.
 """
 
 from __future__ import annotations
@@ -16,44 +16,49 @@
 from barleyhub.interface import Code
 from barleyhub.line.stock import State, Stock, Upstream
 
-SPAN = 5.0  # s; what is counted together
-LOOKS = 300  # servers whose standing is looked at in one call
-SPANS = 24  # kept: two minutes
-CHANGES = 400  # of standings, the newest, are kept
-ERRING = 0.2  # share of errors from which on a server counts as erring
-SLOW = 2.0  # times the usual time
-SLOW_AGAIN = 1.5  # below which a slow one is slow no more: a server at the bound would come and go
+SPAN_S = 5.0
+MAX_CHECKS_PER_CALL = 300  # servers whose status is checked in one call
+MAX_SPANS = 24
+MAX_CHANGES = 400
+ERROR_RATE_THRESHOLD = 0.2  # above which a server counts as erring
+SLOW_FACTOR = 2.0  # latency relative to the usual above which a server counts as slow
+SLOW_CLEAR_FACTOR = 1.5  # below which it no longer does; the gap prevents flapping
 
-ENDS = ("ok", "error", "turned_away", "lost", "cancelled", "unreachable", "while_cold")
-PLACE = {
+OUTCOMES = ("ok", "error", "turned_away", "lost", "cancelled", "unreachable", "while_cold")
+OUTCOME_INDEX = {
     Code.OK: 0, Code.ERROR: 1, Code.FULL: 2, Code.RESET: 3, Code.TIMEOUT: 3, Code.CANCELLED: 4,
     Code.UNREACHABLE: 5,
 }  # fmt: skip
-COLD = len(ENDS) - 1  # counted beside how it ended
-BUCKETS = 18  # of times: up to 1 ms, 2 ms, 4 ms, ... 65 s, more
-NONE = bytes(4 * (len(ENDS) + BUCKETS))
-KEPT = SPAN * SPANS  # s
-
-
-def bucket(took: float) -> int:
-    """Which bucket a time (s) is counted in."""
-    return min(int(took * 1000).bit_length(), BUCKETS - 1)
-
-
-def quantile(times: array[int], part: float) -> float | None:
-    """The time (s) below which this part of what was counted lies, to a factor of two; None: nothing was."""
-    total = sum(times)
-    left = part * total
-    for place, count in enumerate(times):
-        if count and left <= count:
-            low = 0.0 if place == 0 else 2.0 ** (place - 1) / 1000
-            return low + (2.0**place / 1000 - low) * left / count
-        left -= count
+COLD_INDEX = len(OUTCOMES) - 1  # counted in addition to the outcome
+LATENCY_BUCKETS = 18  # up to 1 ms, 2 ms, 4 ms, ... 65 s, above
+EMPTY_COUNTS = bytes(4 * (len(OUTCOMES) + LATENCY_BUCKETS))
+RETENTION_S = SPAN_S * MAX_SPANS
+
+
+def latency_bucket(latency_s: float) -> int:
+    """Index of the bucket for a latency."""
+    return min(int(latency_s * 1000).bit_length(), LATENCY_BUCKETS - 1)
+
+
+def quantile(bucket_counts: array[int], fraction: float) -> float | None:
+    """Estimated quantile (s), accurate to a factor of two; None if there are no samples."""
+    total = sum(bucket_counts)
+    remaining = fraction * total
+    for index, count in enumerate(bucket_counts):
+        if count and remaining <= count:
+            lower_s = 0.0 if index == 0 else 2.0 ** (index - 1) / 1000
+            return lower_s + (2.0**index / 1000 - lower_s) * remaining / count
+        remaining -= count
     return None
 
 
-def standing(stock: Stock, upstream: Upstream, now: float, was: tuple[str, ...] = ()) -> tuple[str, ...]:
-    """Why a server gets nothing, or less than its part: reason codes, the hardest first; none: it is well."""
+def reason_codes(
+    stock: Stock, upstream: Upstream, now: float, previous: tuple[str, ...] = ()
+) -> tuple[str, ...]:
+    """Why a server gets fewer requests or none, the most severe reason first; empty: no reason.
+
+    ``previous`` are its codes so far.
+    """
     found = []
     if upstream.state is State.GONE:
         found.append("gone")
@@ -71,17 +76,17 @@
         found.append("cold")
     if now < upstream.doubt_until:
         found.append("doubtful")
-    if upstream.own.errors and upstream.own.share(now) > ERRING:
+    if upstream.own.errors and upstream.own.share(now) > ERROR_RATE_THRESHOLD:
         found.append("erring")
     if upstream.ident in stock.told:
         found.append("failing_elsewhere")
-    if upstream.own.pace > (SLOW_AGAIN if "slow" in was else SLOW):
+    if upstream.own.pace > (SLOW_CLEAR_FACTOR if "slow" in previous else SLOW_FACTOR):
         found.append("slow")
     return tuple(found)
 
 
-class Standing(msgspec.Struct):
-    """A server as it stands here since ``since``."""
+class ServerStatus(msgspec.Struct):
+    """A server and its reason codes, unchanged since ``since`` (s)."""
 
     service: str
     zone: str
@@ -91,133 +96,147 @@
     since: float
 
 
-class Change(msgspec.Struct, frozen=True):
-    """A server's standing became another one. ``was`` is None where it was new here."""
+class StatusChange(msgspec.Struct, frozen=True):
+    """A change of a server's reason codes; ``previous_codes`` is None for a new server."""
 
-    at: float
-    ident: str
+    changed_at: float
+    server_id: str
     service: str
     zone: str
-    was: tuple[str, ...] | None
+    previous_codes: tuple[str, ...] | None
     codes: tuple[str, ...]
-    errors: float  # share of failures seen from here
-    pace: float  # times the usual time
-    told: float  # share of failures that others tell of, 0: none
+    error_rate: float  # seen by this gateway
+    relative_latency: float  # relative to the usual latency
+    reported_error_rate: float  # by other gateways; 0: none
 
 
-class Graph:
-    """What is kept."""
+class AttemptRecorder:
+    """The statistics of one gateway."""
 
     def __init__(self, now: float) -> None:
-        self.begun_at = now
-        self.span_at = now
-        self.now: dict[tuple[str, str], array[int]] = {}  # by server and route, in the span under way
-        self.spans: deque[tuple[float, dict[tuple[str, str], array[int]]]] = deque(maxlen=SPANS)
-        self.standings: dict[str, Standing] = {}
-        self.turn: list[str] = []  # servers that are still to be looked at in this round
-        self.changes: deque[Change] = deque(maxlen=CHANGES)
-
-    def note(self, ident: str, route: str, code: Code, took: float, cold: bool, now: float) -> None:
-        """An attempt has ended. One that was never written (``MOOT``) has reached nobody."""
-        place = PLACE.get(code)
-        if place is None:
+        self.started_at = now
+        self.span_started_at = now
+        self.current: dict[tuple[str, str], array[int]] = {}  # by server and route, in the current span
+        self.spans: deque[tuple[float, dict[tuple[str, str], array[int]]]] = deque(maxlen=MAX_SPANS)
+        self.statuses: dict[str, ServerStatus] = {}
+        self.check_queue: list[str] = []  # servers that are yet to be checked in this round
+        self.changes: deque[StatusChange] = deque(maxlen=MAX_CHANGES)
+
+    def record(
+        self, server_id: str, route: str, code: Code, latency_s: float, while_cold: bool, now: float
+    ) -> None:
+        """Count an attempt that has ended; one that was never sent (``MOOT``) is not counted."""
+        index = OUTCOME_INDEX.get(code)
+        if index is None:
             return
-        if now - self.span_at >= SPAN:
-            self.roll(now)
-        key = ident, route
-        counts = self.now.get(key)
+        if now - self.span_started_at >= SPAN_S:
+            self.start_span(now)
+        key = server_id, route
+        counts = self.current.get(key)
         if counts is None:
-            counts = self.now[key] = array("I", NONE)
-        counts[place] += 1
-        if cold:
-            counts[COLD] += 1
-        if place < 2:
-            counts[len(ENDS) + bucket(took)] += 1
-
-    def roll(self, now: float) -> None:
-        """A new span begins; empty ones are not kept."""
-        if self.now:
-            self.spans.append((self.span_at, self.now))
-            self.now = {}
-        self.span_at = now
-
-    def look(self, stock: Stock, now: float) -> list[Change]:
-        """Compare servers' standing with what it was; what has changed is kept, and returned.
-
-        Where there are more than ``LOOKS`` servers, each call looks at so many of them, in turn.
+            counts = self.current[key] = array("I", EMPTY_COUNTS)
+        counts[index] += 1
+        if while_cold:
+            counts[COLD_INDEX] += 1
+        if index < 2:
+            counts[len(OUTCOMES) + latency_bucket(latency_s)] += 1
+
+    def start_span(self, now: float) -> None:
+        """Start a new span; an empty one is not kept."""
+        if self.current:
+            self.spans.append((self.span_started_at, self.current))
+            self.current = {}
+        self.span_started_at = now
+
+    def check_statuses(self, stock: Stock, now: float) -> list[StatusChange]:
+        """Update the status of servers; changes are kept and returned.
+
+        Each call checks up to ``MAX_CHECKS_PER_CALL`` servers, in turn.
         """
-        found = []
-        for ident in self.next_idents(stock):
-            upstream = stock.upstreams.get(ident)
+        changes = []
+        for server_id in self.next_server_ids(stock):
+            upstream = stock.upstreams.get(server_id)
             if upstream is None:
                 continue
-            known = self.standings.get(ident)
-            codes = standing(stock, upstream, now, known.codes if known is not None else ())
-            if known is not None and codes == known.codes:
+            status = self.statuses.get(server_id)
+            codes = reason_codes(stock, upstream, now, status.codes if status is not None else ())
+            if status is not None and codes == status.codes:
                 continue
-            found.append(self.change(stock, upstream, known, codes, now))
-        if not self.turn:
-            found += self.look_for_gone(stock, now)
-        self.changes.extend(found)
-        return found
-
-    def next_idents(self, stock: Stock) -> list[str]:
-        """The servers to be looked at now; when ``turn`` is empty after that, all have had theirs."""
-        if not self.turn:
-            self.turn = list(stock.upstreams)
-        idents, self.turn = self.turn[:LOOKS], self.turn[LOOKS:]
-        return idents
-
-    def look_for_gone(self, stock: Stock, now: float) -> list[Change]:
-        """Changes of servers that are no longer known."""
-        found = []
-        for ident, known in list(self.standings.items()):
-            if ident in stock.upstreams:
+            changes.append(self.status_change(stock, upstream, status, codes, now))
+        if not self.check_queue:
+            changes += self.check_removed(stock, now)
+        self.changes.extend(changes)
+        return changes
+
+    def next_server_ids(self, stock: Stock) -> list[str]:
+        """The servers to check now; if ``check_queue`` is empty afterwards, the round is complete."""
+        if not self.check_queue:
+            self.check_queue = list(stock.upstreams)
+        server_ids, self.check_queue = (
+            self.check_queue[:MAX_CHECKS_PER_CALL],
+            self.check_queue[MAX_CHECKS_PER_CALL:],
+        )
+        return server_ids
+
+    def check_removed(self, stock: Stock, now: float) -> list[StatusChange]:
+        """Changes of servers that have been removed; their status is kept for ``RETENTION_S``."""
+        changes = []
+        for server_id, status in list(self.statuses.items()):
+            if server_id in stock.upstreams:
                 continue
-            if known.codes != ("gone",):
-                found.append(
-                    Change(now, ident, known.service, known.zone, known.codes, ("gone",), 0.0, 1.0, 0.0)
+            if status.codes != ("gone",):
+                changes.append(
+                    StatusChange(
+                        now, server_id, status.service, status.zone, status.codes, ("gone",), 0.0, 1.0, 0.0
+                    )
                 )
-                known.codes, known.since = ("gone",), now
-            elif now - known.since > KEPT:
-                del self.standings[ident]
-        return found
-
-    def change(
-        self, stock: Stock, upstream: Upstream, known: Standing | None, codes: tuple[str, ...], now: float
-    ) -> Change:
-        """What a change of standing is noted as, with what led to it."""
-        self.standings[upstream.ident] = Standing(
+                status.codes, status.since = ("gone",), now
+            elif now - status.since > RETENTION_S:
+                del self.statuses[server_id]
+        return changes
+
+    def status_change(
+        self,
+        stock: Stock,
+        upstream: Upstream,
+        previous: ServerStatus | None,
+        codes: tuple[str, ...],
+        now: float,
+    ) -> StatusChange:
+        """Update the status of a server; returns the change with its evidence."""
+        self.statuses[upstream.ident] = ServerStatus(
             upstream.service, upstream.zone, upstream.region, f"{upstream.host}:{upstream.port}", codes, now
         )
-        stock_told = stock.told.get(upstream.ident, 0.0)
-        return Change(
+        reported_error_rate = stock.told.get(upstream.ident, 0.0)
+        return StatusChange(
             now, upstream.ident, upstream.service, upstream.zone,
-            known.codes if known is not None else None, codes,
-            round(upstream.own.share(now), 3), round(upstream.own.pace, 2), round(stock_told, 3),
+            previous.codes if previous is not None else None, codes,
+            round(upstream.own.share(now), 3), round(upstream.own.pace, 2), round(reported_error_rate, 3),
         )  # fmt: skip
 
-    def counted(self, since: float, now: float) -> tuple[float, dict[tuple[str, str], array[int]]]:
-        """Counts of the spans that reach into the last ``since`` s, added up; how far back (s) they go."""
+    def counts_within(self, window_s: float, now: float) -> tuple[float, dict[tuple[str, str], array[int]]]:
+        """Time (s) that is covered, and the sums of all spans that overlap the window."""
         total: dict[tuple[str, str], array[int]] = {}
-        first = now
-        for begun, counts in self.within(since, now):
-            first = min(first, begun)
-            for key, each in counts.items():
-                known = total.get(key)
-                if known is None:
-                    total[key] = array("I", each)
+        earliest = now
+        for span_started_at, counts in self.spans_within(window_s, now):
+            earliest = min(earliest, span_started_at)
+            for key, span_counts in counts.items():
+                sums = total.get(key)
+                if sums is None:
+                    total[key] = array("I", span_counts)
                 else:
-                    for place, count in enumerate(each):
-                        known[place] += count
-        return max(now - first, min(since, now - self.begun_at)), total
-
-    def within(self, since: float, now: float) -> Iterator[tuple[float, dict[tuple[str, str], array[int]]]]:
-        """Spans of the last ``since`` s, each with its beginning and counts."""
-        for begun, counts in (*self.spans, (self.span_at, self.now)):
-            if counts and begun + SPAN > now - since:
-                yield begun, counts
-
-    def lately(self, since: float, now: float) -> list[Change]:
-        """Changes of the last ``since`` s, the oldest first."""
-        return [each for each in self.changes if now - each.at <= since]
+                    for index, count in enumerate(span_counts):
+                        sums[index] += count
+        return max(now - earliest, min(window_s, now - self.started_at)), total
+
+    def spans_within(
+        self, window_s: float, now: float
+    ) -> Iterator[tuple[float, dict[tuple[str, str], array[int]]]]:
+        """Start (s) and counts of the spans that overlap the window."""
+        for span_started_at, counts in (*self.spans, (self.span_started_at, self.current)):
+            if counts and span_started_at + SPAN_S > now - window_s:
+                yield span_started_at, counts
+
+    def changes_within(self, window_s: float, now: float) -> list[StatusChange]:
+        """Changes within the window, oldest first."""
+        return [change for change in self.changes if now - change.changed_at <= window_s]
--- a/latchspoke/rollouts/drill.py
+++ b/latchspoke/rollouts/drill.py
@@ -19,7 +19,7 @@
 
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.configuration.shape import Document
-from latchspoke.reach.recorder import SPAN
+from latchspoke.reach.recorder import SPAN_S
 from latchspoke.rollouts.drive import drive
 from latchspoke.rollouts.engine import Answer, Outcome, Rollout
 from latchspoke.rollouts.evidence import Evidence
@@ -81,7 +81,7 @@
                 expected = self.rate * STEP * share["weight"] / 100
                 many = int(expected) + (self.draw.random() < expected % 1)
                 service = self.services[share["service"]]
-                bad = service.take(many, int(self.clock / SPAN), self.draw)
+                bad = service.take(many, int(self.clock / SPAN_S), self.draw)
                 if service is not old:
                     self.beyond += bad - many * (old.failed + (1 - old.failed) * old.late)
             self.clock += STEP
@@ -94,7 +94,7 @@
         return Answer.TAKEN, ""
 
     def look(self, since: float) -> Evidence | None:
-        first = int((self.clock - since) / SPAN)
+        first = int((self.clock - since) / SPAN_S)
         found = {}
         for name, service in self.services.items():
             found[name] = sum((c for span, c in service.spans.items() if span >= first), Counted())
@@ -117,7 +117,7 @@
     found = Found()
     for seed in seeds:
         world = Field(rate, Service(old.failed, old.late), Service(new.failed, new.late), seed)
-        world.wait(SPAN * 4)
+        world.wait(SPAN_S * 4)
         begun = world.clock
         end = drive(Rollout(plan, world.clock), world)
         found.outcomes.append(end.outcome)
--- a/latchspoke/rollouts/engine.py
+++ b/latchspoke/rollouts/engine.py
@@ -14,7 +14,7 @@
 
 from latchspoke.configuration.check import number
 from latchspoke.configuration.shape import Document
-from latchspoke.reach.recorder import KEPT, SPAN
+from latchspoke.reach.recorder import RETENTION_S, SPAN_S
 from latchspoke.rollouts.evidence import NOBODY, Evidence
 from latchspoke.rollouts.judge import Counted, judge
 from latchspoke.rollouts.plan import BACK, Plan
@@ -23,7 +23,7 @@
 POLL = 2.0  # s between looks
 AGAIN = 0.5  # s until it is read again after an order that lost its race or had no clear answer
 TRIES = 20  # so often an order is sent anew before it is given up
-WINDOW = KEPT - 4 * SPAN  # s back that are asked for at most; gateways can tell of KEPT
+WINDOW = RETENTION_S - 4 * SPAN_S  # s back that are asked for at most; gateways can tell of KEPT
 STEP_LEAST = 0.1  # s back that are asked for at least
 NEAR = 0.01  # percent; shares closer than that are the same
 
@@ -120,16 +120,16 @@
         if self.wanted is not None:
             return Order(self.wanted, patch_of(self.doc, self.plan, self.wanted))
         if self.early(now):
-            return Look(now - self.begun_at + SPAN)
+            return Look(now - self.begun_at + SPAN_S)
         return Look(max(now - self.counted_from, STEP_LEAST))
 
     def early(self, now: float) -> bool:
         """What is told may yet be of the step before: enough to turn back by, not to go on."""
-        return now < self.counted_from + SPAN and not self.before
+        return now < self.counted_from + SPAN_S and not self.before
 
     def step_begins(self, now: float) -> None:
         """Gateways tell spans whole: what they tell from ``counted_from`` on ran at this step."""
-        self.begun_at, self.counted_from = now, now + SETTLE + SPAN
+        self.begun_at, self.counted_from = now, now + SETTLE + SPAN_S
         self.before = {}
         self.wait_until = now + POLL
 
@@ -228,8 +228,8 @@
         if now - self.counted_from >= WINDOW:
             # Gateways forget; what they have told is kept here, and a span that both would tell is left out.
             self.before = {plan.new: new, plan.old: old}
-            self.counted_from = now + SPAN
-            self.wait_until = self.counted_from + SPAN
+            self.counted_from = now + SPAN_S
+            self.wait_until = self.counted_from + SPAN_S
         if old.requests >= plan.requests and not early:
             self.baseline = old
         elif self.baseline is not None:
--- a/latchspoke/rollouts/evidence.py
+++ b/latchspoke/rollouts/evidence.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from latchspoke.reach.recorder import BUCKETS
+from latchspoke.reach.recorder import LATENCY_BUCKETS
 from latchspoke.rollouts.judge import Counted
 
 FAILED = ("error", "lost", "turned_away", "unreachable")
@@ -54,7 +54,7 @@
 def counted(ends: Mapping[str, Any], aim: float | None) -> Counted:
     """Of one server. What its callers called off says nothing of it."""
     failed = sum(ends.get(end, 0) for end in FAILED)
-    times = array("I", bytes(4 * BUCKETS))
+    times = array("I", bytes(4 * LATENCY_BUCKETS))
     for place, count in ends["times"].items():
         times[int(place)] += count
     # A time counts for ok and for error answers; errors are failed already.
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -382,7 +382,7 @@
     node = gateway(loop)
     node.sweep(node.clock.now())
     for number in range(6):
-        node.graph.note("b1", "r-read", Code.ERROR if number else Code.OK, 0.2, False, node.clock.now())
+        node.graph.record("b1", "r-read", Code.ERROR if number else Code.OK, 0.2, False, node.clock.now())
     assert node.readiness("GET", "/reach?since=0", b"")[0] == 400
     assert node.readiness("GET", "/reach?sinse=1", b"")[1] == {
         "errorText": "'sinse' is none of since, service, server"
--- a/tests/ctl/test_views.py
+++ b/tests/ctl/test_views.py
@@ -124,7 +124,7 @@
         "latchspoke/ctl/pages.py": r'finding\(\s*"(\w+)"',
         "latchspoke/dataplane/downstream.py": r'turn_away\([^)]*?\d, "(\w+)"',
         "latchspoke/reach/recorder.py": r'found.append\("(\w+)"\)',
-        "latchspoke/reach/aggregate.py": r'found.append\(\s*\("(\w+)"',
+        "latchspoke/reach/aggregate.py": r'found.append\(\s*\(\s*"(\w+)"',
         "latchspoke/dataplane/explain.py": r'append\("(\w+)"\)',
         "latchspoke/transport/log.py": r'"([a-z-]+)": "(?:error|warning)"',
         "latchspoke/controlplane/view.py": r'Family\("(latchspoke\w+)"',
--- a/tests/lab/test_reach.py
+++ b/tests/lab/test_reach.py
@@ -11,8 +11,8 @@
 from latchspoke.lab.system.day import Play
 from latchspoke.lab.system.records import Day, Trouble
 from latchspoke.reach import endpoint
-from latchspoke.reach.aggregate import TRIED, findings, gather
-from latchspoke.reach.recorder import KEPT
+from latchspoke.reach.aggregate import REACHED_OUTCOMES, findings, summarize
+from latchspoke.reach.recorder import RETENTION_S
 
 SHORES = Path(__file__).parents[2] / "examples" / "system" / "two-shores.toml"
 TROUBLES = (
@@ -27,11 +27,13 @@
     place = msgspec.structs.replace(records.read(SHORES), lead=3.0, length=10.0)
     play = Play(place, Day(6, TROUBLES), tmp_path)
     played = play.run(None)
-    views = {m.name: endpoint.reach(m.node, KEPT) for m in play.fleet.edges}
+    views = {m.name: endpoint.reach_view(m.node, RETENTION_S) for m in play.fleet.edges}
     seen = Counter[tuple[str, str]]()
     for name, view in views.items():
         for row in view["servers"]:
-            seen[name, row["id"]] = sum(e.get(end, 0) for e in row["routes"].values() for end in TRIED)
+            seen[name, row["id"]] = sum(
+                e.get(end, 0) for e in row["routes"].values() for end in REACHED_OUTCOMES
+            )
     truth = Counter((played.edges[a.source], a.server) for a in played.record.arrivals)
     assert +seen == truth and truth.total() > 300
     told = {
@@ -41,7 +43,7 @@
             for i, (service, zone, slots, _) in played.lives.items()
         ],
     }  # fmt: skip
-    those = gather(told, views, "orders")
+    those = summarize(told, views, "orders")
     failed = Counter(a.server for a in played.record.arrivals if a.service == "orders" and a.status == 500)
     (sick, _), *_ = failed.most_common()
     assert [ident for code, ident, _ in findings(those, len(views)) if code == "failing"] == [sick]
