--- a/latchspoke/reach/aggregate.py
+++ b/latchspoke/reach/aggregate.py
@@ -184,12 +184,12 @@
                 )
             )
         if server.requests and server.state in ("", "draining"):
-            known = "draining" if server.state else "no longer known to the control-plane node"
+            state_text = "draining" if server.state else "no longer known to the control-plane node"
             found.append(
                 (
                     "leaving",
                     server.server_id,
-                    f"{server.requests} requests reached it recently; it is {known}",
+                    f"{server.requests} requests reached it recently; it is {state_text}",
                 )
             )
     return found
--- a/latchspoke/session_records/coordinator.py
+++ b/latchspoke/session_records/coordinator.py
@@ -262,9 +262,9 @@
         request.awaiting_opening, request.opening_requested_at, request.opened_record = True, now, None
         # Numbered, as a reply to an earlier opening may still arrive.
         reference = f"{request_id}\n{next(self.opening_numbers)}"
-        opening, outs = self.store.open_exchange(reference, record, request.target, now)
+        opening, outputs = self.store.open_exchange(reference, record, request.target, now)
         self.pending_openings[reference] = opening, now
-        self.process_outputs(outs, now)
+        self.process_outputs(outputs, now)
         return self.take_directives()
 
     def end_attempt(self, request_id: str, outcome: ExchangeOutcome, now: float) -> list[Directive]:
--- a/latchspoke/session_records/simulation.py
+++ b/latchspoke/session_records/simulation.py
@@ -165,8 +165,10 @@
         self.servers: dict[str, Server] = {}
         for number in range(servers):
             region = number % 3
-            name = f"s{number}"
-            self.servers[name] = Server(name, f"r{region}z{number % 2}", f"r{region}", f"{name}-1")
+            server_name = f"s{number}"
+            self.servers[server_name] = Server(
+                server_name, f"r{region}z{number % 2}", f"r{region}", f"{server_name}-1"
+            )
         self.instances = {server.instance_id for server in self.servers.values()}
         self.ended_at: dict[str, float] = {}
         self.gateways: dict[str, Gateway] = {}
@@ -681,12 +683,13 @@
                 f"{self.now:.2f} {exchange_id} is still unanswered after {attempts} attempts"
             )
             return
-        gateway = (
+        next_gateway_name = (
             self.next_gateway(gateway_name) if answer[0] != "closed" else self.rng.choice(list(self.gateways))
         )
-        pause = 0.3 if answer[0] == "503" else 0.02
+        pause_s = 0.3 if answer[0] == "503" else 0.02
         self.schedule(
-            pause, lambda: self.send_request(request.caller, exchange_id, gateway, number, attempts + 1)
+            pause_s,
+            lambda: self.send_request(request.caller, exchange_id, next_gateway_name, number, attempts + 1),
         )
 
     # Results.
@@ -697,9 +700,9 @@
         On strict routes an exchange may run once, and once more for each time it was reported as unknown.
         """
         violations = list(self.violations)
-        for exchange, lives in self.runs.items():
-            if self.policy.strict and len(lives) > 1 + self.reported_unknown[exchange]:
-                violations.append(f"{exchange} ran {len(lives)} times: {lives}")
+        for exchange_id, instance_ids in self.runs.items():
+            if self.policy.strict and len(instance_ids) > 1 + self.reported_unknown[exchange_id]:
+                violations.append(f"{exchange_id} ran {len(instance_ids)} times: {instance_ids}")
         return violations
 
 
