--- a/benchmarks/travel_system.py
+++ b/benchmarks/travel_system.py
@@ -89,7 +89,7 @@
 
 
 def counted(travel: SessionAffinity, to: str, message: dict[str, Any]) -> None:
-    letters[str(message["w"])] += len(encode_frame({"k": "w", "f": travel.record_store.me, "m": message}))
+    letters[str(message["w"])] += len(encode_frame({"k": "w", "f": travel.record_store.name, "m": message}))
     post(travel, to, message)
 
 
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -34,7 +34,7 @@
 from latchspoke.membership.post import PACKS
 from latchspoke.membership.watch import News
 from latchspoke.node_process import CONTROL_PORT_OFFSET, NodeProcess
-from latchspoke.outliers.ledger import Ledger
+from latchspoke.outliers.evidence import EvidenceStore
 from latchspoke.registry.registry import BeatError, Entry, State, read_beat
 from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.http_server import LOCAL_CALLER, Caller, HttpServerConnection, Response
@@ -84,7 +84,7 @@
         s = self.settings
         self.me = self.internal_endpoint
         founders = tuple(f"{host}:{port}" for host, port in self.seed_addresses())
-        self.ledger, self.telling = Ledger(), False
+        self.ledger, self.telling = EvidenceStore(), False
         self.relays = Relays(self.me, self.rng)
         regions = Regions(self.me, s.region, self.rng)
         self.peers = Peers(self.me, self.peer_joined, self.peer_answers, self.relays, regions, self.clock.now)
@@ -261,7 +261,7 @@
             case "hello":
                 self.publisher.heard(wire, message)
                 self.relays.joined(wire)
-                if known := self.ledger.whole(now, wire.tag.zone):
+                if known := self.ledger.snapshot(now, wire.tag.zone):
                     wire.send({"k": "hot", "e": known})
             case _:
                 if not self.from_peer(str(wire.tag), message, now, wire.send):
@@ -272,12 +272,12 @@
         super().inbound_closed(wire, reason)
         self.relays.left(wire)
         if isinstance(wire.tag, Reader):
-            self.ledger.left(wire.tag.name)
+            self.ledger.remove_gateway(wire.tag.name)
 
     def evidence(self, wire: MessageConnection, message: Message, now: float) -> None:
         """What gateways that follow here, or another control machine's, saw of servers."""
         if isinstance(wire.tag, Reader):
-            self.ledger.heard(wire.tag.name, wire.tag.zone, message["w"], now)
+            self.ledger.add_reports(wire.tag.name, wire.tag.zone, message["w"], now)
         else:
             self.ledger.merge(str(wire.tag), message["e"], now)
         self.gather(now + EVIDENCE)
@@ -291,13 +291,13 @@
     def tell_evidence(self, now: float) -> None:
         """Tell other control machines and gateways what gateways saw of servers."""
         self.telling = False
-        if entries := self.ledger.to_peers(now):
+        if entries := self.ledger.updates_for_peers(now):
             self.peers.all({"k": "hot", "e": entries})
-        news = self.ledger.to_gateways(now, {reader.zone for reader in self.published_state.readers})
+        news = self.ledger.updates_for_gateways(now, {reader.zone for reader in self.published_state.readers})
         for reader in list(self.published_state.readers):
             if told := news.get(reader.zone):
                 reader.send({"k": "hot", "e": told})
-        if self.ledger.waiting():
+        if self.ledger.has_pending():
             self.gather(now + EVIDENCE_AGAIN)
 
     def learn(self, message: Message, now: float) -> None:
--- a/latchspoke/dataplane/core.py
+++ b/latchspoke/dataplane/core.py
@@ -12,7 +12,7 @@
 from barleyhub import interface as api
 from barleyhub.line.dispatch import Dispatcher, NoCapacity, RoutedRequest
 from latchspoke.core import Attempt, Client, Core, DecisionLease, Flow, Ports
-from latchspoke.reach.graph import Graph
+from latchspoke.reach.recorder import AttemptRecorder
 
 
 class DataPlaneClient(Client, Protocol):
@@ -29,7 +29,7 @@
         super().__init__(dispatcher, ports, stats)  # type: ignore[arg-type]
         self.dispatcher = dispatcher
         self.epoch_provider: EpochProvider | None = None
-        self.reach_graph: Graph | None = None
+        self.reach_graph: AttemptRecorder | None = None
 
     def accept(self, request: api.Request, message: object, client: Client, now: float) -> Flow:
         """Register a fully received request; the caller then calls ``begin``."""
@@ -67,7 +67,9 @@
         ):
             upstream = self.dispatcher.balancer.upstreams.get(forward.target)
             cold = upstream is not None and forward.sent_at < upstream.cold_until
-            self.reach_graph.note(forward.target, request.route.name, code, now - forward.sent_at, cold, now)
+            self.reach_graph.record(
+                forward.target, request.route.name, code, now - forward.sent_at, cold, now
+            )
         super().attempt_ended(forward, code, now, answer, report)
 
     def execute(self, action: api.Action, now: float) -> None:
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -26,8 +26,8 @@
 from latchspoke.net.http import GRACE, Dialer, Shared, Sockets, pending
 from latchspoke.net.stats import Stats
 from latchspoke.node_process import GATEWAY_PORT_OFFSET, NodeProcess
-from latchspoke.outliers.ledger import read as read_evidence
-from latchspoke.reach.graph import Graph
+from latchspoke.outliers.evidence import decode_entry as read_evidence
+from latchspoke.reach.recorder import AttemptRecorder
 from latchspoke.registry.registry import BeatError, Entry
 from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.http_server import LOCAL_CALLER, Caller, HttpServerConnection, Response
@@ -118,7 +118,7 @@
         self.ports = Ports(self.upstream_pools, self.clock)
         self.core = DataPlaneCore(self.dispatcher, self.ports, self.stats)
         self.upstream_pools.core = self.core
-        self.reach_graph = self.core.reach_graph = Graph(self.clock.now())
+        self.reach_graph = self.core.reach_graph = AttemptRecorder(self.clock.now())
         self.core.epoch_provider = self
         self.downstream = Downstream(self.shared, self.core, self.rng, self.current_epoch)
         self.downstream.configuration_confirmed = (
@@ -469,9 +469,9 @@
         """Readiness, the status views and the reachability view."""
         path, _, query = target.partition("?")
         if path == "/reach":
-            from latchspoke.reach import show
+            from latchspoke.reach import endpoint
 
-            return show.answer(self, query)
+            return endpoint.answer(self, query)
         if path in ("/status", "/metrics", "/explain"):
             from latchspoke.dataplane import view  # loaded on demand
 
@@ -514,7 +514,7 @@
         self.usage_reports.owned_quotas.expire(now)
         self.dispatcher.failure_reporter.expire(now, self.examiner.expire(now))
         self.evaluate_evidence(now)
-        self.reach_graph.look(self.balancer, now)
+        self.reach_graph.check_statuses(self.balancer, now)
         self.settings_watch.look(now)
         self.update_readiness()
         if not self.established and now >= self.established_at:
--- a/latchspoke/dataplane/session_affinity.py
+++ b/latchspoke/dataplane/session_affinity.py
@@ -25,11 +25,20 @@
 from latchspoke.dataplane.exchange import ClientExchange
 from latchspoke.dataplane.upstream import Request, Response
 from latchspoke.membership.words import Member
-from latchspoke.session_records.bill import Bill, Fate, Peer, key_of
-from latchspoke.session_records.desk import Ask, Desk, Go, Later, Pass, Step, Tell, Terms
-from latchspoke.session_records.office import Answer as Told
-from latchspoke.session_records.office import Letter, Office, Out, Target
-from latchspoke.session_records.verdict import State, state_of
+from latchspoke.session_records.coordinator import (
+    AttemptPermit,
+    Directive,
+    Proceed,
+    QueryServer,
+    ReportState,
+    RequestCoordinator,
+    RequestPolicy,
+    RetryLater,
+)
+from latchspoke.session_records.decision import ExchangeState, parse_exchange_state
+from latchspoke.session_records.record import ExchangeOutcome, Peer, SessionRecord, record_key
+from latchspoke.session_records.store import AttemptTarget, OutgoingMessage, RecordStore, StoreOutput
+from latchspoke.session_records.store import StoreReply as Told
 from latchspoke.transport.connection import Message
 from latchspoke.transport.log import log
 
@@ -75,28 +84,32 @@
 class CoordinatorSteps:
     """Steps of the coordinator as an event in the core's queue."""
 
-    steps: Sequence[Step]
+    steps: Sequence[Directive]
 
 
 class FateQueryClient:
     """The client of a query to a server about the fate of an attempt."""
 
-    def __init__(self, on_state: Callable[[State], None]) -> None:
+    def __init__(self, on_state: Callable[[ExchangeState], None]) -> None:
         self.on_state = on_state
 
     def served(self, response: object) -> None:
         """Report the state that the response carries; anything unexpected counts as unknown."""
         assert isinstance(response, Response)
         states = [value for name, value in response.headers if name == b"x-exchange-state"]
-        self.on_state(state_of(states[0]) if len(states) == 1 and response.status == 200 else State.UNKNOWN)
+        self.on_state(
+            parse_exchange_state(states[0])
+            if len(states) == 1 and response.status == 200
+            else ExchangeState.UNKNOWN
+        )
 
     def refused(self, retry_after: float | None) -> None:
         """The server did not take the query: the fate is unknown."""
-        self.on_state(State.UNKNOWN)
+        self.on_state(ExchangeState.UNKNOWN)
 
     def failed(self, failure: object | None) -> None:
         """The query failed: the fate is unknown."""
-        self.on_state(State.UNKNOWN)
+        self.on_state(ExchangeState.UNKNOWN)
 
 
 class SessionAffinity:
@@ -107,14 +120,14 @@
         self.dispatcher: Dispatcher = node.dispatcher
         self.ports, self.core = node.ports, node.core
         lease_s = node.lease.lasts if node.lease.lasts < 1e6 else 5.0
-        self.record_store = Office(
+        self.record_store = RecordStore(
             node.settings.name, node.instance_id, lease_s + SETTLE_MARGIN_S, self.clock.now(),
-            lambda: node.lease.until, node.stats, lease=node.lease.lasts if node.lease.lasts < 1e6 else 0.0,
+            lambda: node.lease.until, node.stats, lease_s=node.lease.lasts if node.lease.lasts < 1e6 else 0.0,
         )  # fmt: skip
-        self.coordinator = Desk(self.record_store, self.server_known)
+        self.coordinator = RequestCoordinator(self.record_store, self.server_known)
         self.tracked: dict[str, TrackedRequest] = {}
         self.queued_messages: dict[str, list[Message]] = {}
-        self.fate_queries: dict[str, Callable[[State], None]] = {}
+        self.fate_queries: dict[str, Callable[[ExchangeState], None]] = {}
         self.operator_calls: dict[str, asyncio.Future[Told]] = {}
         self.actions: list[api.Action] = []
         self.ids = itertools.count(1)
@@ -131,7 +144,7 @@
             name: Peer(str(member.meta.get("zone")), str(member.meta.get("region")), member.life)
             for name, member in gateways.items()
         }
-        self.process_outputs(self.record_store.live(peers, now))
+        self.process_outputs(self.record_store.update_membership(peers, now))
 
     def hand_off(self, now: float) -> None:
         """Hand the records owned here to other gateways before shutdown."""
@@ -144,28 +157,30 @@
 
     # Messages between gateways.
 
-    def process_outputs(self, outputs: list[Out]) -> None:
+    def process_outputs(self, outputs: list[StoreOutput]) -> None:
         """Deliver outputs of the record store: to waiting operators, and to the coordinator."""
         for result in [
-            output for output in outputs if isinstance(output, Told) and output.ref in self.operator_calls
+            output
+            for output in outputs
+            if isinstance(output, Told) and output.reference in self.operator_calls
         ]:
             outputs.remove(result)
-            future = self.operator_calls.pop(result.ref)
+            future = self.operator_calls.pop(result.reference)
             if not future.done():
                 future.set_result(result)
-        self.coordinator.carry(outputs, self.clock.now())
-        self.run_steps(self.coordinator.given())
+        self.coordinator.process_outputs(outputs, self.clock.now())
+        self.run_steps(self.coordinator.take_directives())
 
-    def run_steps(self, steps: list[Step]) -> None:
+    def run_steps(self, steps: list[Directive]) -> None:
         """Send messages at once; queue all other steps behind the core's events."""
         for step in steps:
-            if isinstance(step, Letter):
-                self.send(step.to, step.message)
-        other_steps = [step for step in steps if not isinstance(step, Letter)]
+            if isinstance(step, OutgoingMessage):
+                self.send(step.target, step.message)
+        other_steps = [step for step in steps if not isinstance(step, OutgoingMessage)]
         if other_steps:
             self.enqueue(other_steps)
 
-    def enqueue(self, steps: Sequence[Step]) -> None:
+    def enqueue(self, steps: Sequence[Directive]) -> None:
         """Queue steps behind the core's events; the core returns them to ``handle``."""
         self.core.submit(CoordinatorSteps(steps), self.clock.now())  # type: ignore[arg-type]
 
@@ -173,7 +188,7 @@
         """Send a message to another gateway, or queue it until there is a connection."""
         usage_reports = self.node.usage_reports
         connection = usage_reports.connections.get(gateway)
-        envelope = {"k": "w", "f": self.record_store.me, "m": message}
+        envelope = {"k": "w", "f": self.record_store.name, "m": message}
         if connection is not None and not self.queued_messages.get(gateway):
             connection.send(envelope)
         elif gateway in usage_reports.gateways:
@@ -190,7 +205,7 @@
 
     def handle_message(self, message: Message) -> None:
         """A message from another gateway. Raises KeyError, TypeError or ValueError if it is malformed."""
-        self.process_outputs(self.record_store.heard(str(message["f"]), message["m"], self.clock.now()))
+        self.process_outputs(self.record_store.receive(str(message["f"]), message["m"], self.clock.now()))
 
     def tick(self, now: float) -> None:
         """Periodic work: timeouts of the coordinator, finished requests, and queued messages."""
@@ -209,7 +224,7 @@
     def untrack(self, request_id: str) -> None:
         """Stop managing a request."""
         self.tracked.pop(request_id, None)
-        self.coordinator.end(request_id)
+        self.coordinator.end_request(request_id)
 
     # Interface of the dispatcher.
 
@@ -247,48 +262,48 @@
         assert isinstance(request, Request)
         exchange_id = headers.get(settings.exchange, b"") or request.attempt_id
         strict = settings.refuse and not call.route.repeatable
-        terms = Terms(
+        terms = RequestPolicy(
             tuple(sorted(regions or ())), call.caller.exchange_s, settings.look, strict, bool(settings.ask)
         )
         self.tracked[call.request] = TrackedRequest(call, flow)
-        key = key_of(call.route.name, tenant.name if tenant is not None else "", call.caller.key)
-        steps = self.coordinator.arrive(call.request, key, exchange_id.decode("latin-1"), terms, now)
+        key = record_key(call.route.name, tenant.name if tenant is not None else "", call.caller.key)
+        steps = self.coordinator.start_request(call.request, key, exchange_id.decode("latin-1"), terms, now)
         self.clock.schedule(now + settings.look, lambda when: self.lookup_overdue(call.request, when))
         self.apply_steps(steps, now)
 
     def lookup_overdue(self, request_id: str, now: float) -> None:
         """The lookup of the record has timed out, unless the request has ended."""
         if request_id in self.tracked:
-            self.run_steps(self.coordinator.late(request_id, now))
+            self.run_steps(self.coordinator.lookup_expired(request_id, now))
 
-    def apply_steps(self, steps: Sequence[Step], now: float) -> None:
+    def apply_steps(self, steps: Sequence[Directive], now: float) -> None:
         """Carry out steps of the coordinator; those for finished requests are skipped."""
         for step in steps:
-            if isinstance(step, Letter):
-                self.send(step.to, step.message)
+            if isinstance(step, OutgoingMessage):
+                self.send(step.target, step.message)
                 continue
-            tracked = self.tracked.get(step.ref)
+            tracked = self.tracked.get(step.request_id)
             if tracked is None:
                 continue
             match step:
-                case Go(bill=record):
+                case Proceed(record=record):
                     self.dispatch(tracked, record, now)
-                case Later(pause=retry_after, why=reason):
+                case RetryLater(retry_after_s=retry_after, reason=reason):
                     self.refuse(tracked, retry_after, reason, now)
-                case Tell(state=state, exchange=exchange_id):
+                case ReportState(state=state, exchange_id=exchange_id):
                     self.report_state(tracked, state, exchange_id)
-                case Ask(life=instance_id, attempt=attempt_id):
+                case QueryServer(instance_id=instance_id, attempt_id=attempt_id):
                     self.query_server(tracked, instance_id, attempt_id, now)
-                case Pass(ok=opened, until=until):
+                case AttemptPermit(granted=opened, valid_until=until):
                     self.attempt_opened(tracked, opened, until, now)
 
-    def dispatch(self, tracked: TrackedRequest, record: Bill | None, now: float) -> None:
+    def dispatch(self, tracked: TrackedRequest, record: SessionRecord | None, now: float) -> None:
         """Pass the call to the dispatcher, bound to the server in its record, if any."""
         call, berths = tracked.call, self.dispatcher.affinity
         if tracked.flow.closed:
             return
-        if record is not None and record.life and berths is not None and call.caller is not None:
-            berths.pins[call.service, call.caller.key] = record.life, now + call.caller.exchange_s
+        if record is not None and record.instance_id and berths is not None and call.caller is not None:
+            berths.pins[call.service, call.caller.key] = record.instance_id, now + call.caller.exchange_s
         tracked.dispatched = True
         self.actions += self.dispatcher.handle(replace(call, left=max(tracked.flow.deadline - now, 0.0)), now)
 
@@ -298,7 +313,7 @@
         self.dispatcher.refusals.append((now, reason, route.name if route else "", tracked.call.customer))
         self.actions.append(NoCapacity(tracked.call.request, retry_after))
 
-    def report_state(self, tracked: TrackedRequest, state: State, exchange_id: str) -> None:
+    def report_state(self, tracked: TrackedRequest, state: ExchangeState, exchange_id: str) -> None:
         """Answer 409 with the state of an exchange; this attempt was not executed."""
         flow = self.core.finish(tracked.call.request, "flows.refused")
         if flow is not None:
@@ -315,17 +330,17 @@
         """Record the outcome of an attempt or of a fate query."""
         on_state = self.fate_queries.get(outcome.request)
         if on_state is not None:
-            on_state(State.UNKNOWN)  # no effect if the query has been answered
+            on_state(ExchangeState.UNKNOWN)  # no effect if the query has been answered
             return
         tracked = self.tracked[outcome.request]
         code = outcome.code
-        fate = Fate.ANSWERED if code in (Code.OK, Code.ERROR) else Fate.MAY_RUN
+        fate = ExchangeOutcome.ANSWERED if code in (Code.OK, Code.ERROR) else ExchangeOutcome.MAY_RUN
         if code in NOT_EXECUTED or not tracked.sent:
-            fate = Fate.NOT_RUN
+            fate = ExchangeOutcome.NOT_RUN
         tracked.pending_forward, tracked.sent = None, False
-        for step in self.coordinator.outcome(outcome.request, fate, now):
-            if isinstance(step, Letter):
-                self.send(step.to, step.message)
+        for step in self.coordinator.end_attempt(outcome.request, fate, now):
+            if isinstance(step, OutgoingMessage):
+                self.send(step.target, step.message)
 
     # Interface of the ports.
 
@@ -341,7 +356,7 @@
         assert isinstance(request, Request)
         address, attempt_id = f"{upstream.host}:{upstream.port}", request.attempt_id.decode("latin-1")
         self.run_steps(
-            self.coordinator.attempt(
+            self.coordinator.begin_attempt(
                 request_id, upstream.service, upstream.ident, address, self.clock.now(), attempt_id
             )
         )
@@ -384,7 +399,7 @@
         assert settings is not None and isinstance(source, Request)
         request_id, query_attempt_id = (
             tracked.call.request,
-            b"ask-%d-%b" % (next(self.ids), self.record_store.site.encode()),
+            b"ask-%d-%b" % (next(self.ids), self.record_store.gateway_instance.encode()),
         )
         path = settings.ask + attempt_id
         host = tracked.call.route.host if isinstance(tracked.call.route, Route) else ""
@@ -411,15 +426,15 @@
         flow.lease, flow.in_flight = tracked.flow.lease, 1
         forward = Attempt(flow, instance_id, now, now + SERVER_QUERY_TIMEOUT_S)
 
-        def on_state(state: State) -> None:
+        def on_state(state: ExchangeState) -> None:
             if self.fate_queries.pop(query_id, None) is not None:
-                self.enqueue(self.coordinator.asked(request_id, state, self.clock.now()))
+                self.enqueue(self.coordinator.on_server_state(request_id, state, self.clock.now()))
 
         def overdue(when: float) -> None:
             if not forward.ended:
                 self.ports.drop(forward)
                 forward.ended = True
-                on_state(State.UNKNOWN)
+                on_state(ExchangeState.UNKNOWN)
 
         self.fate_queries[query_id] = on_state
         self.clock.schedule(now + SERVER_QUERY_TIMEOUT_S, overdue)
@@ -431,7 +446,8 @@
         """Number of records held as owner or replica, of callers served here, and of waiting items."""
         store = self.record_store
         return {
-            "records": len(store.bills), "hands": len(store.hands), "unconfirmed_fates": len(store.words),
+            "records": len(store.records), "hands": len(store.local_records),
+            "unconfirmed_fates": len(store.unconfirmed_outcomes),
             "requests": len(self.tracked), "letters_waiting": sum(map(len, self.queued_messages.values())),
         }  # fmt: skip
 
@@ -439,14 +455,14 @@
         """A caller's session record as held here, and its owner."""
         key, travels = self.record_key(route, tenant, caller)
         now, regions = self.clock.now(), self.home_regions(route, tenant)
-        owner, replica = self.record_store.eras[-1].pair(key, regions)
-        stores = {"record": self.record_store.bills, "hand": self.record_store.hands}
+        owner, replica = self.record_store.views[-1].placement(key, regions)
+        stores = {"record": self.record_store.records, "hand": self.record_store.local_records}
         records = {}
         for name, store in stores.items():
             entry = store.get(key)
-            if entry is not None and now < entry.until:
-                records[name] = record_fields(entry.bill) | {
-                    "left_s": round(entry.until - now, 3), "open_s": round(now - entry.since, 3),
+            if entry is not None and now < entry.expires_at:
+                records[name] = record_fields(entry.record) | {
+                    "left_s": round(entry.expires_at - now, 3), "open_s": round(now - entry.opened_at, 3),
                 }  # fmt: skip
         return {
             "key": key,
@@ -463,7 +479,7 @@
 
         table = self.node.downstream.table
         configured = table.routes.get(route) if table is not None else None
-        return key_of(route, tenant, caller_key(caller.encode())), travel_settings(configured) is not None
+        return record_key(route, tenant, caller_key(caller.encode())), travel_settings(configured) is not None
 
     def home_regions(self, route: str, tenant: str) -> tuple[str, ...]:
         """The regions to which requests of this route and tenant are limited; empty: no limit."""
@@ -499,26 +515,31 @@
             return 400, {"errorText": f"{server_id} gets no requests now: {reason}"}
         regions, settings = self.home_regions(route, tenant), configured.affinity.travels
         strict = settings is not None and settings.refuse and not configured.repeatable
-        lifetime_s = self.coordinator.lasts(configured.affinity.exchange, strict)
+        lifetime_s = self.coordinator.record_ttl_s(configured.affinity.exchange, strict)
         result = await self.run_for_operator(
-            lambda call_id, now: self.record_store.take(call_id, key, regions, lifetime_s, now)
+            lambda call_id, now: self.record_store.acquire(call_id, key, regions, lifetime_s, now)
         )
-        if result.word == "given" and result.bill is not None:
-            if result.bill.unsettled:
+        if result.status == "given" and result.record is not None:
+            if result.record.unsettled:
                 return 409, {"errorText": "an exchange is open, or its fate is unknown"}
             record, target = (
-                result.bill,
-                Target(upstream.service, server_id, f"{upstream.host}:{upstream.port}"),
+                result.record,
+                AttemptTarget(upstream.service, server_id, f"{upstream.host}:{upstream.port}"),
             )
             result = await self.run_for_operator(
-                lambda call_id, now: self.record_store.open(call_id, record, target, now)[1]
+                lambda call_id, now: self.record_store.open_exchange(call_id, record, target, now)[1]
             )
-            if result.word == "kept" and result.bill is not None:
-                log("caller-moved", route=route, to=server_id, number="/".join(map(str, result.bill.number)))
-                return 200, {"moved": record_fields(result.bill)}
-        return 503, {"errorText": f"the record is unavailable now: {result.word}"}
-
-    async def run_for_operator(self, action: Callable[[str, float], list[Out]]) -> Told:
+            if result.status == "kept" and result.record is not None:
+                log(
+                    "caller-moved",
+                    route=route,
+                    to=server_id,
+                    number="/".join(map(str, result.record.version)),
+                )
+                return 200, {"moved": record_fields(result.record)}
+        return 503, {"errorText": f"the record is unavailable now: {result.status}"}
+
+    async def run_for_operator(self, action: Callable[[str, float], list[StoreOutput]]) -> Told:
         """Run an action on the record store and wait for its result."""
         call_id = f"person {next(self.ids)}"
         future = self.operator_calls[call_id] = asyncio.get_running_loop().create_future()
@@ -533,12 +554,13 @@
             self.operator_calls.pop(call_id, None)
 
 
-def record_fields(record: Bill) -> dict[str, Any]:
+def record_fields(record: SessionRecord) -> dict[str, Any]:
     """A session record as shown to operators."""
     return {
-        "number": list(record.number), "site": record.site, "service": record.service, "life": record.life,
-        "address": record.place, "exchange": record.exchange, "attempt": record.attempt,
-        "fate": record.fate.name.lower().replace("_", "-"), "opener": record.opener,
+        "number": list(record.version), "site": record.gateway_instance, "service": record.service,
+        "life": record.instance_id,
+        "address": record.address, "exchange": record.exchange_id, "attempt": record.attempt_id,
+        "fate": record.outcome.name.lower().replace("_", "-"), "opener": record.opened_by,
     }  # fmt: skip
 
 
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -13,8 +13,8 @@
 
 from barleyhub.line.balancer import Balancer, Upstream
 from barleyhub.line.dispatch import Dispatcher
-from latchspoke.outliers.show import evidence
-from latchspoke.reach.graph import standing
+from latchspoke.outliers.formatting import evidence_view
+from latchspoke.reach.recorder import reason_codes
 from latchspoke.transport.metrics import MetricFamily, render
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 
 def avoidance_reasons(balancer: Balancer, upstream: Upstream, now: float) -> list[str]:
     """Reason codes for which a server gets no requests or fewer, most severe first."""
-    return list(standing(balancer, upstream, now))
+    return list(reason_codes(balancer, upstream, now))
 
 
 def server_view(balancer: Balancer, upstream: Upstream, now: float) -> dict[str, Any]:
@@ -61,10 +61,10 @@
     }
 
 
-def evidence_view(node: Node, now: float) -> dict[str, dict[str, Any]]:
+def evidence_by_server(node: Node, now: float) -> dict[str, dict[str, Any]]:
     """By server: evidence from other gateways, and the failure share that it leads to here (0: none)."""
     return {
-        instance_id: evidence(node.examiner.evidence(instance_id, now))
+        instance_id: evidence_view(node.examiner.evidence(instance_id, now))
         | {"share": round(node.balancer.outlier_shares.get(instance_id, 0.0), 3)}
         for instance_id in sorted(node.examiner.received)
     }
@@ -143,7 +143,7 @@
         "servers": [
             server_view(node.balancer, upstream, now) for upstream in node.balancer.upstreams.values()
         ],
-        "evidence": evidence_view(node, now),
+        "evidence": evidence_by_server(node, now),
         "usual_s": {
             route: round(seconds, 4) for route, seconds in sorted(node.balancer.route_latency.items())
         },
@@ -233,7 +233,7 @@
         return 503, {"errorText": "there is no configuration yet"}
     now = node.clock.now()
     result = explain(node.downstream.table, request, now, node.balancer, node.dispatcher)
-    evidence = evidence_view(node, now)
+    evidence = evidence_by_server(node, now)
     for entry in (item for servers in result.get("servers", {}).values() for item in servers):
         if entry["id"] in evidence:
             entry["evidence"] = evidence[entry["id"]]
