--- a/latchspoke/controlplane/calls.py
+++ b/latchspoke/controlplane/calls.py
@@ -11,7 +11,7 @@
 
 from latchspoke.configuration.check import base_number, check, number
 from latchspoke.configuration.patch import apply_patch
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 
 ADDRESSES_MOST = 64
 LEAST = 2  # gateways that a client is told of, if there are as many in its region
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -31,8 +31,8 @@
 from latchspoke.controlplane.peers import Peers
 from latchspoke.controlplane.relays import Relays
 from latchspoke.distribution.board import Orders, Reader, unpack_entries
-from latchspoke.membership.post import PACKS
-from latchspoke.membership.watch import News
+from latchspoke.membership.protocol import MembershipEvent
+from latchspoke.membership.transport import COMPRESSION_META_KEY
 from latchspoke.node_process import CORE_PORT, NodeProcess
 from latchspoke.outliers.ledger import Ledger
 from latchspoke.registry.registry import BeatError, Entry, State, read_beat
@@ -100,7 +100,7 @@
             "region": s.region,
             "link": self.link,
             "ready": True,
-            PACKS: True,
+            COMPRESSION_META_KEY: True,
         }
         self.post = self.member(meta)
         self.to_gateways = ServerNews(self.clock, self.board.servers)
@@ -432,7 +432,7 @@
     def cast(self, entry: Entry, now: float) -> None:
         """Straight to all gateways: some follow one who is cut off, dark, or not reached from here."""
         edges = [m for m in self.post.membership.alive.values() if m.meta.get("role") == "edge"]
-        self.post.cast({"e": [entry.wire(now)]}, [m.address for m in edges])
+        self.post.multicast({"e": [entry.wire(now)]}, [m.address for m in edges])
 
     async def held(self, entry: Entry) -> Answer:
         """A server's word that it leaves: acknowledged once a majority of the core would tell it too."""
@@ -551,7 +551,7 @@
 
     # Who there is.
 
-    def news(self, news: News) -> None:
+    def news(self, news: MembershipEvent) -> None:
         """A change of the membership."""
         if news.kind != "changed":
             log("membership", what=news.kind, who=news.member.name)
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -93,7 +93,7 @@
         "register": node.replica.status(),
         "peers_connected": node.peers.connected,
         "members": members(node),
-        "gone": sorted(node.post.membership.gone),
+        "gone": sorted(node.post.membership.removed),
         "servers": [server(e, settings.zones, now) for e in node.registry.entries.values()],
         "evidence": {
             ident: evidence(node.ledger.evidence(ident, now))
--- a/latchspoke/dataplane/feed.py
+++ b/latchspoke/dataplane/feed.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from latchspoke.distribution.board import Board, Follower, GapError, Lease
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from latchspoke.net.clock import Clock
 from latchspoke.registry.registry import BeatError, Entry
 from latchspoke.transport.log import log
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -20,8 +20,8 @@
 from latchspoke.dataplane.relay import Relay
 from latchspoke.dataplane.upstream import UpstreamPools
 from latchspoke.distribution.board import Follower, Lease
-from latchspoke.membership.post import PACKS
-from latchspoke.membership.watch import News
+from latchspoke.membership.protocol import MembershipEvent
+from latchspoke.membership.transport import COMPRESSION_META_KEY
 from latchspoke.net.clock import Clock, Timer
 from latchspoke.net.http import GRACE, Dialer, Shared, Sockets, pending
 from latchspoke.net.stats import Stats
@@ -139,7 +139,7 @@
         if not s.first:
             self.dispatcher.burst_unknown_until = self.old_at
         self.post = self.member(self.meta(False))
-        self.post.overheard = self.overheard
+        self.post.on_multicast = self.overheard
         self.ready = False
         self.told_at, self.told = self.clock.now(), dict[str, int]()
         self.stopping_at = 0.0
@@ -152,7 +152,7 @@
         front = s.listen.get("frontPlain", ("", 0))
         return {
             "role": "edge", "zone": s.zone, "region": s.region, "front": f"{front[0]}:{front[1]}",
-            "link": self.link, "ready": ready, PACKS: True,
+            "link": self.link, "ready": ready, COMPRESSION_META_KEY: True,
             "door": s.listen.get("readiness", ("", 0))[1], "old": self.old,
         } | ({"leaves": True} if self.downstream.stopping else {}) | (
             {} if self.old or self.late is None else {"late": self.late}
@@ -301,7 +301,7 @@
         else:
             wire.send({"k": "proven", "t": tag})
 
-    def news(self, news: News) -> None:
+    def news(self, news: MembershipEvent) -> None:
         if news.kind in ("joined", "gone", "changed"):
             self.live_soon()
             self.settle()
@@ -350,7 +350,7 @@
             if self.late is None:
                 self.late = self.elders()
                 self.live()
-            self.post.tell(self.meta(ready))
+            self.post.update_meta(self.meta(ready))
             log("ready" if ready else "not-ready", version=self.board.orders.version)
         if able and self.downstream.held:
             self.downstream.resume()
@@ -419,7 +419,7 @@
         self.settle()
         if not self.old and now >= self.old_at:
             self.old = True
-            self.post.tell(self.meta(self.ready))
+            self.post.update_meta(self.meta(self.ready))
             self.live()
         elif self.late and self.counts.host.just_started and now >= self.old_at + HOSTS_ANEW:
             self.live()
@@ -454,7 +454,7 @@
         self.stopping_at = self.clock.now()
         self.downstream.stopping = True
         self.settle()
-        self.post.tell(self.meta(False))
+        self.post.update_meta(self.meta(False))
         self.live()  # what is hosted here is handed on while there is time
         log("stops")
         self.downstream.close_idle()
--- a/latchspoke/dataplane/travel.py
+++ b/latchspoke/dataplane/travel.py
@@ -23,7 +23,7 @@
 from latchspoke.core import Epoch, Flow, Forward, Timer
 from latchspoke.dataplane.exchange import ClientExchange
 from latchspoke.dataplane.upstream import Answer, Request
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from latchspoke.session_records.bill import Bill, Fate, Peer, key_of
 from latchspoke.session_records.desk import Ask, Desk, Go, Later, Pass, Step, Tell, Terms
 from latchspoke.session_records.office import Answer as Told
@@ -123,7 +123,7 @@
     def live(self, edges: Mapping[str, Member], now: float) -> None:
         """The live gateways have changed."""
         peers = {
-            name: Peer(str(m.meta.get("zone")), str(m.meta.get("region")), m.life)
+            name: Peer(str(m.meta.get("zone")), str(m.meta.get("region")), m.instance_id)
             for name, m in edges.items()
         }
         self.out(self.office.live(peers, now))
--- a/latchspoke/membership/__init__.py
+++ b/latchspoke/membership/__init__.py
@@ -1,1 +1,1 @@
-"""How the system's processes know each other: probes in turn, second opinions, suspicion before removal."""
+"""Cluster membership and failure detection by gossip: probes, indirect probes, suspicion before removal."""
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -16,10 +16,10 @@
 from latchspoke.configuration.patch import diff
 from latchspoke.distribution.board import Board
 from latchspoke.distribution.teller import Teller
-from latchspoke.membership.post import Post
-from latchspoke.membership.timing import Timing
-from latchspoke.membership.watch import Membership, News
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
+from latchspoke.membership.parameters import ProtocolParameters
+from latchspoke.membership.protocol import Membership, MembershipEvent
+from latchspoke.membership.transport import MembershipTransport
 from latchspoke.net.clock import Clock
 from latchspoke.net.signals import ENDING, ignore_from_now_on
 from latchspoke.pool.versions import PoolVersions
@@ -38,7 +38,7 @@
     """One process: what it is told by its settings and by the membership, and those who follow its board."""
 
     PORT: int  # its place among the inner ports
-    post: Post  # ``fit`` makes it, with the program's own meta
+    post: MembershipTransport  # ``fit`` makes it, with the program's own meta
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         """Who follows asks whether what it knows is the newest."""
         raise NotImplementedError
 
-    def news(self, news: News) -> None:
+    def news(self, news: MembershipEvent) -> None:
         """Of the membership."""
         raise NotImplementedError
 
@@ -91,19 +91,21 @@
 
     # What they share.
 
-    def member(self, meta: dict[str, Any]) -> Post:
+    def member(self, meta: dict[str, Any]) -> MembershipTransport:
         """The membership, with this process as its member."""
         s = self.settings
         me = Member(s.name, *self.inner, meta, 0, self.life)
-        return Post(
-            Membership(me, self.seeds(), Timing(), self.draw, self.clock.now()), self.news, self.clock.now
+        return MembershipTransport(
+            Membership(me, self.seeds(), ProtocolParameters(), self.draw, self.clock.now()),
+            self.news,
+            self.clock.now,
         )
 
     def seeds(self) -> list[tuple[str, int]]:
         """Where the control machines of the settings file take the membership's messages."""
         return [(host, self.settings.ports[0] + CORE_PORT) for host, _ in self.settings.seeds]
 
-    async def listen(self, post: Post) -> None:
+    async def listen(self, post: MembershipTransport) -> None:
         """The inner port, both for the membership and for connections. Raises OSError."""
         await post.start(*self.inner)
         create = self.loop.create_server
@@ -139,7 +141,7 @@
     def taken(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, perhaps."""
         self.settings = settings
-        self.post.reseed(self.seeds())
+        self.post.set_seeds(self.seeds())
 
 
 async def run(kind: type[NodeProcess], settings: Settings, path: str, seen: Stamp | None) -> None:
--- a/tests/controlplane/test_fanout.py
+++ b/tests/controlplane/test_fanout.py
@@ -13,7 +13,7 @@
 from latchspoke.controlplane.peers import Link, Peers
 from latchspoke.controlplane.relays import Relays
 from latchspoke.distribution.board import unpack_entries
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from tests.controlplane.test_node import Box, box  # noqa: F401
 
 NAMES = [f"{region}{number}" for region in "abc" for number in range(4)]
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -17,7 +17,7 @@
 from latchspoke.controlplane.calls import locate, read_call
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import VirtualClock
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from latchspoke.transport.door import PRESENT
 from tests.configuration.drawn import page
 from tests.settings.test_node import settings
@@ -259,7 +259,7 @@
 ) -> None:
     """FAILBACK, DRAIN: one may follow a control machine that was cut off or lost power a moment ago."""
     told: list[Any] = []
-    monkeypatch.setattr(box.node.post, "cast", lambda message, to: told.append((message["e"], list(to))))
+    monkeypatch.setattr(box.node.post, "multicast", lambda message, to: told.append((message["e"], list(to))))
     meta = {"role": "edge", "zone": "waw-a", "link": "10.1.0.21:7600", "ready": True}
     alive = box.node.post.membership.alive
     alive["g"] = Member("g", "10.1.0.21", 7600, meta, 0, "life")
--- a/tests/ctl/world.py
+++ b/tests/ctl/world.py
@@ -10,7 +10,7 @@
 from latchspoke.controlplane import node as controlplane
 from latchspoke.dataplane.node import Node
 from latchspoke.distribution.board import Orders, Reader
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from latchspoke.registry.registry import read_beat
 from latchspoke.settings import Settings, parse
 
--- a/tests/dataplane/player.py
+++ b/tests/dataplane/player.py
@@ -34,7 +34,7 @@
 
 from latchspoke.dataplane import node
 from latchspoke.dataplane.downstream import ClientConnection
-from latchspoke.membership.watch import Member, News
+from latchspoke.membership.protocol import Member, MembershipEvent
 from latchspoke.net import http
 from latchspoke.settings import parse
 from latchspoke.transport.netstring import frame
@@ -168,7 +168,7 @@
             alive[CORE.name] = CORE
         else:
             del alive[CORE.name]
-        self.node.news(News("joined" if met else "gone", CORE))
+        self.node.news(MembershipEvent("joined" if met else "gone", CORE))
 
     def server(self, name: str, *fields: str) -> None:
         told = dict(field.split("=") for field in fields)
--- a/tests/dataplane/test_travel.py
+++ b/tests/dataplane/test_travel.py
@@ -10,7 +10,7 @@
 import pytest
 
 from latchspoke.dataplane.travel import Travel
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from tests.dataplane import player
 from tests.dataplane.player import Player
 
