--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -88,9 +88,9 @@
         self.relays = Relays(self.me, self.draw)
         regions = Regions(self.me, s.region, self.draw)
         self.peers = Peers(self.me, self.peer_joined, self.peer_answers, self.relays, regions, self.clock.now)
-        assert s.data is not None
+        assert s.data_directory is not None
         self.replica = Replica(
-            self.me, founders, s.first, Path(s.data), self.to_register, apply_patch,  # type: ignore[arg-type]
+            self.me, founders, s.initial_start, Path(s.data_directory), self.to_register, apply_patch,  # type: ignore[arg-type]
             self.applied, self.clock.now, lambda event, fields: log(event, **fields),
             catch_up=s.bound("catchUpS", CATCH_UP),
         )  # fmt: skip
@@ -421,12 +421,12 @@
     def near_target(self, entry: Entry) -> dict[str, str]:
         """What the answer to a server's heartbeat says of where its later ones are to go."""
         membership, settings = self.post.membership, self.settings
-        region = settings.zones.get(entry.zone, "")
+        region = settings.regions_by_zone.get(entry.zone, "")
         members = list(membership.alive.values())
         host = heartbeat_target(members, membership.suspects, region, settings.region, self.draw)
         if not host:
             return {}
-        port = settings.listen["controlPlane"][1]  # alike on all machines
+        port = settings.listen_addresses["controlPlane"][1]  # alike on all machines
         return {"heartbeatTarget": f"{host}:{port}"}
 
     def cast(self, entry: Entry, now: float) -> None:
@@ -530,7 +530,7 @@
         must not carry out later what has been taken back meanwhile.
         """
         zone, begins = asked.of, asked.name.endswith("begin")
-        if zone not in self.settings.zones:
+        if zone not in self.settings.regions_by_zone:
             return 400, {"errorText": f"zone {zone[:60]!r} is not known"}
         if await self.replica.confirm(LIMIT) is None:
             return 503, {"errorText": "no majority can be reached"}
@@ -578,13 +578,15 @@
         self.replica.start()  # before anybody can ask
         await self.listen(self.post)
         for name in ("controlPlane", "directoryService"):
-            if name in s.listen:
-                self.servers.append(await create(lambda: Door(self.control), *s.listen[name], backlog=512))
+            if name in s.listen_addresses:
+                self.servers.append(
+                    await create(lambda: Door(self.control), *s.listen_addresses[name], backlog=512)
+                )
         self.core_changed()
         now = self.clock.now()
         self.clock.schedule(now + SWEEP, self.sweep)
         self.clock.schedule(now + GOSSIP, self.regossip)
-        self.serves(control=str(s.listen.get("controlPlane")))
+        self.serves(control=str(s.listen_addresses.get("controlPlane")))
 
     def sweep(self, now: float) -> None:
         """Periodic: judge silent servers, drop old evidence, look at the settings file."""
@@ -597,7 +599,7 @@
         if self.replica.proven and self.board.orders.index < self.replica.orders.index:
             self.tell_orders()
         self.core_changed()
-        self.watch.look(now)
+        self.watch.poll(now)
 
     def regossip(self, now: float) -> None:
         """Periodic: ``gossip``."""
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -94,7 +94,7 @@
         "peers_connected": node.peers.connected,
         "members": members(node),
         "gone": sorted(node.post.membership.removed),
-        "servers": [server(e, settings.zones, now) for e in node.registry.entries.values()],
+        "servers": [server(e, settings.regions_by_zone, now) for e in node.registry.entries.values()],
         "evidence": {
             ident: evidence(node.ledger.evidence(ident, now))
             for ident in sorted({*node.ledger.first, *node.ledger.second})
--- a/latchspoke/ctl/app.py
+++ b/latchspoke/ctl/app.py
@@ -154,8 +154,8 @@
 def check_settings(file: Path, *, said: Said = SAID) -> int:
     """The settings file of a process."""
     found = got(reviews.settings(file_of(file), str(file)))
-    told = {"file": str(file), "name": found.name, "serves": list(found.serves), "zone": found.zone}
-    return show(said, f"{file}: {found.name} serves {', '.join(found.serves)} in {found.zone}", told)
+    told = {"file": str(file), "name": found.name, "serves": list(found.served_roles), "zone": found.zone}
+    return show(said, f"{file}: {found.name} serves {', '.join(found.served_roles)} in {found.zone}", told)
 
 
 @check_app.command(name="configuration")
--- a/latchspoke/ctl/reviews.py
+++ b/latchspoke/ctl/reviews.py
@@ -20,7 +20,7 @@
 from latchspoke.configuration.review import review
 from latchspoke.ctl.masks import MASK
 from latchspoke.settings import Settings, SettingsError
-from latchspoke.settings.node import _Fields
+from latchspoke.settings.node import _FieldReader
 
 Faults = list[Fault]
 T = TypeVar("T")
@@ -90,13 +90,13 @@
 # The settings of a process.
 
 
-class Gathering(_Fields):
+class Gathering(_FieldReader):
     """Reads like the programs do, but goes on after a fault with a value that fits."""
 
     def __init__(
-        self, fields: dict[object, object], path: str, at: str = "", faults: Faults | None = None
+        self, fields: dict[object, object], path: str, prefix: str = "", faults: Faults | None = None
     ) -> None:
-        super().__init__(fields, path, at)
+        super().__init__(fields, path, prefix)
         self.faults: Faults = [] if faults is None else faults
 
     def gather(self, field: str, call: Callable[[], T], instead: T) -> T:
@@ -104,23 +104,23 @@
             return call()
         except SettingsError as e:
             place, _, reason = str(e).removeprefix(f"{self.path}: ").partition(": ")
-            self.faults.append(Fault(place, reason) if reason else Fault(f"{self.at}{field}", place))
+            self.faults.append(Fault(place, reason) if reason else Fault(f"{self.prefix}{field}", place))
             return instead
 
-    def part(self, field: str) -> _Fields:
-        return Gathering(self.mapping(field), self.path, f"{self.at}{field}.", self.faults)
+    def section(self, field: str) -> _FieldReader:
+        return Gathering(self.mapping(field), self.path, f"{self.prefix}{field}.", self.faults)
 
     def mapping(self, field: str) -> dict[object, object]:
         return self.gather(field, lambda: super(Gathering, self).mapping(field), {})
 
-    def text(self, field: str, default: str | None = None) -> str:
-        return self.gather(field, lambda: super(Gathering, self).text(field, default), "?")
+    def string(self, field: str, default: str | None = None) -> str:
+        return self.gather(field, lambda: super(Gathering, self).string(field, default), "?")
 
-    def texts(self, field: str) -> tuple[str, ...]:
-        return self.gather(field, lambda: super(Gathering, self).texts(field), ())
+    def string_list(self, field: str) -> tuple[str, ...]:
+        return self.gather(field, lambda: super(Gathering, self).string_list(field), ())
 
-    def names(self, field: str) -> dict[str, str]:
-        return self.gather(field, lambda: super(Gathering, self).names(field), {})
+    def string_mapping(self, field: str) -> dict[str, str]:
+        return self.gather(field, lambda: super(Gathering, self).string_mapping(field), {})
 
     def flag(self, field: str) -> bool:
         return self.gather(field, lambda: super(Gathering, self).flag(field), False)
@@ -131,11 +131,11 @@
     def listeners(self) -> dict[str, tuple[str, int]]:
         return self.gather("listenAddresses", super().listeners, {})
 
-    def address(self, field: str, text: object) -> tuple[str, int]:
-        return self.gather(field, lambda: super(Gathering, self).address(field, text), ("0.0.0.0", 1))
+    def address(self, field: str, address: object) -> tuple[str, int]:
+        return self.gather(field, lambda: super(Gathering, self).address(field, address), ("0.0.0.0", 1))
 
-    def ports(self) -> tuple[int, int]:
-        return self.gather("internalPortRange", super().ports, (1, 2))
+    def port_range(self) -> tuple[int, int]:
+        return self.gather("internalPortRange", super().port_range, (1, 2))
 
     def bounds(self) -> dict[str, float | bool]:
         found = self.fields.get("bounds")
@@ -145,7 +145,7 @@
         result: dict[str, float | bool] = {}
         none: dict[str, float | bool] = {}
         for text in texts:
-            one = _Fields({"bounds": [text]}, self.path)
+            one = _FieldReader({"bounds": [text]}, self.path)
             result |= self.gather("bounds", one.bounds, none)
         return result
 
@@ -163,15 +163,18 @@
     gathering = Gathering(fields, path)
     found, faults = gathering.settings(), gathering.faults
     told = {fault.path for fault in faults}
-    for role in found.serves:
+    for role in found.served_roles:
         for name in WHO.get(role, ()):
-            if name not in found.listen and not {"listenAddresses", f"listenAddresses.{name}"} & told:
+            if (
+                name not in found.listen_addresses
+                and not {"listenAddresses", f"listenAddresses.{name}"} & told
+            ):
                 faults.append(Fault(f"listenAddresses.{name}", f"is missing, and {role} is served"))
-    if CONTROL in found.serves and found.data is None and "dataDirectory" not in told:
+    if CONTROL in found.served_roles and found.data_directory is None and "dataDirectory" not in told:
         faults.append(Fault("dataDirectory", "is missing, and the operator's word must be kept"))
-    if found.zones and found.zone not in found.zones and "zone" not in told:
+    if found.regions_by_zone and found.zone not in found.regions_by_zone and "zone" not in told:
         faults.append(Fault("zone", f"{found.zone!r} is not among the zones"))
-    if found.ports[1] <= found.ports[0] and "internalPortRange" not in told:
+    if found.port_range[1] <= found.port_range[0] and "internalPortRange" not in told:
         faults.append(Fault("internalPortRange", "two ports at least: one for each program"))
     if not found.seeds and "seedNodes" not in told:
         faults.append(Fault("seedNodes", "names nobody, so that nobody can be found"))
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -92,10 +92,16 @@
 
     def fit(self) -> None:
         s, self.stats = self.settings, Stats()
-        self.shared = Shared(self.clock, self.stats, Sockets(s.descriptors - 200), Dialer(self.loop))
+        self.shared = Shared(self.clock, self.stats, Sockets(s.file_descriptors - 200), Dialer(self.loop))
         bound = s.bound
         self.stock = Balancer(
-            s.name, s.zone, s.region, self.draw, s.beat, bound("coldExcess", 1.0), bound("coldSlack", 0.0)
+            s.name,
+            s.zone,
+            s.region,
+            self.draw,
+            s.heartbeat_interval_s,
+            bound("coldExcess", 1.0),
+            bound("coldSlack", 0.0),
         )
         self.dispatcher = Dispatcher(
             self.stock, self.draw, bound("retryRatio", 0.1), bound("retrySlack", 10.0), self.stats
@@ -132,11 +138,11 @@
         self.travel: Travel | None = None
         if closed:  # what was dealt to one that is cut off is its own until its lease ends
             self.dispatcher.hold_s = max(self.lease.lasts - GONE_AFTER, 0.0)
-        self.begun_at, self.old = self.clock.now(), s.first
+        self.begun_at, self.old = self.clock.now(), s.initial_start
         # Whether it came beside others that had begun long before; told once it is ready for the first time.
-        self.late: bool | None = False if s.first else None
+        self.late: bool | None = False if s.initial_start else None
         self.old_at = self.begun_at + bound("quotaWindowS", YOUNG)
-        if not s.first:
+        if not s.initial_start:
             self.dispatcher.burst_unknown_until = self.old_at
         self.post = self.member(self.meta(False))
         self.post.on_multicast = self.overheard
@@ -149,11 +155,11 @@
 
     def meta(self, ready: bool) -> dict[str, Any]:
         s = self.settings
-        front = s.listen.get("frontPlain", ("", 0))
+        front = s.listen_addresses.get("frontPlain", ("", 0))
         return {
             "role": "edge", "zone": s.zone, "region": s.region, "front": f"{front[0]}:{front[1]}",
             "link": self.link, "ready": ready, COMPRESSION_META_KEY: True,
-            "door": s.listen.get("readiness", ("", 0))[1], "old": self.old,
+            "door": s.listen_addresses.get("readiness", ("", 0))[1], "old": self.old,
         } | ({"leaves": True} if self.downstream.stopping else {}) | (
             {} if self.old or self.late is None else {"late": self.late}
         )  # fmt: skip
@@ -245,7 +251,7 @@
 
     def take_server(self, entry: Entry, now: float) -> None:
         host, _, port = entry.address.rpartition(":")
-        region = self.settings.zones.get(entry.zone, entry.zone)
+        region = self.settings.regions_by_zone.get(entry.zone, entry.zone)
         self.stock.put(
             Upstream(
                 entry.ident, entry.service, host, int(port or 0), entry.zone, region, entry.slots,
@@ -390,7 +396,7 @@
 
     async def start(self) -> None:
         s = self.settings
-        front, ready = s.listen["frontPlain"], s.listen.get("readiness")
+        front, ready = s.listen_addresses["frontPlain"], s.listen_addresses.get("readiness")
         create = self.loop.create_server
         await self.listen(self.post)
         if ready is not None:
@@ -415,7 +421,7 @@
         self.dispatcher.failure_reporter.expire(now, self.examiner.expire(now))
         self.examine(now)
         self.graph.look(self.stock, now)
-        self.watch.look(now)
+        self.watch.poll(now)
         self.settle()
         if not self.old and now >= self.old_at:
             self.old = True
--- a/latchspoke/lab/system/machines.py
+++ b/latchspoke/lab/system/machines.py
@@ -24,7 +24,7 @@
 from latchspoke.lab.virtual import Address
 from latchspoke.lab.virtual_run import VirtualClock
 from latchspoke.net.stats import Stats
-from latchspoke.settings import load
+from latchspoke.settings import load_settings
 from latchspoke.transport import log as transport_log
 
 INNER = 7600
@@ -268,7 +268,7 @@
         with self.running(loop):
             try:
                 replica_draw.source = draw
-                settings = load(machine.path)
+                settings = load_settings(machine.path)
                 clock = VirtualClock(loop, machine.skew)
                 machine.node = program(settings, loop, str(machine.path), clock, draw)
             except Exception as e:
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -24,8 +24,8 @@
 from latchspoke.net.signals import ENDING, ignore_from_now_on
 from latchspoke.pool.versions import PoolVersions
 from latchspoke.registry.registry import BeatError, Registry
-from latchspoke.settings import VARIABLE, Settings, SettingsError, load
-from latchspoke.settings.watch import Stamp, Watch, stamp_of
+from latchspoke.settings import SETTINGS_FILE_VARIABLE, Settings, SettingsError, load_settings
+from latchspoke.settings.watcher import FileStamp, SettingsWatcher, file_stamp
 from latchspoke.transport.log import log, open_log
 from latchspoke.transport.wire import Message, Wire
 
@@ -50,12 +50,12 @@
     ) -> None:
         """``clock`` and ``draw`` are given where time is virtual."""
         s = self.settings = settings
-        self.loop, self.watch = loop, Watch(path, self.taken)
+        self.loop, self.watch = loop, SettingsWatcher(path, self.taken)
         self.clock, self.draw = clock or Clock(loop), draw or random.Random()
         self.life = f"{self.draw.getrandbits(32):08x}"
-        self.inner = s.ip, s.ports[0] + self.PORT
-        self.link = f"{s.ip}:{s.ports[0] + self.PORT}"
-        self.registry = Registry(s.beat)
+        self.inner = s.ip_address, s.port_range[0] + self.PORT
+        self.link = f"{s.ip_address}:{s.port_range[0] + self.PORT}"
+        self.registry = Registry(s.heartbeat_interval_s)
         self.board = Board(self.registry, difference=diff, versions=PoolVersions())  # type: ignore[arg-type]
         self.teller = Teller(self.board, self.clock, self.prove)
         self.servers: list[asyncio.Server] = []
@@ -103,7 +103,7 @@
 
     def seeds(self) -> list[tuple[str, int]]:
         """Where the control machines of the settings file take the membership's messages."""
-        return [(host, self.settings.ports[0] + CORE_PORT) for host, _ in self.settings.seeds]
+        return [(host, self.settings.port_range[0] + CORE_PORT) for host, _ in self.settings.seeds]
 
     async def listen(self, post: MembershipTransport) -> None:
         """The inner port, both for the membership and for connections. Raises OSError."""
@@ -136,7 +136,7 @@
 
     def reload(self) -> None:
         """SIGHUP. A file that can't be used changes nothing."""
-        self.watch.read()
+        self.watch.reload()
 
     def taken(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, perhaps."""
@@ -144,11 +144,11 @@
         self.post.set_seeds(self.seeds())
 
 
-async def run(kind: type[NodeProcess], settings: Settings, path: str, seen: Stamp | None) -> None:
+async def run(kind: type[NodeProcess], settings: Settings, path: str, seen: FileStamp | None) -> None:
     """From start to SIGTERM; ``seen``: the settings file as it was before it was read."""
     loop = asyncio.get_running_loop()
     node = kind(settings, loop, path)
-    node.watch.seen = seen
+    node.watch.loaded_stamp = seen
     asked_to_stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     for number in ENDING:
@@ -169,10 +169,10 @@
     """Exit codes: 0 ended in order, 1 for what is ``unusable``, 2 settings that can't be used."""
     import uvloop
 
-    path = path or os.environ.get(VARIABLE, "/etc/latchspoke/local.yaml")
-    seen = stamp_of(path)
+    path = path or os.environ.get(SETTINGS_FILE_VARIABLE, "/etc/latchspoke/local.yaml")
+    seen = file_stamp(path)
     try:
-        settings = load(path)
+        settings = load_settings(path)
     except SettingsError as e:
         print(f"{name}: {e}", file=sys.stderr)
         return 2
--- a/latchspoke/settings/__init__.py
+++ b/latchspoke/settings/__init__.py
@@ -1,9 +1,23 @@
-"""What the platform tells a process: the YAML file that ``LATCHSPOKE_NODE_FILE`` names.
+"""Settings that the platform provides in the YAML file named by ``LATCHSPOKE_NODE_FILE``.
 
-Plain exceptions here: this is on the path of every start, and importing ``returns`` takes 40 to 60 ms.
-PyYAML is imported when a file is read, not before.
+Errors are plain exceptions, and PyYAML is imported only when a file is read, because this package is imported
+at every start.
 """
 
-from latchspoke.settings.node import VARIABLE, Settings, SettingsError, Tolerance, load, parse
+from latchspoke.settings.node import (
+    SETTINGS_FILE_VARIABLE,
+    FaultTolerance,
+    Settings,
+    SettingsError,
+    load_settings,
+    parse_settings,
+)
 
-__all__ = ["VARIABLE", "Settings", "SettingsError", "Tolerance", "load", "parse"]
+__all__ = [
+    "SETTINGS_FILE_VARIABLE",
+    "FaultTolerance",
+    "Settings",
+    "SettingsError",
+    "load_settings",
+    "parse_settings",
+]
--- a/latchspoke/settings/node.py
+++ b/latchspoke/settings/node.py
@@ -1,4 +1,4 @@
-"""The settings of one process, typed. Fields that are not known are skipped, and most have a default."""
+"""Typed settings of one process. Unknown fields are ignored, and most fields have a default."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import msgspec
 
-VARIABLE = "LATCHSPOKE_NODE_FILE"
+SETTINGS_FILE_VARIABLE = "LATCHSPOKE_NODE_FILE"
 
 Address = tuple[str, int]
 
-# Figures that a rule rests on: one of these that can't be read is an error, any other is skipped.
+# An invalid value of one of these bounds is an error; other bounds without a valid value are ignored.
 KNOWN_BOUNDS = frozenset(
     {
         "seedLagS",
@@ -41,15 +41,15 @@
         "ttl_max_s",
     }
 )
-KNOWN_LISTENERS = frozenset({"frontPlain", "readiness", "controlPlane", "directoryService"})
+LISTENER_NAMES = frozenset({"frontPlain", "readiness", "controlPlane", "directoryService"})
 
 
 class SettingsError(Exception):
-    """One line that names the file and the field."""
+    """The settings can't be used; the message is one line that names the file and the field."""
 
 
-class Tolerance(msgspec.Struct, frozen=True):
-    """How many machines that count, or zones, or regions, may be lost at once."""
+class FaultTolerance(msgspec.Struct, frozen=True):
+    """How many machines (those with ``loss_counted``), zones or regions may be lost at once."""
 
     machines: int
     zones: int
@@ -57,210 +57,210 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """Times in seconds; ``ports`` and its ends belong to this machine's gateways."""
+    """Settings of one process; both ends of ``port_range`` are included."""
 
     name: str
     role: str
     machine_class: str
-    serves: tuple[str, ...]
-    ip: str
+    served_roles: tuple[str, ...]
+    ip_address: str
     zone: str
     region: str
-    zones: dict[str, str]  # zone -> region
-    listen: dict[str, Address]  # frontPlain, readiness, controlPlane, directoryService: those it serves
-    ports: tuple[int, int]
+    regions_by_zone: dict[str, str]
+    listen_addresses: dict[str, Address]  # by listener, one of LISTENER_NAMES
+    port_range: tuple[int, int]
     seeds: tuple[Address, ...]
-    first: bool  # the first start of the whole system, on empty disks
-    counted: bool  # a loss of this machine counts toward ``tolerate.machines``
-    cpu: float  # share of a core
-    cores: float  # how many times as fast
+    initial_start: bool  # first start of the whole system, with empty disks
+    loss_counted: bool  # a loss of this machine counts towards ``fault_tolerance.machines``
+    cpu_fraction: float  # share of one core
+    core_count: float  # relative speed of the core
     memory_mb: int
-    descriptors: int
+    file_descriptors: int
     link_mbps: float
     disk_mb: int
-    data: Path | None
-    beat: float
+    data_directory: Path | None
+    heartbeat_interval_s: float
     contracts: frozenset[str]
-    tolerate: Tolerance
+    fault_tolerance: FaultTolerance
     bounds: dict[str, float | bool]
 
     def bound(self, name: str, default: float) -> float:
-        """The figure of a bound; true counts as 1."""
+        """Value of a bound; true counts as 1."""
         return float(self.bounds.get(name, default))
 
 
-def load(path: str | Path) -> Settings:
-    """The settings in a file; SettingsError when it can't be read, as while it is being written."""
+def load_settings(path: str | Path) -> Settings:
+    """Reads a settings file. Raises SettingsError if the file is unreadable or invalid."""
     try:
-        text = Path(path).read_bytes()
+        content = Path(path).read_bytes()
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror or error}") from None
-    return parse(text, str(path))
+    return parse_settings(content, str(path))
 
 
-def parse(text: bytes | str, path: str) -> Settings:
-    """As ``load``, for the text of a file; ``path`` is for messages."""
+def parse_settings(content: bytes | str, path: str) -> Settings:
+    """Parses the content of a settings file; ``path`` is used in error messages. Raises SettingsError."""
     import yaml
 
     loader: Any = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
-        found = yaml.load(text, Loader=loader)
+        fields = yaml.load(content, Loader=loader)
     except (yaml.YAMLError, ValueError, RecursionError) as error:
         line = " ".join(str(error).split())
         raise SettingsError(f"{path}: not YAML: {line:.200}") from None
-    if not isinstance(found, dict):
-        raise SettingsError(f"{path}: holds no fields")
-    return _Fields(found, path).settings()
+    if not isinstance(fields, dict):
+        raise SettingsError(f"{path}: is not a mapping of fields")
+    return _FieldReader(fields, path).settings()
 
 
-class _Fields:
-    """Reads typed fields; ``at`` is where in the file this part stands."""
+class _FieldReader:
+    """Reads typed fields of a mapping; ``prefix`` is the path of that mapping within the file."""
 
-    def __init__(self, fields: dict[object, object], path: str, at: str = "") -> None:
-        self.fields, self.path, self.at = fields, path, at
+    def __init__(self, fields: dict[object, object], path: str, prefix: str = "") -> None:
+        self.fields, self.path, self.prefix = fields, path, prefix
 
     def settings(self) -> Settings:
-        limits, tolerance = self.part("limits"), self.part("faultTolerance")
-        data = self.text("dataDirectory", "")
+        limits, fault_tolerance = self.section("limits"), self.section("faultTolerance")
+        data_directory = self.string("dataDirectory", "")
         return Settings(
-            name=self.text("nodeName"),
-            role=self.text("role", ""),
-            machine_class=self.text("machineClass", ""),
-            serves=self.texts("servedRoles"),
-            ip=self.text("ipAddress"),
-            zone=self.text("zone"),
-            region=self.text("region"),
-            zones=self.names("zones"),
-            listen=self.listeners(),
-            ports=self.ports(),
-            seeds=tuple(self.address("seedNodes", seed) for seed in self.texts("seedNodes")),
-            first=self.flag("initialStart"),
-            counted=self.flag("lossCounted"),
-            cpu=limits.number("cpuFraction", 1.0),
-            cores=limits.number("coreCount", 1.0),
-            memory_mb=limits.whole("memoryMb"),
-            descriptors=limits.whole("fileDescriptors"),
+            name=self.string("nodeName"),
+            role=self.string("role", ""),
+            machine_class=self.string("machineClass", ""),
+            served_roles=self.string_list("servedRoles"),
+            ip_address=self.string("ipAddress"),
+            zone=self.string("zone"),
+            region=self.string("region"),
+            regions_by_zone=self.string_mapping("zones"),
+            listen_addresses=self.listeners(),
+            port_range=self.port_range(),
+            seeds=tuple(self.address("seedNodes", seed) for seed in self.string_list("seedNodes")),
+            initial_start=self.flag("initialStart"),
+            loss_counted=self.flag("lossCounted"),
+            cpu_fraction=limits.number("cpuFraction", 1.0),
+            core_count=limits.number("coreCount", 1.0),
+            memory_mb=limits.integer("memoryMb"),
+            file_descriptors=limits.integer("fileDescriptors"),
             link_mbps=limits.number("linkRateMbps", 0.0),
-            disk_mb=limits.whole("diskMb", 0),
-            data=Path(data) if data else None,
-            beat=self.number("heartbeatS", 1.0),
-            contracts=frozenset(self.texts("contractSet")),
-            tolerate=Tolerance(
-                tolerance.whole("machineLosses", 0),
-                tolerance.whole("zones", 0),
-                tolerance.whole("regionLosses", 0),
+            disk_mb=limits.integer("diskMb", 0),
+            data_directory=Path(data_directory) if data_directory else None,
+            heartbeat_interval_s=self.number("heartbeatS", 1.0),
+            contracts=frozenset(self.string_list("contractSet")),
+            fault_tolerance=FaultTolerance(
+                fault_tolerance.integer("machineLosses", 0),
+                fault_tolerance.integer("zones", 0),
+                fault_tolerance.integer("regionLosses", 0),
             ),
             bounds=self.bounds(),
         )
 
     def error(self, field: str, reason: str) -> SettingsError:
-        return SettingsError(f"{self.path}: {self.at}{field}: {reason}")
+        return SettingsError(f"{self.path}: {self.prefix}{field}: {reason}")
 
-    def part(self, field: str) -> _Fields:
-        return _Fields(self.mapping(field), self.path, f"{self.at}{field}.")
+    def section(self, field: str) -> _FieldReader:
+        return _FieldReader(self.mapping(field), self.path, f"{self.prefix}{field}.")
 
     def mapping(self, field: str) -> dict[object, object]:
-        found = self.fields.get(field)
-        if found is None:
+        value = self.fields.get(field)
+        if value is None:
             return {}
-        if not isinstance(found, dict):
-            raise self.error(field, "must hold fields")
-        return found
+        if not isinstance(value, dict):
+            raise self.error(field, "must be a mapping")
+        return value
 
-    def text(self, field: str, default: str | None = None) -> str:
-        found = self.fields.get(field)
-        if found is None:
+    def string(self, field: str, default: str | None = None) -> str:
+        value = self.fields.get(field)
+        if value is None:
             if default is None:
                 raise self.error(field, "is missing")
             return default
-        if not isinstance(found, str):
-            raise self.error(field, "must be a text")
-        if not found and default is None:
+        if not isinstance(value, str):
+            raise self.error(field, "must be a string")
+        if not value and default is None:
             raise self.error(field, "is empty")
-        return found
+        return value
 
-    def texts(self, field: str) -> tuple[str, ...]:
-        found = self.fields.get(field)
-        if found is None:
+    def string_list(self, field: str) -> tuple[str, ...]:
+        value = self.fields.get(field)
+        if value is None:
             return ()
-        if not isinstance(found, list) or not all(isinstance(item, str) for item in found):
-            raise self.error(field, "must be a list of texts")
-        return tuple(found)
+        if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
+            raise self.error(field, "must be a list of strings")
+        return tuple(value)
 
-    def names(self, field: str) -> dict[str, str]:
-        found = self.mapping(field)
-        if not all(isinstance(text, str) for pair in found.items() for text in pair):
-            raise self.error(field, "must give a text for each name")
-        return {str(key): str(value) for key, value in found.items()}
+    def string_mapping(self, field: str) -> dict[str, str]:
+        value = self.mapping(field)
+        if not all(isinstance(item, str) for pair in value.items() for item in pair):
+            raise self.error(field, "must map each name to a string")
+        return {str(name): str(name_value) for name, name_value in value.items()}
 
     def flag(self, field: str) -> bool:
-        found = self.fields.get(field)
-        if found is None:
+        value = self.fields.get(field)
+        if value is None:
             return False
-        if not isinstance(found, bool):
+        if not isinstance(value, bool):
             raise self.error(field, "must be true or false")
-        return found
+        return value
 
     def number(self, field: str, default: float | None = None) -> float:
-        found = self.fields.get(field)
-        if found is None:
-            found = default
-        if found is None:
+        value = self.fields.get(field)
+        if value is None:
+            value = default
+        if value is None:
             raise self.error(field, "is missing")
-        if isinstance(found, bool) or not isinstance(found, int | float) or not 0 <= found < 1e300:
-            raise self.error(field, "must be a number from 0")
-        return float(found)
+        if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < 1e300:
+            raise self.error(field, "must be a number of at least 0")
+        return float(value)
 
-    def whole(self, field: str, default: int | None = None) -> int:
+    def integer(self, field: str, default: int | None = None) -> int:
         return int(self.number(field, default))
 
     def listeners(self) -> dict[str, Address]:
         if self.fields.get("listenAddresses") is None:
             raise self.error("listenAddresses", "is missing")
         result: dict[str, Address] = {}
-        for name, at in self.mapping("listenAddresses").items():
-            if name in KNOWN_LISTENERS and at is not None:
-                result[str(name)] = self.address(f"listenAddresses.{name}", at)
+        for name, address in self.mapping("listenAddresses").items():
+            if name in LISTENER_NAMES and address is not None:
+                result[str(name)] = self.address(f"listenAddresses.{name}", address)
         return result
 
-    def address(self, field: str, text: object) -> Address:
-        host, _, port = str(text).rpartition(":")
+    def address(self, field: str, address: object) -> Address:
+        host, _, port = str(address).rpartition(":")
         if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-            raise self.error(field, f"{text!r:.60} is not host:port")
+            raise self.error(field, f"{address!r:.60} is not host:port")
         return host, int(port)
 
-    def ports(self) -> tuple[int, int]:
-        found = self.fields.get("internalPortRange")
-        if found is None:
+    def port_range(self) -> tuple[int, int]:
+        value = self.fields.get("internalPortRange")
+        if value is None:
             raise self.error("internalPortRange", "is missing")
-        match found:
-            case [int(low), int(high)] if 0 < low <= high < 65536:
-                return low, high
+        match value:
+            case [int(first_port), int(last_port)] if 0 < first_port <= last_port < 65536:
+                return first_port, last_port
         raise self.error("internalPortRange", "must be two ports, the lower first")
 
     def bounds(self) -> dict[str, float | bool]:
-        found = self.fields.get("bounds")
-        if found is None:
+        value = self.fields.get("bounds")
+        if value is None:
             return {}
-        texts = [found] if isinstance(found, str) else found
-        if not isinstance(texts, list):
-            raise self.error("bounds", "must be a list of name=value, or one line of them")
+        assignments = [value] if isinstance(value, str) else value
+        if not isinstance(assignments, list):
+            raise self.error("bounds", "must be a list of name=value, or one comma-separated string")
         result: dict[str, float | bool] = {}
-        for text in ",".join(map(str, texts)).split(","):
-            name, equals, value = text.partition("=")
-            name, read = name.strip(), _figure(value.strip())
-            if read is not None:
-                result[name] = read
+        for assignment in ",".join(map(str, assignments)).split(","):
+            name, separator, bound_text = assignment.partition("=")
+            name, bound = name.strip(), _parse_bound(bound_text.strip())
+            if bound is not None:
+                result[name] = bound
             elif name in KNOWN_BOUNDS:
-                raise self.error("bounds", f"{name} has no figure" if equals else f"{name} has no value")
+                raise self.error("bounds", f"{name} is not a number" if separator else f"{name} has no value")
         return result
 
 
-def _figure(text: str) -> float | bool | None:
+def _parse_bound(text: str) -> float | bool | None:
     if text.lower() in ("true", "false"):
         return text.lower() == "true"
     try:
-        value = float(text)
+        number = float(text)
     except ValueError:
         return None
-    return value if isfinite(value) else None
+    return number if isfinite(number) else None
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -20,7 +20,7 @@
 from latchspoke.membership.messages import Member
 from latchspoke.transport.door import PRESENT
 from tests.configuration.drawn import page
-from tests.settings.test_node import settings
+from tests.settings.test_node import make_settings
 
 
 class Replica:
@@ -74,7 +74,7 @@
     def __init__(self, home: Path, monkeypatch: pytest.MonkeyPatch, seed: int = 1) -> None:
         monkeypatch.setattr(node, "Replica", Replica)
         self.loop = VirtualLoop(Network(1))
-        made = settings(dataDirectory=str(home), seedNodes=["10.1.0.11:8200"])
+        made = make_settings(dataDirectory=str(home), seedNodes=["10.1.0.11:8200"])
         self.node = node.Node(made, self.loop, "", VirtualClock(self.loop), Random(seed))
         self.replica = cast(Replica, self.node.replica)
         self.peers: list[dict[str, Any]] = []
--- a/tests/ctl/world.py
+++ b/tests/ctl/world.py
@@ -12,7 +12,7 @@
 from latchspoke.distribution.board import Orders, Reader
 from latchspoke.membership.messages import Member
 from latchspoke.registry.registry import read_beat
-from latchspoke.settings import Settings, parse
+from latchspoke.settings import Settings, parse_settings
 
 KEY = "k9secretk9"
 CONFIGURATION: dict[str, Any] = {
@@ -43,7 +43,7 @@
 
 
 def settings(**fields: object) -> Settings:
-    return parse(json.dumps(SETTINGS | fields), "local.yaml")
+    return parse_settings(json.dumps(SETTINGS | fields), "local.yaml")
 
 
 def beat(service: str, port: int, zone: str = "a", **more: Any) -> dict[str, Any]:
--- a/tests/dataplane/player.py
+++ b/tests/dataplane/player.py
@@ -36,7 +36,7 @@
 from latchspoke.dataplane.downstream import ClientConnection
 from latchspoke.membership.protocol import Member, MembershipEvent
 from latchspoke.net import http
-from latchspoke.settings import parse
+from latchspoke.settings import parse_settings
 from latchspoke.transport.netstring import frame
 from latchspoke.transport.wire import Message, Wire
 from tests.player import FakeTransport, Stage, play_steps, steps
@@ -77,7 +77,9 @@
 class Player(Stage):
     def __init__(self, *bounds: str) -> None:
         super().__init__()
-        settings = parse(json.dumps({**SETTINGS, "bounds": [*SETTINGS["bounds"], *bounds]}), "local.yaml")
+        settings = parse_settings(
+            json.dumps({**SETTINGS, "bounds": [*SETTINGS["bounds"], *bounds]}), "local.yaml"
+        )
         with patch.object(node, "Dialer", lambda loop: self):
             self.node = node.Node(settings, self.clock.loop, "local.yaml", cast(Any, self.clock))
         self.node.draw.seed(7)
