--- a/latchspoke/membership/protocol.py
+++ b/latchspoke/membership/protocol.py
@@ -282,9 +282,8 @@
                 return
         elif latest:
             if member.incarnation <= latest.incarnation:
-                self.reply_updates.append(
-                    messages.encode_update(messages.DEAD, latest)
-                )  # it refutes with a higher incarnation
+                # The member refutes this with a higher incarnation.
+                self.reply_updates.append(messages.encode_update(messages.DEAD, latest))
                 if not from_member_itself:
                     return
             self.ended_instances[name, latest.instance_id] = now
@@ -331,10 +330,10 @@
             self._send_to_random(refutation, self.parameters.own_change_fanout)
 
     def _suspect(self, member: Member, incarnation: int, now: float) -> None:
-        wait = self.parameters.suspicion_timeout_for(len(self.alive)) * self.parameters.timeout_multiplier(
-            self.health_score
-        )
-        self.suspects[member.name] = Suspicion(incarnation, now + wait, now + wait / 2)
+        timeout_s = self.parameters.suspicion_timeout_for(
+            len(self.alive)
+        ) * self.parameters.timeout_multiplier(self.health_score)
+        self.suspects[member.name] = Suspicion(incarnation, now + timeout_s, now + timeout_s / 2)
         update = messages.encode_update(messages.SUSPECT, member, incarnation)
         self._queue_update(update)
         self._emit("suspected", member)
@@ -436,11 +435,14 @@
         if not message.v or message.v == self._bucket_digests():
             return
         buckets = messages.differing_buckets(message.v, self._bucket_digests())
-        bucket_members = [m for m in self.alive.values() if messages.bucket_of(m.name) in buckets]
+        bucket_members = [
+            member for member in self.alive.values() if messages.bucket_of(member.name) in buckets
+        ]
         self.rng.shuffle(bucket_members)
         updates, available_bytes = [], self.parameters.max_update_bytes
         for update in (
-            messages.encode_update(messages.ALIVE, m) for m in bucket_members[: self.parameters.max_updates]
+            messages.encode_update(messages.ALIVE, member)
+            for member in bucket_members[: self.parameters.max_updates]
         ):
             available_bytes -= messages.encoded_size(update)
             if available_bytes < 0:
@@ -462,19 +464,21 @@
                 range(messages.BUCKET_COUNT)
             )
             members = [
-                m
-                for m in self.alive.values()
-                if m is not self.local_member and messages.bucket_of(m.name) in buckets
+                member
+                for member in self.alive.values()
+                if member is not self.local_member and messages.bucket_of(member.name) in buckets
+            ]
+            removed = [
+                member for member, _ in self.removed.values() if messages.bucket_of(member.name) in buckets
             ]
-            removed = [m for m, _ in self.removed.values() if messages.bucket_of(m.name) in buckets]
             if (
                 not message.v
                 and len(members) > MAX_PARTIAL_VIEW_MEMBERS
                 and not self._sends_full_view(message, now)
             ):
                 members, removed = self.rng.sample(members, MAX_PARTIAL_VIEW_MEMBERS), []
-            view += [messages.encode_update(messages.ALIVE, m) for m in members]
-            view += [messages.encode_update(messages.DEAD, m) for m in removed]
+            view += [messages.encode_update(messages.ALIVE, member) for member in members]
+            view += [messages.encode_update(messages.DEAD, member) for member in removed]
         self._send(source, messages.JOIN_REPLY, required=self.reply_updates + view)
 
     def _sends_full_view(self, message: Message, now: float) -> bool:
@@ -509,8 +513,8 @@
         if sender_digest == self._view_digest() or now < self.next_view_exchange_at:
             return
         if now - self.view_changed_at > 2 * self.parameters.probe_interval_s:
-            wait = self.parameters.view_exchange_interval_s * max(1.0, len(self.alive) / 16)
-            self.next_view_exchange_at = now + wait * self.rng.uniform(1, 1.5)
+            interval_s = self.parameters.view_exchange_interval_s * max(1.0, len(self.alive) / 16)
+            self.next_view_exchange_at = now + interval_s * self.rng.uniform(1, 1.5)
             self._send_join(source, now)
 
     # Timers
@@ -549,7 +553,7 @@
     def _probe_next(self, now: float) -> None:
         """Probes the next member; each round covers all members in a new random order."""
         if not self.probe_order:
-            self.probe_order = [n for n in self.alive if n != self.local_member.name]
+            self.probe_order = [name for name in self.alive if name != self.local_member.name]
             self.rng.shuffle(self.probe_order)
         if self.probe_order:
             target = self.alive[self.probe_order.pop()]
@@ -558,8 +562,10 @@
                 [messages.encode_update(messages.SUSPECT, target, suspicion.incarnation)] if suspicion else []
             )
             self.sequence_number += 1
-            wait = self.parameters.probe_timeout_s * self.parameters.timeout_multiplier(self.health_score)
-            self.probes[self.sequence_number] = Probe(target.name, now + wait)
+            timeout_s = self.parameters.probe_timeout_s * self.parameters.timeout_multiplier(
+                self.health_score
+            )
+            self.probes[self.sequence_number] = Probe(target.name, now + timeout_s)
             self._send(
                 target.address,
                 messages.PROBE,
@@ -571,7 +577,9 @@
     def _probe_removed(self, now: float) -> None:
         """Probes a random removed member, which refutes its removal if it was only partitioned."""
         candidates = [
-            m for m, _ in self.removed.values() if (m.name, m.instance_id) not in self.ended_instances
+            member
+            for member, _ in self.removed.values()
+            if (member.name, member.instance_id) not in self.ended_instances
         ]
         if candidates and now >= self.next_removed_probe_at:
             self.next_removed_probe_at = now + self.parameters.removed_probe_interval_s * self.rng.uniform(
@@ -601,7 +609,7 @@
             for seed in self.seeds:
                 self._send_join(seed, now, self.parameters.startup_join_interval_s / 2)
             return
-        alive_addresses = {m.address for m in self.alive.values()}
+        alive_addresses = {member.address for member in self.alive.values()}
         missing_seeds = [seed for seed in self.seeds if seed not in alive_addresses]
         if now < self.startup_ends_at and self.seeds and len(self.alive) > 1:
             self.next_seed_contact_at = now + self.parameters.probe_interval_s * 2**self.startup_joins
@@ -697,12 +705,12 @@
             if len(sampled) == count:
                 return sampled
         other_members = [
-            m
-            for n, m in self.alive.items()
-            if n not in (self.local_member.name, excluded) and n not in self.suspects
+            member
+            for name, member in self.alive.items()
+            if name not in (self.local_member.name, excluded) and name not in self.suspects
         ]
         if region is not None:
-            other_members = [m for m in other_members if m.meta.get("region") == region]
+            other_members = [member for member in other_members if member.meta.get("region") == region]
         return self.rng.sample(other_members, min(count, len(other_members)))
 
     def _add_candidate(self, name: str) -> None:
--- a/latchspoke/membership/transport.py
+++ b/latchspoke/membership/transport.py
@@ -137,8 +137,8 @@
             self.timer = None
         if self.transport and due_at != float("inf"):
             self.timer_due_at = due_at
-            wait = max(0.0, due_at - self.clock())
-            self.timer = asyncio.get_running_loop().call_later(wait, self._on_timer)
+            delay_s = max(0.0, due_at - self.clock())
+            self.timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
     def _on_timer(self) -> None:
         self.timer = None
