--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -31,8 +31,8 @@
 from latchspoke.controlplane.peers import Peers
 from latchspoke.controlplane.relays import Relays
 from latchspoke.distribution.board import Orders, Reader, unpack_entries
-from latchspoke.membership.post import PACKS
-from latchspoke.membership.watch import News
+from latchspoke.membership.protocol import MembershipEvent
+from latchspoke.membership.transport import COMPRESSION_META_KEY
 from latchspoke.node_process import CONTROL_PORT_OFFSET, NodeProcess
 from latchspoke.outliers.evidence import EvidenceStore
 from latchspoke.registry.registry import BeatError, Entry, State, read_beat
@@ -88,9 +88,9 @@
         self.relays = Relays(self.me, self.rng)
         regions = Regions(self.me, s.region, self.rng)
         self.peers = Peers(self.me, self.peer_joined, self.peer_answers, self.relays, regions, self.clock.now)
-        assert s.data is not None
+        assert s.data_directory is not None
         self.replica = Replica(
-            self.me, founders, s.first, Path(s.data), self.to_register, apply_patch,  # type: ignore[arg-type]
+            self.me, founders, s.initial_start, Path(s.data_directory), self.to_register, apply_patch,  # type: ignore[arg-type]
             self.applied, self.clock.now, lambda event, fields: log(event, **fields),
             catch_up=s.bound("catchUpS", CATCH_UP),
         )  # fmt: skip
@@ -100,7 +100,7 @@
             "region": s.region,
             "link": self.internal_endpoint,
             "ready": True,
-            PACKS: True,
+            COMPRESSION_META_KEY: True,
         }
         self.membership_transport = self.create_membership_transport(meta)
         self.to_gateways = ServerNews(self.clock, self.published_state.servers)
@@ -421,12 +421,12 @@
     def near_target(self, entry: Entry) -> dict[str, str]:
         """What the answer to a server's heartbeat says of where its later ones are to go."""
         membership, settings = self.membership_transport.membership, self.settings
-        region = settings.zones.get(entry.zone, "")
+        region = settings.regions_by_zone.get(entry.zone, "")
         members = list(membership.alive.values())
         host = heartbeat_target(members, membership.suspects, region, settings.region, self.rng)
         if not host:
             return {}
-        port = settings.listen["controlPlane"][1]  # alike on all machines
+        port = settings.listen_addresses["controlPlane"][1]  # alike on all machines
         return {"heartbeatTarget": f"{host}:{port}"}
 
     def cast(self, entry: Entry, now: float) -> None:
@@ -434,7 +434,7 @@
         edges = [
             m for m in self.membership_transport.membership.alive.values() if m.meta.get("role") == "edge"
         ]
-        self.membership_transport.cast({"e": [entry.wire(now)]}, [m.address for m in edges])
+        self.membership_transport.multicast({"e": [entry.wire(now)]}, [m.address for m in edges])
 
     async def held(self, entry: Entry) -> Response:
         """A server's word that it leaves: acknowledged once a majority of the core would tell it too."""
@@ -532,7 +532,7 @@
         must not carry out later what has been taken back meanwhile.
         """
         zone, begins = asked.of, asked.name.endswith("begin")
-        if zone not in self.settings.zones:
+        if zone not in self.settings.regions_by_zone:
             return 400, {"errorText": f"zone {zone[:60]!r} is not known"}
         if await self.replica.confirm(LIMIT) is None:
             return 503, {"errorText": "no majority can be reached"}
@@ -553,7 +553,7 @@
 
     # Who there is.
 
-    def membership_changed(self, news: News) -> None:
+    def membership_changed(self, news: MembershipEvent) -> None:
         """A change of the membership."""
         if news.kind != "changed":
             log("membership", what=news.kind, who=news.member.name)
@@ -580,15 +580,17 @@
         self.replica.start()  # before anybody can ask
         await self.listen_internal(self.membership_transport)
         for name in ("controlPlane", "directoryService"):
-            if name in s.listen:
+            if name in s.listen_addresses:
                 self.listeners.append(
-                    await create(lambda: HttpServerConnection(self.control), *s.listen[name], backlog=512)
+                    await create(
+                        lambda: HttpServerConnection(self.control), *s.listen_addresses[name], backlog=512
+                    )
                 )
         self.core_changed()
         now = self.clock.now()
         self.clock.schedule(now + SWEEP, self.sweep)
         self.clock.schedule(now + GOSSIP, self.regossip)
-        self.serving_started(control=str(s.listen.get("controlPlane")))
+        self.serving_started(control=str(s.listen_addresses.get("controlPlane")))
 
     def sweep(self, now: float) -> None:
         """Periodic: judge silent servers, drop old evidence, look at the settings file."""
@@ -601,7 +603,7 @@
         if self.replica.proven and self.published_state.orders.index < self.replica.orders.index:
             self.tell_orders()
         self.core_changed()
-        self.settings_watch.look(now)
+        self.settings_watch.poll(now)
 
     def regossip(self, now: float) -> None:
         """Periodic: ``gossip``."""
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -93,8 +93,8 @@
         "register": node.replica.status(),
         "peers_connected": node.peers.connected,
         "members": members(node),
-        "gone": sorted(node.membership_transport.membership.gone),
-        "servers": [server(e, settings.zones, now) for e in node.registry.entries.values()],
+        "gone": sorted(node.membership_transport.membership.removed),
+        "servers": [server(e, settings.regions_by_zone, now) for e in node.registry.entries.values()],
         "evidence": {
             ident: evidence_view(node.ledger.evidence(ident, now))
             for ident in sorted({*node.ledger.direct, *node.ledger.relayed})
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -20,8 +20,8 @@
 from latchspoke.dataplane.upstream import UpstreamPools
 from latchspoke.dataplane.usage_reports import REPORT_INTERVAL_S, UsageReports
 from latchspoke.distribution.board import Follower, Lease
-from latchspoke.membership.post import PACKS
-from latchspoke.membership.watch import News
+from latchspoke.membership.protocol import MembershipEvent
+from latchspoke.membership.transport import COMPRESSION_META_KEY
 from latchspoke.net.clock import Clock, Timer
 from latchspoke.net.http import GRACE, Dialer, Shared, Sockets, pending
 from latchspoke.net.stats import Stats
@@ -100,14 +100,16 @@
     def build(self) -> None:
         """Create the parts of the gateway and connect them."""
         settings, self.stats = self.settings, Stats()
-        self.shared = Shared(self.clock, self.stats, Sockets(settings.descriptors - 200), Dialer(self.loop))
+        self.shared = Shared(
+            self.clock, self.stats, Sockets(settings.file_descriptors - 200), Dialer(self.loop)
+        )
         bound = settings.bound
         self.balancer = Balancer(
             settings.name,
             settings.zone,
             settings.region,
             self.rng,
-            settings.beat,
+            settings.heartbeat_interval_s,
             bound("coldExcess", 1.0),
             bound("coldSlack", 0.0),
         )
@@ -150,14 +152,14 @@
         self.session_affinity: SessionAffinity | None = None
         if lease_required:  # shares of a gateway that is cut off stay reserved until its lease ends
             self.dispatcher.hold_s = max(self.lease.lasts - MIN_FAILURE_DETECTION_S, 0.0)
-        self.started_at, self.established = self.clock.now(), settings.first
+        self.started_at, self.established = self.clock.now(), settings.initial_start
         # Whether it joined established gateways; decided when it first becomes ready.
-        self.joined_late: bool | None = False if settings.first else None
+        self.joined_late: bool | None = False if settings.initial_start else None
         self.established_at = self.started_at + bound("quotaWindowS", DEFAULT_QUOTA_WINDOW_S)
-        if not settings.first:
+        if not settings.initial_start:
             self.dispatcher.burst_unknown_until = self.established_at
         self.membership_transport = self.create_membership_transport(self.meta(False))
-        self.membership_transport.overheard = self.handle_broadcast
+        self.membership_transport.on_multicast = self.handle_broadcast
         self.ready = False
         self.counters_logged_at, self.logged_counters = self.clock.now(), dict[str, int]()
         self.stopping_at = 0.0
@@ -168,12 +170,12 @@
     def meta(self, ready: bool) -> dict[str, Any]:
         """What other members learn about this gateway."""
         settings = self.settings
-        front = settings.listen.get("frontPlain", ("", 0))
+        front = settings.listen_addresses.get("frontPlain", ("", 0))
         return {
             "role": "edge", "zone": settings.zone, "region": settings.region,
             "front": f"{front[0]}:{front[1]}",
-            "link": self.internal_endpoint, "ready": ready, PACKS: True,
-            "door": settings.listen.get("readiness", ("", 0))[1], "old": self.established,
+            "link": self.internal_endpoint, "ready": ready, COMPRESSION_META_KEY: True,
+            "door": settings.listen_addresses.get("readiness", ("", 0))[1], "old": self.established,
         } | ({"leaves": True} if self.downstream.stopping else {}) | (
             {} if self.established or self.joined_late is None else {"late": self.joined_late}
         )  # fmt: skip
@@ -289,7 +291,7 @@
     def apply_server(self, entry: Entry, now: float) -> None:
         """Pass an update on a server to the balancer."""
         host, _, port = entry.address.rpartition(":")
-        region = self.settings.zones.get(entry.zone, entry.zone)
+        region = self.settings.regions_by_zone.get(entry.zone, entry.zone)
         self.balancer.put(
             Upstream(
                 entry.ident, entry.service, host, int(port or 0), entry.zone, region, entry.slots,
@@ -367,7 +369,7 @@
         else:
             connection.send({"k": "proven", "t": proof_id})
 
-    def membership_changed(self, change: News) -> None:
+    def membership_changed(self, change: MembershipEvent) -> None:
         """React to changes of the membership; only joins and departures are logged."""
         if change.kind in ("joined", "gone", "changed"):
             self.schedule_gateways_update()
@@ -435,7 +437,7 @@
             if self.joined_late is None:
                 self.joined_late = self.has_established_peers()
                 self.update_gateways()
-            self.membership_transport.tell(self.meta(ready))
+            self.membership_transport.update_meta(self.meta(ready))
             log("ready" if ready else "not-ready", version=self.published_state.orders.version)
         if operational and self.downstream.held_requests:
             self.downstream.resume()
@@ -483,7 +485,10 @@
     async def start(self) -> None:
         """Open the listeners and start the periodic work. Raises OSError."""
         settings = self.settings
-        front_address, readiness_address = settings.listen["frontPlain"], settings.listen.get("readiness")
+        front_address, readiness_address = (
+            settings.listen_addresses["frontPlain"],
+            settings.listen_addresses.get("readiness"),
+        )
         create_server = self.loop.create_server
         await self.listen_internal(self.membership_transport)
         if readiness_address is not None:
@@ -515,11 +520,11 @@
         self.dispatcher.failure_reporter.expire(now, self.examiner.expire(now))
         self.evaluate_evidence(now)
         self.reach_graph.check_statuses(self.balancer, now)
-        self.settings_watch.look(now)
+        self.settings_watch.poll(now)
         self.update_readiness()
         if not self.established and now >= self.established_at:
             self.established = True
-            self.membership_transport.tell(self.meta(self.ready))
+            self.membership_transport.update_meta(self.meta(self.ready))
             self.update_gateways()
         elif (
             self.joined_late
@@ -564,7 +569,7 @@
         self.stopping_at = self.clock.now()
         self.downstream.stopping = True
         self.update_readiness()
-        self.membership_transport.tell(self.meta(False))
+        self.membership_transport.update_meta(self.meta(False))
         self.update_gateways()  # hands over the quotas owned here
         log("stops")
         self.downstream.close_idle()
--- a/latchspoke/dataplane/session_affinity.py
+++ b/latchspoke/dataplane/session_affinity.py
@@ -24,7 +24,7 @@
 from latchspoke.core import Attempt, DecisionLease, Flow, Timer
 from latchspoke.dataplane.exchange import ClientExchange
 from latchspoke.dataplane.upstream import Request, Response
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from latchspoke.session_records.coordinator import (
     AttemptPermit,
     Directive,
@@ -141,7 +141,7 @@
     def update_gateways(self, gateways: Mapping[str, Member], now: float) -> None:
         """The set of live gateways has changed."""
         peers = {
-            name: Peer(str(member.meta.get("zone")), str(member.meta.get("region")), member.life)
+            name: Peer(str(member.meta.get("zone")), str(member.meta.get("region")), member.instance_id)
             for name, member in gateways.items()
         }
         self.process_outputs(self.record_store.update_membership(peers, now))
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -16,16 +16,16 @@
 from latchspoke.configuration.patch import diff
 from latchspoke.distribution.board import Board
 from latchspoke.distribution.teller import Teller
-from latchspoke.membership.post import Post
-from latchspoke.membership.timing import Timing
-from latchspoke.membership.watch import Membership, News
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
+from latchspoke.membership.parameters import ProtocolParameters
+from latchspoke.membership.protocol import Membership, MembershipEvent
+from latchspoke.membership.transport import MembershipTransport
 from latchspoke.net.clock import Clock
 from latchspoke.net.signals import ENDING, ignore_from_now_on
 from latchspoke.pool.versions import PoolVersions
 from latchspoke.registry.registry import BeatError, Registry
-from latchspoke.settings import VARIABLE, Settings, SettingsError, load
-from latchspoke.settings.watch import Stamp, Watch, stamp_of
+from latchspoke.settings import SETTINGS_FILE_VARIABLE, Settings, SettingsError, load_settings
+from latchspoke.settings.watcher import FileStamp, SettingsWatcher, file_stamp
 from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.log import log, open_log
 
@@ -39,7 +39,7 @@
     """One process: its settings, its membership, and the subscribers to its published state."""
 
     PORT_OFFSET: int  # within the internal port range
-    membership_transport: Post  # created by ``build``
+    membership_transport: MembershipTransport  # created by ``build``
 
     def __init__(
         self,
@@ -51,12 +51,12 @@
     ) -> None:
         """``clock`` and ``rng`` are given in simulations."""
         s = self.settings = settings
-        self.loop, self.settings_watch = loop, Watch(path, self.apply_settings)
+        self.loop, self.settings_watch = loop, SettingsWatcher(path, self.apply_settings)
         self.clock, self.rng = clock or Clock(loop), rng or random.Random()
         self.instance_id = f"{self.rng.getrandbits(32):08x}"
-        self.internal_address = s.ip, s.ports[0] + self.PORT_OFFSET
-        self.internal_endpoint = f"{s.ip}:{s.ports[0] + self.PORT_OFFSET}"
-        self.registry = Registry(s.beat)
+        self.internal_address = s.ip_address, s.port_range[0] + self.PORT_OFFSET
+        self.internal_endpoint = f"{s.ip_address}:{s.port_range[0] + self.PORT_OFFSET}"
+        self.registry = Registry(s.heartbeat_interval_s)
         self.published_state = Board(self.registry, difference=diff, versions=PoolVersions())  # type: ignore[arg-type]
         self.publisher = Teller(self.published_state, self.clock, self.handle_proof_request)
         self.listeners: list[asyncio.Server] = []
@@ -74,7 +74,7 @@
         """A subscriber asks for a proof that its state is current."""
         raise NotImplementedError
 
-    def membership_changed(self, change: News) -> None:
+    def membership_changed(self, change: MembershipEvent) -> None:
         """A member has joined, changed or gone."""
         raise NotImplementedError
 
@@ -92,21 +92,21 @@
 
     # Common to all processes.
 
-    def create_membership_transport(self, meta: dict[str, Any]) -> Post:
+    def create_membership_transport(self, meta: dict[str, Any]) -> MembershipTransport:
         """The membership, with this process as a member."""
         settings = self.settings
         member = Member(settings.name, *self.internal_address, meta, 0, self.instance_id)
-        return Post(
-            Membership(member, self.seed_addresses(), Timing(), self.rng, self.clock.now()),
+        return MembershipTransport(
+            Membership(member, self.seed_addresses(), ProtocolParameters(), self.rng, self.clock.now()),
             self.membership_changed,
             self.clock.now,
         )
 
     def seed_addresses(self) -> list[tuple[str, int]]:
         """The membership addresses of the control-plane nodes named in the settings file."""
-        return [(host, self.settings.ports[0] + CONTROL_PORT_OFFSET) for host, _ in self.settings.seeds]
+        return [(host, self.settings.port_range[0] + CONTROL_PORT_OFFSET) for host, _ in self.settings.seeds]
 
-    async def listen_internal(self, transport: Post) -> None:
+    async def listen_internal(self, transport: MembershipTransport) -> None:
         """Listen on the internal port, for the membership and for connections. Raises OSError."""
         await transport.start(*self.internal_address)
         create_server = self.loop.create_server
@@ -143,21 +143,21 @@
 
     def reload(self) -> None:
         """Re-read the settings file (SIGHUP); an invalid file is ignored."""
-        self.settings_watch.read()
+        self.settings_watch.reload()
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply changed settings, such as new seeds."""
         self.settings = settings
-        self.membership_transport.reseed(self.seed_addresses())
+        self.membership_transport.set_seeds(self.seed_addresses())
 
 
 async def run(
-    node_class: type[NodeProcess], settings: Settings, path: str, initial_stamp: Stamp | None
+    node_class: type[NodeProcess], settings: Settings, path: str, initial_stamp: FileStamp | None
 ) -> None:
     """Run a process from start to SIGTERM. ``initial_stamp``: of the settings file before it was read."""
     loop = asyncio.get_running_loop()
     node = node_class(settings, loop, path)
-    node.settings_watch.seen = initial_stamp
+    node.settings_watch.loaded_stamp = initial_stamp
     asked_to_stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     for signal_number in ENDING:
@@ -180,10 +180,10 @@
     """Run a process. Exit codes: 0 orderly shutdown, 1 one of ``startup_errors``, 2 invalid settings."""
     import uvloop
 
-    path = path or os.environ.get(VARIABLE, "/etc/latchspoke/local.yaml")
-    initial_stamp = stamp_of(path)
+    path = path or os.environ.get(SETTINGS_FILE_VARIABLE, "/etc/latchspoke/local.yaml")
+    initial_stamp = file_stamp(path)
     try:
-        settings = load(path)
+        settings = load_settings(path)
     except SettingsError as error:
         print(f"{name}: {error}", file=sys.stderr)
         return 2
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -17,10 +17,10 @@
 from latchspoke.controlplane.calls import locate, read_call
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import VirtualClock
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from latchspoke.transport.http_server import LOCAL_CALLER
 from tests.configuration.drawn import page
-from tests.settings.test_node import settings
+from tests.settings.test_node import make_settings
 
 
 class Replica:
@@ -74,7 +74,7 @@
     def __init__(self, home: Path, monkeypatch: pytest.MonkeyPatch, seed: int = 1) -> None:
         monkeypatch.setattr(node, "Replica", Replica)
         self.loop = VirtualLoop(Network(1))
-        made = settings(dataDirectory=str(home), seedNodes=["10.1.0.11:8200"])
+        made = make_settings(dataDirectory=str(home), seedNodes=["10.1.0.11:8200"])
         self.node = node.Node(made, self.loop, "", VirtualClock(self.loop), Random(seed))
         self.replica = cast(Replica, self.node.replica)
         self.peers: list[dict[str, Any]] = []
@@ -262,7 +262,7 @@
     """FAILBACK, DRAIN: one may follow a control machine that was cut off or lost power a moment ago."""
     told: list[Any] = []
     monkeypatch.setattr(
-        box.node.membership_transport, "cast", lambda message, to: told.append((message["e"], list(to)))
+        box.node.membership_transport, "multicast", lambda message, to: told.append((message["e"], list(to)))
     )
     meta = {"role": "edge", "zone": "waw-a", "link": "10.1.0.21:7600", "ready": True}
     alive = box.node.membership_transport.membership.alive
--- a/tests/dataplane/test_session_affinity.py
+++ b/tests/dataplane/test_session_affinity.py
@@ -10,7 +10,7 @@
 import pytest
 
 from latchspoke.dataplane.session_affinity import SessionAffinity
-from latchspoke.membership.words import Member
+from latchspoke.membership.messages import Member
 from tests.dataplane import player
 from tests.dataplane.player import Player
 
