--- a/benchmarks/reach.py
+++ b/benchmarks/reach.py
@@ -64,7 +64,7 @@
         reach_graph=graph, balancer=stock, instance_id="l", ready=True,
         clock=SimpleNamespace(now=lambda: moment),
         settings=SimpleNamespace(name="edge-a-1", zone="a", region="north"),
-        published_state=SimpleNamespace(orders=SimpleNamespace(version=7)),
+        published_state=SimpleNamespace(committed=SimpleNamespace(version=7)),
     )  # fmt: skip
     told = reach(node, 60.0)  # type: ignore[arg-type]
     return {
--- a/latchspoke/controlplane/fanout.py
+++ b/latchspoke/controlplane/fanout.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Collection, Iterable
 from zlib import crc32
 
-from latchspoke.distribution.board import pack_entries
+from latchspoke.distribution.published_state import encode_entries
 from latchspoke.transport.connection import Message
 
 PASS_ON = "fan"  # the field that asks the receiver to pass a message on within its region
@@ -64,4 +64,4 @@
 
 def roster(entries: list[Message], packs: bool) -> Message:
     """Servers for other control machines; ``packs``: all that get it can inflate them."""
-    return {"k": "roster"} | pack_entries(entries, packs)
+    return {"k": "roster"} | encode_entries(entries, packs)
--- a/latchspoke/controlplane/news.py
+++ b/latchspoke/controlplane/news.py
@@ -28,7 +28,7 @@
 
     def tell(self, entries: Iterable[Entry], now: float) -> None:
         """These have changed."""
-        self.waiting.update((entry.ident, entry) for entry in entries)
+        self.waiting.update((entry.instance_id, entry) for entry in entries)
         if not self.waiting or self.scheduled:
             return
         if now - self.sent_at >= GATHER:
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -30,12 +30,12 @@
 from latchspoke.controlplane.news import ServerNews
 from latchspoke.controlplane.peers import Peers
 from latchspoke.controlplane.relays import Relays
-from latchspoke.distribution.board import Orders, Reader, unpack_entries
+from latchspoke.distribution.published_state import CommittedState, Subscriber, decode_entries
 from latchspoke.membership.post import PACKS
 from latchspoke.membership.watch import News
 from latchspoke.node_process import CONTROL_PORT_OFFSET, NodeProcess
 from latchspoke.outliers.ledger import Ledger
-from latchspoke.registry.registry import BeatError, Entry, State, read_beat
+from latchspoke.registry.registry import Entry, HeartbeatError, State, parse_heartbeat
 from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.http_server import LOCAL_CALLER, Caller, HttpServerConnection, Response
 from latchspoke.transport.log import log
@@ -103,7 +103,7 @@
             PACKS: True,
         }
         self.membership_transport = self.create_membership_transport(meta)
-        self.to_gateways = ServerNews(self.clock, self.published_state.servers)
+        self.to_gateways = ServerNews(self.clock, self.published_state.publish_entries)
         self.to_peers = ServerNews(self.clock, self.tell_peers)
         self.beaten: dict[str, Entry] = {}  # heard here since the last word to the others
         self.copies: dict[int, Copies] = {}
@@ -145,8 +145,8 @@
     def tell_orders(self) -> None:
         """Tell gateways the newest orders, if they are news."""
         kept = self.replica.orders
-        orders = Orders(kept.index, kept.version, kept.document, kept.evacuated)
-        if self.published_state.order(orders, self.clock.now()):
+        orders = CommittedState(kept.index, kept.version, kept.document, kept.evacuated)
+        if self.published_state.update_committed(orders, self.clock.now()):
             log(
                 "orders",
                 version=f"{orders.version:08x}",
@@ -175,7 +175,7 @@
             else:
                 self.tell_orders()
                 # By what this machine has applied: a gateway that knows all of it knows the newest.
-                known = self.published_state.orders.index
+                known = self.published_state.committed.index
                 for wire, tag, at in asking:
                     age = max(at - begun, 0.0)
                     proof = {"k": "proven", "t": tag, "index": known}
@@ -187,7 +187,7 @@
     async def confirmed(self) -> int | None:
         """Up to which index this machine surely knows all; None where that can't be proven now."""
         try:
-            return await self.replica.confirm(LIMIT, patient=self.published_state.orders.index > 0)
+            return await self.replica.confirm(LIMIT, patient=self.published_state.committed.index > 0)
         except Exception as e:  # one round that fails must not be the last
             log("proof-failed", why=repr(e))
             return None
@@ -199,7 +199,7 @@
         now = self.clock.now()
         if self.peers.regions.tells_whole(str(wire.tag), self.peers.alive):
             packs = str(wire.tag) in self.peers.regions.capable
-            wire.send(roster(self.registry.whole(now), packs))
+            wire.send(roster(self.registry.snapshot(now), packs))
         # It may have begun anew, and know neither when evacuations were ordered nor who has an answer.
         if told := self.evacuations.wire(now):
             wire.send(told)
@@ -259,24 +259,24 @@
             case "hot":
                 self.evidence(wire, message, now)
             case "hello":
-                self.publisher.heard(wire, message)
+                self.publisher.handle_message(wire, message)
                 self.relays.joined(wire)
                 if known := self.ledger.whole(now, wire.tag.zone):
                     wire.send({"k": "hot", "e": known})
             case _:
                 if not self.from_peer(str(wire.tag), message, now, wire.send):
-                    self.publisher.heard(wire, message)
+                    self.publisher.handle_message(wire, message)
 
     def inbound_closed(self, wire: MessageConnection, reason: str) -> None:
         """A connection that another process had opened has ended."""
         super().inbound_closed(wire, reason)
         self.relays.left(wire)
-        if isinstance(wire.tag, Reader):
+        if isinstance(wire.tag, Subscriber):
             self.ledger.left(wire.tag.name)
 
     def evidence(self, wire: MessageConnection, message: Message, now: float) -> None:
         """What gateways that follow here, or another control machine's, saw of servers."""
-        if isinstance(wire.tag, Reader):
+        if isinstance(wire.tag, Subscriber):
             self.ledger.heard(wire.tag.name, wire.tag.zone, message["w"], now)
         else:
             self.ledger.merge(str(wire.tag), message["e"], now)
@@ -293,8 +293,8 @@
         self.telling = False
         if entries := self.ledger.to_peers(now):
             self.peers.all({"k": "hot", "e": entries})
-        news = self.ledger.to_gateways(now, {reader.zone for reader in self.published_state.readers})
-        for reader in list(self.published_state.readers):
+        news = self.ledger.to_gateways(now, {reader.zone for reader in self.published_state.subscribers})
+        for reader in list(self.published_state.subscribers):
             if told := news.get(reader.zone):
                 reader.send({"k": "hot", "e": told})
         if self.ledger.waiting():
@@ -302,7 +302,7 @@
 
     def learn(self, message: Message, now: float) -> None:
         """Servers, as another control machine knows them."""
-        self.to_gateways.tell(self.registry.merge(unpack_entries(message), now), now)
+        self.to_gateways.tell(self.registry.merge(decode_entries(message), now), now)
         if PASS_ON in message:
             self.peers.pass_on(message)
 
@@ -310,7 +310,7 @@
         """Another control machine has heard these again, and nothing else is new of them."""
         news, unknown = [], []
         for ident, sequence, age in message["b"]:
-            if self.registry.heard_again(ident, sequence, now - age):
+            if self.registry.refresh(ident, sequence, now - age):
                 continue
             old = self.registry.entries.get(ident)
             if old is None:
@@ -320,7 +320,7 @@
                     ident, old.service, old.address, old.zone, old.slots, old.state, sequence, old.cold_until,
                     now - age,
                 )  # fmt: skip
-                entry, changed = self.registry.heard(new, now)
+                entry, changed = self.registry.update(new, now)
                 if changed:
                     news.append(entry)
         self.to_gateways.tell(news, now)
@@ -332,7 +332,7 @@
     def tell_wanted(self, asker: str, message: Message, now: float) -> None:
         """Another control machine has heard that these live, and knows nothing else of them."""
         entries = self.registry.entries
-        known = [entries[ident].wire(now) for ident in message["i"] if ident in entries]
+        known = [entries[ident].to_message(now) for ident in message["i"] if ident in entries]
         if known:
             self.peers.send(asker, roster(known, asker in self.peers.regions.capable))
 
@@ -340,12 +340,14 @@
         """Tell the other control machines whose heartbeats have come here."""
         beaten, self.beaten = self.beaten, {}
         if beaten:
-            beats = [[e.ident, e.sequence, round(now - e.heard_at, 2)] for e in beaten.values()]
+            beats = [
+                [e.instance_id, e.sequence, round(now - e.last_heartbeat_at, 2)] for e in beaten.values()
+            ]
             self.peers.fan_out({"k": "beats", "b": beats})
 
     def tell_peers(self, entries: list[Entry], now: float) -> None:
         """News of servers, to the other control machines."""
-        self.peers.fan_out(roster([entry.wire(now) for entry in entries], self.peers.inflates()))
+        self.peers.fan_out(roster([entry.to_message(now) for entry in entries], self.peers.inflates()))
 
     async def copied(self, entry: Entry) -> bool:
         """Whether a majority of the core knows of it, this machine among them.
@@ -355,7 +357,7 @@
         self.number += 1
         number, voters = self.number, self.replica.voters
         now = self.clock.now()
-        told = self.peers.all({"k": "roster", "e": [entry.wire(now)], "n": number})
+        told = self.peers.all({"k": "roster", "e": [entry.to_message(now)], "n": number})
         lacking = len(voters) // 2 + 1 - (self.me in voters)
         copies = self.copies[number] = Copies(voters.intersection(told), lacking, self.loop.create_future())
         try:
@@ -397,12 +399,12 @@
 
         now = self.clock.now()
         try:
-            new = read_beat(ident, msgspec.json.decode(body), now)
-        except (BeatError, msgspec.DecodeError) as e:
+            new = parse_heartbeat(ident, msgspec.json.decode(body), now)
+        except (HeartbeatError, msgspec.DecodeError) as e:
             return 400, {"errorText": str(e)}
         known = self.registry.entries.get(ident)
         until = known.cold_until if known is not None else math.inf
-        entry, news = self.registry.heard(new, now)
+        entry, news = self.registry.update(new, now)
         if news and (entry.cold_until > max(until, now) or (known and entry.state is not State.READY)):
             self.cast(entry, now)
         if news:
@@ -434,7 +436,7 @@
         edges = [
             m for m in self.membership_transport.membership.alive.values() if m.meta.get("role") == "edge"
         ]
-        self.membership_transport.cast({"e": [entry.wire(now)]}, [m.address for m in edges])
+        self.membership_transport.cast({"e": [entry.to_message(now)]}, [m.address for m in edges])
 
     async def held(self, entry: Entry) -> Response:
         """A server's word that it leaves: acknowledged once a majority of the core would tell it too."""
@@ -445,7 +447,7 @@
     def leave(self, ident: str) -> Awaitable[Response]:
         """Take the word of a server that it has ended."""
         now = self.clock.now()
-        entry, news = self.registry.leave(ident, now)
+        entry, news = self.registry.mark_gone(ident, now)
         if news:
             self.to_gateways.tell([entry], now)
             self.cast(entry, now)
@@ -498,8 +500,8 @@
                 "version": f"{verdict.version:08x}",
             }
         until = self.clock.now() + TOLD
-        index = min(verdict.index, self.published_state.orders.index)
-        while self.published_state.behind(index) and self.clock.now() < until:
+        index = min(verdict.index, self.published_state.committed.index)
+        while self.published_state.count_behind(index) and self.clock.now() < until:
             await asyncio.sleep(0.01)
         return 200, {"version": f"{verdict.version:08x}"}
 
@@ -595,10 +597,10 @@
         self.clock.schedule(now + SWEEP, self.sweep)
         if not self.peers.connected and len(self.peers.links):
             self.together_at = now
-        news = self.registry.sweep(now, judge=now - self.together_at > ALONE)
+        news = self.registry.sweep(now, detect_silence=now - self.together_at > ALONE)
         self.to_gateways.tell(news, now)
         self.ledger.sweep(now)
-        if self.replica.proven and self.published_state.orders.index < self.replica.orders.index:
+        if self.replica.proven and self.published_state.committed.index < self.replica.orders.index:
             self.tell_orders()
         self.core_changed()
         self.settings_watch.look(now)
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -26,7 +26,7 @@
         "cold": entry.cold_until > now,
     }
     return {
-        "id": entry.ident,
+        "id": entry.instance_id,
         "service": entry.service,
         "address": entry.address,
         "zone": entry.zone,
@@ -36,7 +36,7 @@
         "avoided": [code for code, holds in avoided.items() if holds],
         "silent": entry.silent,
         "cold_s": round(max(entry.cold_until - now, 0.0), 3),
-        "beat_s_ago": round(max(now - entry.heard_at, 0.0), 3),
+        "beat_s_ago": round(max(now - entry.last_heartbeat_at, 0.0), 3),
         "version": entry.version,
     }
 
@@ -52,8 +52,8 @@
 
 def members(node: Node) -> list[dict[str, Any]]:
     """Gateways and control machines that the membership knows to live, with what each has acknowledged."""
-    membership, index = node.membership_transport.membership, node.published_state.orders.index
-    read = {reader.name: reader.index for reader in node.published_state.readers}
+    membership, index = node.membership_transport.membership, node.published_state.committed.index
+    read = {reader.name: reader.acknowledged_index for reader in node.published_state.subscribers}
     found = []
     for name, member in sorted(membership.alive.items()):
         meta = member.meta
@@ -88,7 +88,7 @@
         "stopping": node.stopping,
         "version": f"{kept.version:08x}",
         "index": kept.index,
-        "told_index": node.published_state.orders.index,
+        "told_index": node.published_state.committed.index,
         "evacuated": sorted(kept.evacuated),
         "register": node.replica.status(),
         "peers_connected": node.peers.connected,
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -19,7 +19,7 @@
 from latchspoke.dataplane.subscription import FIRST_PROOF_DIVISOR, Source, Subscription, member_sources
 from latchspoke.dataplane.upstream import UpstreamPools
 from latchspoke.dataplane.usage_reports import REPORT_INTERVAL_S, UsageReports
-from latchspoke.distribution.board import Follower, Lease
+from latchspoke.distribution.published_state import Follower, Lease
 from latchspoke.membership.post import PACKS
 from latchspoke.membership.watch import News
 from latchspoke.net.clock import Clock, Timer
@@ -28,7 +28,7 @@
 from latchspoke.node_process import GATEWAY_PORT_OFFSET, NodeProcess
 from latchspoke.outliers.ledger import read as read_evidence
 from latchspoke.reach.graph import Graph
-from latchspoke.registry.registry import BeatError, Entry
+from latchspoke.registry.registry import Entry, HeartbeatError
 from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.http_server import LOCAL_CALLER, Caller, HttpServerConnection, Response
 from latchspoke.transport.log import log
@@ -149,7 +149,7 @@
         self.ports.usage_reports = self.usage_reports
         self.session_affinity: SessionAffinity | None = None
         if lease_required:  # shares of a gateway that is cut off stay reserved until its lease ends
-            self.dispatcher.hold_s = max(self.lease.lasts - MIN_FAILURE_DETECTION_S, 0.0)
+            self.dispatcher.hold_s = max(self.lease.duration_s - MIN_FAILURE_DETECTION_S, 0.0)
         self.started_at, self.established = self.clock.now(), settings.first
         # Whether it joined established gateways; decided when it first becomes ready.
         self.joined_late: bool | None = False if settings.first else None
@@ -193,9 +193,9 @@
 
     def current_epoch(self) -> Epoch | None:
         """The epoch under which tenant keys may be used now, or None without a valid lease."""
-        if self.active_epoch is None or self.clock.now() >= self.lease.until:
+        if self.active_epoch is None or self.clock.now() >= self.lease.expires_at:
             return None
-        self.active_epoch.until = self.lease.until
+        self.active_epoch.until = self.lease.expires_at
         return self.active_epoch
 
     def has_peers(self) -> bool:
@@ -234,27 +234,27 @@
             self.apply_configuration(now)
         for entry in entries:
             self.apply_server(entry, now)
-        if self.subscription.follower.differing:
+        if self.subscription.follower.differing_pools:
             self.stats["pools.differ"] += 1
         self.update_readiness()
 
     def handle_broadcast(self, message: Message) -> None:
         """A control-plane node announces to all gateways that a server is draining or has become cold."""
         try:
-            entries = self.subscription.follower.overheard(message["e"], self.clock.now())
-        except (BeatError, KeyError, TypeError, ValueError):
+            entries = self.subscription.follower.apply_broadcast(message["e"], self.clock.now())
+        except (HeartbeatError, KeyError, TypeError, ValueError):
             return
         if entries:
             self.state_changed(False, entries)
 
     def apply_configuration(self, now: float) -> None:
         """Apply a new version of the configuration and the evacuated zones."""
-        configuration = self.published_state.orders
-        assert configuration.doc is not None or not configuration.version
-        if configuration.doc is not None and (
+        configuration = self.published_state.committed
+        assert configuration.document is not None or not configuration.version
+        if configuration.document is not None and (
             self.downstream.table is None or self.downstream.table.version != configuration.version
         ):
-            table: Table = compile_table(configuration.doc)  # type: ignore[arg-type]
+            table: Table = compile_table(configuration.document)  # type: ignore[arg-type]
             self.balancer.cold_limits = {
                 name: ColdLimit(service.cold_s, service.cold_per_s)
                 for name, service in table.services.items()
@@ -280,7 +280,7 @@
             self.usage_reports.connect_owners(
                 {tenant.name for tenant in table.tenants.values() if tenant.rate}
             )
-            self.active_epoch = Epoch(f"{configuration.version:08x}", self.lease.until)
+            self.active_epoch = Epoch(f"{configuration.version:08x}", self.lease.expires_at)
             log("orders", version=f"{configuration.version:08x}", index=configuration.index)
         if configuration.evacuated != self.balancer.evacuated:
             self.balancer.set_evacuated_zones(configuration.evacuated, now)
@@ -292,7 +292,7 @@
         region = self.settings.zones.get(entry.zone, entry.zone)
         self.balancer.put(
             Upstream(
-                entry.ident, entry.service, host, int(port or 0), entry.zone, region, entry.slots,
+                entry.instance_id, entry.service, host, int(port or 0), entry.zone, region, entry.slots,
                 UpstreamState(int(entry.state)), entry.cold_until, entry.silent,
             ),
             now,
@@ -355,12 +355,12 @@
     def handle_proof_request(self, connection: MessageConnection, proof_id: int) -> None:
         """Another gateway without a control-plane node asks for a proof; ours is passed on with its age."""
         age = self.clock.now() - self.lease.proven_at
-        if age < self.lease.lasts and self.published_state.orders.index:
+        if age < self.lease.duration_s and self.published_state.committed.index:
             connection.send(
                 {
                     "k": "proven",
                     "t": proof_id,
-                    "index": self.published_state.orders.index,
+                    "index": self.published_state.committed.index,
                     "age": round(age + 0.001, 4),
                 }
             )
@@ -426,7 +426,7 @@
         """Ready: configured, holding a lease, knowing servers and peers, and not stopping."""
         operational = (
             self.downstream.table is not None
-            and self.clock.now() < self.lease.until
+            and self.clock.now() < self.lease.expires_at
             and bool(self.balancer.upstreams)
         ) and self.has_peers()
         ready = operational and not self.downstream.stopping
@@ -436,7 +436,7 @@
                 self.joined_late = self.has_established_peers()
                 self.update_gateways()
             self.membership_transport.tell(self.meta(ready))
-            log("ready" if ready else "not-ready", version=self.published_state.orders.version)
+            log("ready" if ready else "not-ready", version=self.published_state.committed.version)
         if operational and self.downstream.held_requests:
             self.downstream.resume()
 
@@ -447,7 +447,7 @@
         if message.get("k") in ("c", "counts", "heir"):
             self.usage_reports.handle_message(connection, message)
         elif (
-            not self.publisher.heard(connection, message)
+            not self.publisher.handle_message(connection, message)
             and self.session_affinity is not None
             and message.get("k") == "w"
         ):
@@ -509,7 +509,7 @@
         self.downstream.sweep(now)
         if now - self.registry_swept_at >= REGISTRY_SWEEP_INTERVAL_S:
             self.registry_swept_at = now
-            self.registry.sweep(now, judge=False)
+            self.registry.sweep(now, detect_silence=False)
         self.dispatcher.expire(now)
         self.usage_reports.owned_quotas.expire(now)
         self.dispatcher.failure_reporter.expire(now, self.examiner.expire(now))
--- a/latchspoke/dataplane/session_affinity.py
+++ b/latchspoke/dataplane/session_affinity.py
@@ -106,10 +106,11 @@
         self.node, self.clock = node, node.clock
         self.dispatcher: Dispatcher = node.dispatcher
         self.ports, self.core = node.ports, node.core
-        lease_s = node.lease.lasts if node.lease.lasts < 1e6 else 5.0
+        lease_s = node.lease.duration_s if node.lease.duration_s < 1e6 else 5.0
         self.record_store = Office(
             node.settings.name, node.instance_id, lease_s + SETTLE_MARGIN_S, self.clock.now(),
-            lambda: node.lease.until, node.stats, lease=node.lease.lasts if node.lease.lasts < 1e6 else 0.0,
+            lambda: node.lease.expires_at, node.stats,
+            lease=node.lease.duration_s if node.lease.duration_s < 1e6 else 0.0,
         )  # fmt: skip
         self.coordinator = Desk(self.record_store, self.server_known)
         self.tracked: dict[str, TrackedRequest] = {}
--- a/latchspoke/dataplane/subscription.py
+++ b/latchspoke/dataplane/subscription.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from latchspoke.distribution.board import Board, Follower, GapError, Lease
+from latchspoke.distribution.published_state import Follower, GapError, Lease, PublishedState
 from latchspoke.membership.words import Member
 from latchspoke.net.clock import Clock
-from latchspoke.registry.registry import BeatError, Entry
+from latchspoke.registry.registry import Entry, HeartbeatError
 from latchspoke.transport.connection import Message, MessageConnection, dial
 from latchspoke.transport.log import log
 
@@ -85,14 +85,14 @@
     peers_known_at: float | None = None  # when a process other than a seed was first known
 
     @property
-    def published_state(self) -> Board:
+    def published_state(self) -> PublishedState:
         """The configuration and servers as known here."""
-        return self.follower.board
+        return self.follower.published_state
 
     @property
     def proof_interval(self) -> float:
         """Seconds between requests for a proof."""
-        return min(MAX_PROOF_INTERVAL_S, self.lease.lasts / PROOFS_PER_LEASE)
+        return min(MAX_PROOF_INTERVAL_S, self.lease.duration_s / PROOFS_PER_LEASE)
 
     async def run(self) -> None:
         """Keep a subscription until ``stop``."""
@@ -156,11 +156,11 @@
     async def follow(self, connection: MessageConnection, source: Source) -> None:
         """Follow a source until the connection breaks, goes silent or a better source is available."""
         self.connection, self.source, self.synchronized = connection, source, False
-        self.follower.begin()
+        self.follower.reset_sequence()
         self.pending_proofs.clear()
         connected_at = self.last_progress_at = self.clock.now()
         self.awaiting_first_proof = True
-        configuration = self.published_state.orders
+        configuration = self.published_state.committed
         hello = {"k": "hello", "name": self.name, "zone": self.zone, "packs": True}
         connection.send(hello | {"index": configuration.index, "version": configuration.version})
         received = 0
@@ -195,7 +195,7 @@
             self.proof_id += 1
             self.pending_proofs[self.proof_id] = now
             connection.send({"k": "prove", "t": self.proof_id})
-            entries = self.follower.forget(now, UNKNOWN_SERVER_TTL_S)
+            entries = self.follower.remove_missing(now, UNKNOWN_SERVER_TTL_S)
             if entries:
                 self.on_change(False, entries)
             await asyncio.sleep(min(self.proof_interval, max(left, MIN_CHECK_INTERVAL_S)))
@@ -213,9 +213,9 @@
                 case "hot":
                     self.on_evidence(message["e"])
                 case "whole" | "orders" | "servers":
-                    configuration_changed, entries = self.follower.take(message, now)
+                    configuration_changed, entries = self.follower.apply(message, now)
                     self.synchronized = True
-                    configuration = self.published_state.orders
+                    configuration = self.published_state.committed
                     connection.send(
                         {
                             "k": "ack",
@@ -228,9 +228,9 @@
                         self.on_change(configuration_changed, entries)
         except GapError as error:
             log("feed-gap", source=connection.peer, why=str(error))
-            self.follower.begin()
-            connection.send({"k": "again", "version": self.published_state.orders.version})
-        except (BeatError, KeyError, TypeError, ValueError) as error:
+            self.follower.reset_sequence()
+            connection.send({"k": "again", "version": self.published_state.committed.version})
+        except (HeartbeatError, KeyError, TypeError, ValueError) as error:
             connection.end(f"malformed message: {error!r}")
 
     def handle_proof(self, message: Message, now: float) -> None:
@@ -248,8 +248,11 @@
         self.last_progress_at, self.awaiting_first_proof = now, False
         if self.source is not None:
             self.failed_at.pop(self.source.address, None)
-        if int(message["index"]) <= self.published_state.orders.index and self.published_state.orders.index:
-            self.lease.proven(requested_at - age)
+        if (
+            int(message["index"]) <= self.published_state.committed.index
+            and self.published_state.committed.index
+        ):
+            self.lease.renew(requested_at - age)
             self.on_change(False, [])
 
     def connection_closed(self, connection: MessageConnection, reason: str) -> None:
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -108,7 +108,7 @@
     now, settings, configuration, lease = (
         node.clock.now(),
         node.settings,
-        node.published_state.orders,
+        node.published_state.committed,
         node.lease,
     )
     source = node.subscription.source if node.subscription.connection is not None else None
@@ -126,8 +126,8 @@
         "index": configuration.index,
         "evacuated": sorted(configuration.evacuated),
         "lease": {
-            "held": now < lease.until,
-            "left_s": remaining(lease.until, now),
+            "held": now < lease.expires_at,
+            "left_s": remaining(lease.expires_at, now),
             "proven_s_ago": age(lease.proven_at, now),
         },
         "source": None
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -21,7 +21,7 @@
 from latchspoke.dataplane import downstream, exchange, relay, session_affinity, subscription, upstream
 from latchspoke.dataplane import node as dataplane
 from latchspoke.dataplane.core import DataPlaneCore
-from latchspoke.distribution.board import Lease
+from latchspoke.distribution.published_state import Lease
 from latchspoke.lab.system.machines import Fleet, SimLedger
 from latchspoke.lab.system.records import Callers, Trouble
 from latchspoke.session_records.verdict import State
@@ -183,7 +183,7 @@
     """A second machine is enough, though it may be cut off together with this one."""
     self.number += 1
     number, future = self.number, self.loop.create_future()
-    told = self.peers.all({"k": "roster", "e": [entry.wire(self.clock.now())], "n": number})
+    told = self.peers.all({"k": "roster", "e": [entry.to_message(self.clock.now())], "n": number})
     self.copies[number] = controlplane.Copies(set(told), 1, future)
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(future, controlplane.COPIED)
@@ -245,7 +245,9 @@
 GUARDS: dict[str, Guard] = {
     "lease": Guard(
         "CONFIG keys", (t(1.0, "cut", how="edge", count=1, lasts=11.0), t(1.5, "revoke", count=4, x=0.4)),
-        lambda: [on(Lease, "until", property(lambda self: math.inf if self.proven_at > 0 else -math.inf))],
+        lambda: [
+            on(Lease, "expires_at", property(lambda self: math.inf if self.proven_at > 0 else -math.inf))
+        ],
     ),
     "cold-allowance": Guard(
         "FAILBACK", (t(3.0, "cold", where="hill"), t(6.0, "cold", where="quay")),
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from latchspoke.configuration.patch import diff
-from latchspoke.distribution.board import Board
-from latchspoke.distribution.teller import Teller
+from latchspoke.distribution.published_state import PublishedState
+from latchspoke.distribution.publisher import Publisher
 from latchspoke.membership.post import Post
 from latchspoke.membership.timing import Timing
 from latchspoke.membership.watch import Membership, News
@@ -23,7 +23,7 @@
 from latchspoke.net.clock import Clock
 from latchspoke.net.signals import ENDING, ignore_from_now_on
 from latchspoke.pool.versions import PoolVersions
-from latchspoke.registry.registry import BeatError, Registry
+from latchspoke.registry.registry import HeartbeatError, Registry
 from latchspoke.settings import VARIABLE, Settings, SettingsError, load
 from latchspoke.settings.watch import Stamp, Watch, stamp_of
 from latchspoke.transport.connection import Message, MessageConnection
@@ -57,8 +57,12 @@
         self.internal_address = s.ip, s.ports[0] + self.PORT_OFFSET
         self.internal_endpoint = f"{s.ip}:{s.ports[0] + self.PORT_OFFSET}"
         self.registry = Registry(s.beat)
-        self.published_state = Board(self.registry, difference=diff, versions=PoolVersions())  # type: ignore[arg-type]
-        self.publisher = Teller(self.published_state, self.clock, self.handle_proof_request)
+        self.published_state = PublishedState(
+            self.registry,
+            diff_documents=diff,  # type: ignore[arg-type]
+            pool_versions=PoolVersions(),
+        )
+        self.publisher = Publisher(self.published_state, self.clock, self.handle_proof_request)
         self.listeners: list[asyncio.Server] = []
         self.stopped = asyncio.Event()
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -128,12 +132,12 @@
         """A message on an inbound connection; a malformed one ends the connection."""
         try:
             self.handle_message(connection, message)
-        except (BeatError, KeyError, TypeError, ValueError) as error:
+        except (HeartbeatError, KeyError, TypeError, ValueError) as error:
             connection.end(f"malformed message: {error!r}")
 
     def inbound_closed(self, connection: MessageConnection, reason: str) -> None:
         """An inbound connection has closed."""
-        self.publisher.ended(connection)
+        self.publisher.connection_closed(connection)
 
     def spawn(self, coroutine: Any) -> None:
         """Run a coroutine as a task, and keep a reference until it ends."""
--- a/latchspoke/pool/versions.py
+++ b/latchspoke/pool/versions.py
@@ -8,7 +8,7 @@
 from latchspoke.registry.registry import Entry, State
 
 if TYPE_CHECKING:
-    from latchspoke.distribution.board import Board
+    from latchspoke.distribution.published_state import PublishedState
 
 
 def affinity_services(doc: dict[str, Any] | None) -> frozenset[str]:
@@ -31,17 +31,20 @@
     index: int = -1
     services: frozenset[str] = field(default_factory=frozenset)
 
-    def __call__(self, board: Board) -> dict[str, str]:
+    def __call__(self, published_state: PublishedState) -> dict[str, str]:
         """Pool version by service."""
-        if board.orders.index != self.index:
-            self.index, self.services = board.orders.index, affinity_services(board.orders.doc)
+        if published_state.committed.index != self.index:
+            self.index, self.services = (
+                published_state.committed.index,
+                affinity_services(published_state.committed.document),
+            )
         if not self.services:
             return {}
         from barleyhub.affinity.rendezvous import Member, pool_version
 
         by_address: dict[str, dict[str, Entry]] = {name: {} for name in self.services}
-        for entry in board.registry.entries.values():
-            ready = entry.state is State.READY and entry.zone not in board.orders.evacuated
+        for entry in published_state.registry.entries.values():
+            ready = entry.state is State.READY and entry.zone not in published_state.committed.evacuated
             if ready and entry.service in by_address:
                 other = by_address[entry.service].get(entry.address)
                 if other is None or other.silent or not entry.silent:
--- a/latchspoke/reach/show.py
+++ b/latchspoke/reach/show.py
@@ -71,7 +71,7 @@
         rows.append(row)
     return {
         "name": settings.name, "zone": settings.zone, "region": settings.region, "life": node.instance_id,
-        "ready": node.ready, "version": f"{node.published_state.orders.version:08x}",
+        "ready": node.ready, "version": f"{node.published_state.committed.version:08x}",
         "covers_s": round(covers, 2),
         "servers": rows,
         "changes": [
--- a/tests/affinity/test_selection.py
+++ b/tests/affinity/test_selection.py
@@ -8,9 +8,9 @@
 from barleyhub.affinity.rendezvous import Caller, caller_key
 from barleyhub.affinity.selection import AffinitySelector
 from barleyhub.line.balancer import Balancer, ColdLimit, Upstream, UpstreamState
-from latchspoke.distribution.board import Board, Follower, Orders, Reader
+from latchspoke.distribution.published_state import CommittedState, Follower, PublishedState, Subscriber
 from latchspoke.pool.versions import PoolVersions
-from latchspoke.registry.registry import Entry, Registry, read_beat
+from latchspoke.registry.registry import Entry, Registry, parse_heartbeat
 
 KEYS = [caller_key(b"%d" % n) for n in range(300)]
 COLD_S = 12.0  # also the time over which a warm-up share grows
@@ -156,35 +156,35 @@
 
 def heartbeat(number: int, cold_remaining_s: float, sequence: int, now: float) -> Entry:
     body = {"service": "s", "address": f"10.0.0.{number}:80", "zone": "z0", "capacitySlots": 4}
-    return read_beat(
+    return parse_heartbeat(
         f"i{number}-0", {**body, "coldRemainingS": cold_remaining_s, "callSequence": sequence}, now
     )
 
 
 def test_a_gateway_that_starts_during_a_warm_up_agrees_at_once() -> None:
     """One server is in the middle of its warm-up, and its later heartbeats no longer report it as cold."""
-    board = Board(Registry(0.5), versions=PoolVersions())
+    published_state = PublishedState(Registry(0.5), pool_versions=PoolVersions())
     doc = {
         "listenerList": [
             {"ruleSet": [{"actionSpec": {"service": "s", "affinity": {"callerFrom": ["tenant"]}}}]}
         ]
     }
-    board.order(Orders(1, 1, doc), 90.0)
-    board.registry.merge(
-        [heartbeat(server_number, 0.0, 1, 90.0).wire(90.0) for server_number in NUMBERS], 90.0
+    published_state.update_committed(CommittedState(1, 1, doc), 90.0)
+    published_state.registry.merge(
+        [heartbeat(server_number, 0.0, 1, 90.0).to_message(90.0) for server_number in NUMBERS], 90.0
     )
     for sequence in range(1, 20):
         time = 100.0 + sequence * 0.5
-        board.registry.heard(heartbeat(10, max(103.0 - time, 0.0), sequence, time), time)
+        published_state.registry.update(heartbeat(10, max(103.0 - time, 0.0), sequence, time), time)
     messages: list[dict[str, Any]] = []
     early, late = Gateway(ten_servers()), Gateway(name="late")
     early.update(server(10, cold_until=103.0, zone="z0"))
     for server_number in NUMBERS:
         early.balancer.upstreams[f"i{server_number}-0"].zone = "z0"
-    board.join(Reader("late", messages.append), 109.5)
-    follower = Follower(Board(Registry(0.5), versions=PoolVersions()), lambda old, patch: old)
-    _, entries = follower.take(messages[0], 400.0)  # its clock differs
-    assert not follower.differing
+    published_state.add_subscriber(Subscriber("late", messages.append), 109.5)
+    follower = Follower(PublishedState(Registry(0.5), pool_versions=PoolVersions()), lambda old, patch: old)
+    _, entries = follower.apply(messages[0], 400.0)  # its clock differs
+    assert not follower.differing_pools
     for entry in entries:
         number = int(entry.address.split(":")[0].rpartition(".")[2])
         late.update(server(number, zone="z0", cold_until=entry.cold_until))
--- a/tests/controlplane/test_fanout.py
+++ b/tests/controlplane/test_fanout.py
@@ -12,7 +12,7 @@
 from latchspoke.controlplane.fanout import PASS_ON, Regions, roster
 from latchspoke.controlplane.peers import Link, Peers
 from latchspoke.controlplane.relays import Relays
-from latchspoke.distribution.board import unpack_entries
+from latchspoke.distribution.published_state import decode_entries
 from latchspoke.membership.words import Member
 from tests.controlplane.test_node import Box, box  # noqa: F401
 
@@ -108,12 +108,12 @@
     asked.clear()
     box.node.handle_message(cast(Any, wire), {"k": "want", "i": ["s-1", "s-2"]})
     name, answer = asked[0]
-    assert name == "10.2.0.11:7601" and [each["i"] for each in unpack_entries(answer)] == ["s-1"]
+    assert name == "10.2.0.11:7601" and [each["i"] for each in decode_entries(answer)] == ["s-1"]
 
 
 def test_many_servers_travel_deflated_where_all_can_inflate_them() -> None:
     entries = [{"i": f"s-{n}", "t": 0, "q": 1, "s": "svc", "a": f"10.0.0.{n}:8080"} for n in range(60)]
-    assert unpack_entries(roster(entries, packs=True)) == entries
+    assert decode_entries(roster(entries, packs=True)) == entries
     assert "ez" in roster(entries, packs=True) and "ez" not in roster(entries, packs=False)
 
 
--- a/tests/controlplane/test_news.py
+++ b/tests/controlplane/test_news.py
@@ -20,7 +20,9 @@
     clock: Any = VirtualClock(loop)
     sent: list[tuple[float, list[str]]] = []
     begun = clock.now()
-    news = ServerNews(clock, lambda entries, now: sent.append((now - begun, [e.ident for e in entries])))
+    news = ServerNews(
+        clock, lambda entries, now: sent.append((now - begun, [e.instance_id for e in entries]))
+    )
     news.tell([entry("a")], begun)
     assert sent == [(0.0, ["a"])]
     for number in range(40):
--- a/tests/ctl/world.py
+++ b/tests/ctl/world.py
@@ -9,9 +9,9 @@
 
 from latchspoke.controlplane import node as controlplane
 from latchspoke.dataplane.node import Node
-from latchspoke.distribution.board import Orders, Reader
+from latchspoke.distribution.published_state import CommittedState, Subscriber
 from latchspoke.membership.words import Member
-from latchspoke.registry.registry import read_beat
+from latchspoke.registry.registry import parse_heartbeat
 from latchspoke.settings import Settings, parse
 
 KEY = "k9secretk9"
@@ -55,14 +55,14 @@
     """It knows the configuration, has a proof, and knows four servers."""
     node = Node(settings(), loop, "local.yaml")
     now = node.clock.now()
-    node.published_state.order(Orders(12, 7, CONFIGURATION, frozenset("c")), now)
-    node.lease.proven(now)
+    node.published_state.update_committed(CommittedState(12, 7, CONFIGURATION, frozenset("c")), now)
+    node.lease.renew(now)
     told = {
         "b1": beat("books", 1), "b2": beat("books", 2, "b"), "b3": beat("books", 3, coldRemainingS=9),
         "t1": beat("till", 4, "c"),
     }  # fmt: skip
     node.state_changed(
-        True, [node.registry.heard(read_beat(i, body, now), now)[0] for i, body in told.items()]
+        True, [node.registry.update(parse_heartbeat(i, body, now), now)[0] for i, body in told.items()]
     )
     node.update_gateways()
     return node
@@ -81,7 +81,7 @@
     node.replica.orders.apply(12, {"do": "replace", **orders})
     node.replica.orders.apply(13, {"do": "evacuate", "zone": "b"})
     node.control("POST", "/rpc?call=instances.heartbeat&of=b1", json.dumps(beat("books", 1)).encode())
-    node.published_state.join(Reader("edge-a-1", lambda message: None), node.clock.now())
+    node.published_state.add_subscriber(Subscriber("edge-a-1", lambda message: None), node.clock.now())
     edge = Member("edge-a-1", "127.0.0.1", 7600, {"role": "edge", "ready": True, "door": 8201}, 0, "l1")
     node.membership_transport.membership.alive["edge-a-1"] = edge
     return node
--- a/tests/dataplane/test_recorded_exchanges.py
+++ b/tests/dataplane/test_recorded_exchanges.py
@@ -24,7 +24,7 @@
         default.established_at - default.started_at,
     ) == (4.0, 0.8, 5.0)
     assert other.dispatcher.hold_s == pytest.approx(1.3)
-    assert other.subscription.proof_interval <= other.lease.lasts / 5
+    assert other.subscription.proof_interval <= other.lease.duration_s / 5
     assert other.established_at - other.started_at == 9.0
     without_leases = Player("revocationEnforced=false").node
     assert without_leases.dispatcher.hold_s == 4.0 and without_leases.subscription.proof_interval == 0.8
--- a/tests/dataplane/test_subscription.py
+++ b/tests/dataplane/test_subscription.py
@@ -10,7 +10,7 @@
 import pytest
 
 from latchspoke.dataplane.subscription import FIRST_PROOF_DIVISOR, Source, Subscription
-from latchspoke.distribution.board import Board, Follower, Lease
+from latchspoke.distribution.published_state import Follower, Lease, PublishedState
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import VirtualClock
 from latchspoke.registry.registry import Registry
@@ -33,7 +33,7 @@
         self.proven: list[tuple[float, str]] = []
         self.subscription = Subscription(
             "edge", "gdn-a", "gdn", VirtualClock(self.loop), random.Random(seed),
-            Follower(Board(Registry(1.5)), lambda old, new: new), Lease(4.5), lambda: self.sources,
+            Follower(PublishedState(Registry(1.5)), lambda old, new: new), Lease(4.5), lambda: self.sources,
             lambda configuration_changed, entries: None, first_proof_timeout=CONTACT_S / FIRST_PROOF_DIVISOR,
         )  # fmt: skip
 
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -191,11 +191,11 @@
 @then("the gateway asks for the whole")
 def asks(scene: Scene) -> None:
     said = FrameDecoder().feed(cast(FakeTransport, scene.player.connection.transport).written)
-    assert {"k": "again", "version": scene.player.node.published_state.orders.version} in said
+    assert {"k": "again", "version": scene.player.node.published_state.committed.version} in said
 
 
 @then("nothing is proven by an index that it doesn't know")
 def unproven(scene: Scene) -> None:
-    before = scene.player.node.lease.until
+    before = scene.player.node.lease.expires_at
     scene.play("time 1", "proof 0")
-    assert scene.player.node.lease.until == before
+    assert scene.player.node.lease.expires_at == before
