--- a/latchspoke/controlplane/evacuations.py
+++ b/latchspoke/controlplane/evacuations.py
@@ -19,10 +19,12 @@
 
 from latchspoke.configstore.orders import Orders
 
-REPEAT_PART = 0.75  # of ``ackS``; callers' pauses, with one or two machines that say nothing, take no longer
+REPEAT_WINDOW_FRACTION = (
+    0.75  # of ``ackS``; callers' pauses, with one or two machines that say nothing, take no longer
+)
 
 
-class Kind(Enum):
+class CallKind(Enum):
     """What a call is taken for."""
 
     FIRST = "first"  # nothing stands
@@ -31,69 +33,81 @@
     UNCLEAR = "unclear"
 
 
-class Change(msgspec.Struct, frozen=True):
+class EvacuationChange(msgspec.Struct, frozen=True):
     """The last change of a zone's evacuations."""
 
-    place: int  # in the log
-    begun: bool  # one more stands since; else one less
-    at: float  # s, on this machine's clock
-    seen: bool  # as it came; what stood at the start of a process may be of any age
+    log_index: int  # in the log
+    is_begin: bool  # one more stands since; else one less
+    changed_at: float  # s, on this machine's clock
+    observed: bool  # as it came; what stood at the start of a process may be of any age
 
 
-class EvacuationCalls:
+class EvacuationCallTracker:
     """What one control machine knows of changes and calls, by zone; others tell theirs."""
 
     def __init__(self, started_at: float) -> None:
         self.started_at = started_at
-        self.standing: dict[str, int] = {}  # as last applied here
-        self.changes: dict[str, Change] = {}
-        self.begins: dict[str, float] = {}  # when a begin was last acknowledged
+        self.active_counts: dict[str, int] = {}  # as last applied here
+        self.changes: dict[str, EvacuationChange] = {}
+        self.begin_acknowledged_at: dict[str, float] = {}  # when a begin was last acknowledged
 
-    def applied(self, orders: Orders, now: float, seen: bool) -> None:
+    def record_applied(self, orders: Orders, now: float, observed: bool) -> None:
         """The store has applied orders. ``seen``: at about the time at which they were committed."""
         for zone in orders.zones:
-            standing = orders.standing(zone)
-            before = self.standing.get(zone, 0)
-            if standing == before:
+            active = orders.standing(zone)
+            previous = self.active_counts.get(zone, 0)
+            if active == previous:
                 continue
-            known, place = self.changes.get(zone), orders.zones[zone][0]
-            if known is None or known.place < place:
-                self.changes[zone] = Change(place, standing > before, now, seen)
-            self.standing[zone] = standing
+            known, log_index = self.changes.get(zone), orders.zones[zone][0]
+            if known is None or known.log_index < log_index:
+                self.changes[zone] = EvacuationChange(log_index, active > previous, now, observed)
+            self.active_counts[zone] = active
 
-    def acknowledged(self, zone: str, now: float) -> None:
+    def record_acknowledged_begin(self, zone: str, now: float) -> None:
         """A begin was answered with success at ``now``."""
-        self.begins[zone] = max(self.begins.get(zone, -math.inf), now)
+        self.begin_acknowledged_at[zone] = max(self.begin_acknowledged_at.get(zone, -math.inf), now)
 
-    def judge(self, zone: str, begins: bool, orders: Orders, ack_s: float, now: float) -> Kind:
+    def classify(self, zone: str, is_begin: bool, orders: Orders, ack_s: float, now: float) -> CallKind:
         """What a call that comes now is taken for. ``ack_s``: the longest time over which one is repeated."""
         if not orders.standing(zone):
-            return Kind.FIRST
-        place = orders.zones[zone][0]
+            return CallKind.FIRST
+        log_index = orders.zones[zone][0]
         change = self.changes.get(zone)
-        if change is None or change.place != place or not change.seen:
+        if change is None or change.log_index != log_index or not change.observed:
             # What stood already when this process began may have been ordered a moment before.
-            change = Change(place, begins, self.started_at, False)
-        if change.begun != begins:
-            return Kind.ANOTHER
-        last = max(change.at, self.begins.get(zone, -math.inf)) if begins else change.at
-        if now - last >= REPEAT_PART * ack_s or now - change.at >= ack_s:
-            return Kind.ANOTHER
-        return Kind.REPEAT if begins else Kind.UNCLEAR
-
-    def wire(self, now: float) -> dict[str, Any] | None:
+            change = EvacuationChange(log_index, is_begin, self.started_at, False)
+        if change.is_begin != is_begin:
+            return CallKind.ANOTHER
+        last_activity_at = (
+            max(change.changed_at, self.begin_acknowledged_at.get(zone, -math.inf))
+            if is_begin
+            else change.changed_at
+        )
+        if now - last_activity_at >= REPEAT_WINDOW_FRACTION * ack_s or now - change.changed_at >= ack_s:
+            return CallKind.ANOTHER
+        return CallKind.REPEAT if is_begin else CallKind.UNCLEAR
+
+    def to_message(self, now: float) -> dict[str, Any] | None:
         """For another control machine, which may have begun anew; None if there is nothing to tell."""
-        seen = {z: [c.place, c.begun, round(now - c.at, 3)] for z, c in self.changes.items() if c.seen}
-        if not seen and not self.begins:
+        observed = {
+            zone: [change.log_index, change.is_begin, round(now - change.changed_at, 3)]
+            for zone, change in self.changes.items()
+            if change.observed
+        }
+        if not observed and not self.begin_acknowledged_at:
             return None
-        ages = {zone: round(now - at, 3) for zone, at in self.begins.items()}
-        return {"k": "moved", "z": seen, "a": {}, "c": ages}
+        ages = {zone: round(now - at, 3) for zone, at in self.begin_acknowledged_at.items()}
+        return {"k": "moved", "z": observed, "a": {}, "c": ages}
 
-    def learn(self, message: Mapping[str, Any], now: float) -> None:
+    def merge(self, message: Mapping[str, Any], now: float) -> None:
         """What ``wire`` wrote elsewhere. Raises KeyError, TypeError, ValueError."""
-        for zone, (place, begun, age) in message["z"].items():
+        for zone, (log_index, is_begin, age) in message["z"].items():
             known = self.changes.get(zone)
-            if known is None or known.place < place or (known.place == place and not known.seen):
-                self.changes[zone] = Change(place, begun, now - age, True)
+            if (
+                known is None
+                or known.log_index < log_index
+                or (known.log_index == log_index and not known.observed)
+            ):
+                self.changes[zone] = EvacuationChange(log_index, is_begin, now - age, True)
         for zone, age in message.get("c", {}).items():
-            self.acknowledged(zone, now - float(age))
+            self.record_acknowledged_begin(zone, now - float(age))
--- a/latchspoke/controlplane/fanout.py
+++ b/latchspoke/controlplane/fanout.py
@@ -17,51 +17,53 @@
 from latchspoke.distribution.published_state import encode_entries
 from latchspoke.transport.connection import Message
 
-PASS_ON = "fan"  # the field that asks the receiver to pass a message on within its region
-WANTED_MOST = 200  # servers asked for at once
+FORWARD_FIELD = "fan"  # the field that asks the receiver to pass a message on within its region
+MAX_REQUESTED_SERVERS = 200  # servers asked for at once
 
 
-class Regions:
+class RegionTopology:
     """Where the other control machines stand, and which of them pass news on."""
 
-    def __init__(self, me: str, region: str, draw: random.Random) -> None:
-        self.me, self.region, self.draw = me, region, draw
-        self.of: dict[str, str] = {}  # region by name
-        self.capable: set[str] = set()  # names of those that have said that they pass news on
+    def __init__(self, own_name: str, region: str, rng: random.Random) -> None:
+        self.own_name, self.region, self.rng = own_name, region, rng
+        self.region_by_node: dict[str, str] = {}  # region by name
+        self.forwarding_nodes: set[str] = set()  # names of those that have said that they pass news on
 
-    def near(self, names: Iterable[str]) -> list[str]:
+    def in_own_region(self, names: Iterable[str]) -> list[str]:
         """Those of this region, and those of whom no region is known."""
-        return [name for name in names if self.of.get(name, self.region) in (self.region, "")]
+        return [name for name in names if self.region_by_node.get(name, self.region) in (self.region, "")]
 
-    def targets(self, names: Collection[str], sound: Callable[[str], bool]) -> dict[str, bool]:
+    def targets(self, names: Collection[str], is_reachable: Callable[[str], bool]) -> dict[str, bool]:
         """To whom news for all of these goes, and whether it is to be passed on there.
 
         ``sound``: whether what is sent there surely arrives. A region without such a machine is told whole.
         """
-        found = dict.fromkeys(self.near(names), False)
-        far: defaultdict[str, list[str]] = defaultdict(list)
+        forward_by_target = dict.fromkeys(self.in_own_region(names), False)
+        distant: defaultdict[str, list[str]] = defaultdict(list)
         for name in names:
-            if name not in found:
-                far[self.of[name]].append(name)
-        for members in far.values():
-            relays = [name for name in members if name in self.capable and sound(name)]
-            if len(members) > 1 and relays:
-                found[self.draw.choice(sorted(relays))] = True
+            if name not in forward_by_target:
+                distant[self.region_by_node[name]].append(name)
+        for region_nodes in distant.values():
+            forwarders = [
+                name for name in region_nodes if name in self.forwarding_nodes and is_reachable(name)
+            ]
+            if len(region_nodes) > 1 and forwarders:
+                forward_by_target[self.rng.choice(sorted(forwarders))] = True
             else:
-                found |= dict.fromkeys(members, False)
-        return found
+                forward_by_target |= dict.fromkeys(region_nodes, False)
+        return forward_by_target
 
-    def tells_whole(self, newcomer: str, alive: Iterable[str]) -> bool:
+    def sends_snapshot(self, newcomer: str, alive: Iterable[str]) -> bool:
         """Whether this machine tells one that has just connected all it knows.
 
         All of the newcomer's region do, and of each other region one, by the newcomer's name.
         """
-        if newcomer in self.near([newcomer]):
+        if newcomer in self.in_own_region([newcomer]):
             return True
-        beside = sorted({*self.near(alive), self.me} - {newcomer})
-        return beside[crc32(newcomer.encode()) % len(beside)] == self.me
+        candidates = sorted({*self.in_own_region(alive), self.own_name} - {newcomer})
+        return candidates[crc32(newcomer.encode()) % len(candidates)] == self.own_name
 
 
-def roster(entries: list[Message], packs: bool) -> Message:
+def servers_message(entries: list[Message], compress: bool) -> Message:
     """Servers for other control machines; ``packs``: all that get it can inflate them."""
-    return {"k": "roster"} | encode_entries(entries, packs)
+    return {"k": "roster"} | encode_entries(entries, compress)
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -12,24 +12,29 @@
 from latchspoke import node_process
 from latchspoke.agent.ledger import LedgerError
 from latchspoke.configstore.orders import UNCHECKED, Verdict
-from latchspoke.configstore.orders import Orders as Kept
+from latchspoke.configstore.orders import Orders as StoredState
 from latchspoke.configstore.replica import Replica
 from latchspoke.configstore.voters import CATCH_UP, Place
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.consensus.records import name_of
 from latchspoke.controlplane.calls import (
-    Asked,
-    InvalidError,
+    ApiCall,
+    InvalidRequestError,
     heartbeat_target,
-    locate,
-    read_call,
-    read_configuration,
+    parse_call,
+    parse_configuration,
+    select_gateways,
+)
+from latchspoke.controlplane.evacuations import CallKind, EvacuationCallTracker
+from latchspoke.controlplane.fanout import (
+    FORWARD_FIELD,
+    MAX_REQUESTED_SERVERS,
+    RegionTopology,
+    servers_message,
 )
-from latchspoke.controlplane.evacuations import EvacuationCalls, Kind
-from latchspoke.controlplane.fanout import PASS_ON, WANTED_MOST, Regions, roster
-from latchspoke.controlplane.news import ServerNews
 from latchspoke.controlplane.peers import Peers
-from latchspoke.controlplane.relays import Relays
+from latchspoke.controlplane.relays import GatewayRelays
+from latchspoke.controlplane.update_batcher import ServerUpdateBatcher
 from latchspoke.distribution.published_state import CommittedState, Subscriber, decode_entries
 from latchspoke.membership.post import PACKS
 from latchspoke.membership.watch import News
@@ -41,37 +46,39 @@
 from latchspoke.transport.log import log
 from latchspoke.transport.request_ids import first_request_id
 
-SWEEP = 0.25  # s
-GOSSIP = 1.0  # s between words to the other control machines on who has beaten here
-PROVE = 0.4  # s between proofs, at least; those who ask meanwhile share the next
-COPIED = 0.8  # s that a server's word to leave waits for a majority of the core
-TOLD = 0.35  # s that an acknowledged order waits for the gateways that follow here
-LIMIT = 0.85  # s for the register
-ALONE = 3.5  # s without others until silence of servers may be this machine's own
-EVIDENCE = 0.1  # s that what gateways saw of servers is gathered before it is told on
-EVIDENCE_AGAIN = 0.3  # s until what has changed too little to be told is looked at again
-ACK = 6.0  # s; so long after its first sending an evacuation may be sent again, if no bound tells
-TTL = 1.0  # s; how long a client holds the locator's answer
-CHECKS = 3  # tries to check a change against a base that moves meanwhile
-HEARD: Message = {"k": "heard"}  # the answer to what needs none: the way to its sender is sound
-STATUS = {"taken": 200, "repeated": 200, "conflict": 412, "invalid": 400}
+SWEEP_INTERVAL_S = 0.25  # s
+HEARTBEAT_REPORT_INTERVAL_S = 1.0  # s between words to the other control machines on who has beaten here
+PROOF_INTERVAL_S = 0.4  # s between proofs, at least; those who ask meanwhile share the next
+REPLICATION_TIMEOUT_S = 0.8  # s that a server's word to leave waits for a majority of the core
+SUBSCRIBER_ACK_TIMEOUT_S = 0.35  # s that an acknowledged order waits for the gateways that follow here
+STORE_TIMEOUT_S = 0.85  # s for the register
+ISOLATION_GRACE_S = 3.5  # s without others until silence of servers may be this machine's own
+EVIDENCE_DELAY_S = 0.1  # s that what gateways saw of servers is gathered before it is told on
+EVIDENCE_RETRY_DELAY_S = 0.3  # s until what has changed too little to be told is looked at again
+DEFAULT_ACK_TIMEOUT_S = (
+    6.0  # s; so long after its first sending an evacuation may be sent again, if no bound tells
+)
+RESOLUTION_TTL_S = 1.0  # s; how long a client holds the locator's answer
+MAX_CHECK_ATTEMPTS = 3  # tries to check a change against a base that moves meanwhile
+RECEIPT: Message = {"k": "heard"}  # the answer to what needs none: the way to its sender is sound
+STATUS_BY_VERDICT = {"taken": 200, "repeated": 200, "conflict": 412, "invalid": 400}
 
 
 @dataclass(slots=True)
-class Copies:
+class PendingReplication:
     """Other control machines that were told of a server, and how many of them must still say so."""
 
-    asked: set[str]
-    lacking: int
-    whole: asyncio.Future[None]
+    awaited: set[str]
+    remaining: int
+    completed: asyncio.Future[None]
 
-    def got(self, name: str) -> None:
+    def record_confirmation(self, name: str) -> None:
         """This control machine has said that it knows."""
-        if name in self.asked:
-            self.asked.discard(name)
-            self.lacking -= 1
-            if not self.lacking and not self.whole.done():
-                self.whole.set_result(None)
+        if name in self.awaited:
+            self.awaited.discard(name)
+            self.remaining -= 1
+            if not self.remaining and not self.completed.done():
+                self.completed.set_result(None)
 
 
 class Node(NodeProcess):
@@ -82,16 +89,18 @@
     def build(self) -> None:
         """Raises LedgerError."""
         s = self.settings
-        self.me = self.internal_endpoint
+        self.own_name = self.internal_endpoint
         founders = tuple(f"{host}:{port}" for host, port in self.seed_addresses())
-        self.ledger, self.telling = Ledger(), False
-        self.relays = Relays(self.me, self.rng)
-        regions = Regions(self.me, s.region, self.rng)
-        self.peers = Peers(self.me, self.peer_joined, self.peer_answers, self.relays, regions, self.clock.now)
+        self.ledger, self.evidence_scheduled = Ledger(), False
+        self.relays = GatewayRelays(self.own_name, self.rng)
+        topology = RegionTopology(self.own_name, s.region, self.rng)
+        self.peers = Peers(
+            self.own_name, self.peer_connected, self.handle_peer_reply, self.relays, topology, self.clock.now
+        )
         assert s.data is not None
         self.replica = Replica(
-            self.me, founders, s.first, Path(s.data), self.to_register, apply_patch,  # type: ignore[arg-type]
-            self.applied, self.clock.now, lambda event, fields: log(event, **fields),
+            self.own_name, founders, s.first, Path(s.data), self.send_store_message, apply_patch,  # type: ignore[arg-type]
+            self.store_applied, self.clock.now, lambda event, fields: log(event, **fields),
             catch_up=s.bound("catchUpS", CATCH_UP),
         )  # fmt: skip
         meta = {
@@ -103,324 +112,346 @@
             PACKS: True,
         }
         self.membership_transport = self.create_membership_transport(meta)
-        self.to_gateways = ServerNews(self.clock, self.published_state.publish_entries)
-        self.to_peers = ServerNews(self.clock, self.tell_peers)
-        self.beaten: dict[str, Entry] = {}  # heard here since the last word to the others
-        self.copies: dict[int, Copies] = {}
-        self.number = first_request_id(self.instance_id)
-        self.asking: list[
+        self.gateway_updates = ServerUpdateBatcher(self.clock, self.published_state.publish_entries)
+        self.peer_updates = ServerUpdateBatcher(self.clock, self.send_servers_to_peers)
+        self.unreported_heartbeats: dict[str, Entry] = {}  # heard here since the last word to the others
+        self.pending_replications: dict[int, PendingReplication] = {}
+        self.replication_number = first_request_id(self.instance_id)
+        self.proof_requests: list[
             tuple[MessageConnection, int, float]
         ] = []  # gateways that wait for a proof, and since when
-        self.proving = False
-        self.together_at = self.begun_at = self.clock.now()
-        self.evacuations = EvacuationCalls(self.begun_at)
-        self.calls: dict[str, Callable[[Asked, bytes, Caller], Response | Awaitable[Response]]] = {
-            "instances.heartbeat": lambda asked, body, caller: self.beat(asked.of, body),
-            "instances.deregister": lambda asked, body, caller: self.leave(asked.of),
-            "configuration.replace": lambda asked, body, caller: self.configure(body),
-            "configuration.modify": lambda asked, body, caller: self.configure(body),
-            "configuration.read": lambda asked, body, caller: self.read(),
-            "evacuation.begin": lambda asked, body, caller: self.evacuate(asked, caller),
-            "evacuation.finish": lambda asked, body, caller: self.evacuate(asked, caller),
-            "GET /resolution": lambda asked, body, caller: self.resolve(asked),
-            "GET /status": lambda asked, body, caller: self.show("status"),
-            "GET /metrics": lambda asked, body, caller: self.show("metrics"),
-            "GET /history": lambda asked, body, caller: self.show("history"),
-            "GET /register/copy": lambda asked, body, caller: self.copy(),
+        self.proof_running = False
+        self.last_connected_at = self.started_at = self.clock.now()
+        self.evacuations = EvacuationCallTracker(self.started_at)
+        self.handlers: dict[str, Callable[[ApiCall, bytes, Caller], Response | Awaitable[Response]]] = {
+            "instances.heartbeat": lambda call, body, caller: self.handle_heartbeat(call.subject, body),
+            "instances.deregister": lambda call, body, caller: self.handle_deregistration(call.subject),
+            "configuration.replace": lambda call, body, caller: self.handle_configuration(body),
+            "configuration.modify": lambda call, body, caller: self.handle_configuration(body),
+            "configuration.read": lambda call, body, caller: self.handle_configuration_read(),
+            "evacuation.begin": lambda call, body, caller: self.handle_evacuation(call, caller),
+            "evacuation.finish": lambda call, body, caller: self.handle_evacuation(call, caller),
+            "GET /resolution": lambda call, body, caller: self.resolve_gateways(call),
+            "GET /status": lambda call, body, caller: self.show_view("status"),
+            "GET /metrics": lambda call, body, caller: self.show_view("metrics"),
+            "GET /history": lambda call, body, caller: self.show_view("history"),
+            "GET /register/copy": lambda call, body, caller: self.export_state(),
         }
         self.stopping = False
 
     # The register.
 
-    def to_register(self, name: str, message: Message) -> None:
+    def send_store_message(self, name: str, message: Message) -> None:
         """Send a message of the replicated store to another control machine."""
         self.peers.send(name, {"k": "reg", "m": message})
 
-    def applied(self, kept: Kept) -> None:
+    def store_applied(self, stored: StoredState) -> None:
         """The operator's word as committed: the only one that is ever told."""
-        self.evacuations.applied(kept, self.clock.now(), self.replica.proven)
+        self.evacuations.record_applied(stored, self.clock.now(), self.replica.proven)
         if self.replica.proven:
-            self.tell_orders()
+            self.publish_committed()
 
-    def tell_orders(self) -> None:
+    def publish_committed(self) -> None:
         """Tell gateways the newest orders, if they are news."""
-        kept = self.replica.orders
-        orders = CommittedState(kept.index, kept.version, kept.document, kept.evacuated)
-        if self.published_state.update_committed(orders, self.clock.now()):
+        stored = self.replica.orders
+        committed = CommittedState(stored.index, stored.version, stored.document, stored.evacuated)
+        if self.published_state.update_committed(committed, self.clock.now()):
             log(
                 "orders",
-                version=f"{orders.version:08x}",
-                index=orders.index,
-                evacuated=",".join(sorted(orders.evacuated)),
+                version=f"{committed.version:08x}",
+                index=committed.index,
+                evacuated=",".join(sorted(committed.evacuated)),
             )
 
-    def handle_proof_request(self, wire: MessageConnection, tag: int) -> None:
+    def handle_proof_request(self, connection: MessageConnection, proof_id: int) -> None:
         """A gateway asks whether what it knows is the newest. Those who ask at one time share a proof."""
-        self.asking.append((wire, tag, self.clock.now()))
-        if not self.proving:
-            self.proving = True
-            self.spawn(self.proofs())
+        self.proof_requests.append((connection, proof_id, self.clock.now()))
+        if not self.proof_running:
+            self.proof_running = True
+            self.spawn(self.run_proof_rounds())
 
-    async def proofs(self) -> None:
+    async def run_proof_rounds(self) -> None:
         """Rounds of a majority, as long as somebody asks. What a round proves holds as of its beginning, so
         that it serves those too who have asked since, with its age."""
-        while self.asking:
-            begun, first = self.clock.now(), len(self.asking)
-            index = await self.confirmed()
-            asking, self.asking = self.asking, []
+        while self.proof_requests:
+            round_started_at, request_count = self.clock.now(), len(self.proof_requests)
+            index = await self.confirm_index()
+            requests, self.proof_requests = self.proof_requests, []
             if index is None:
-                asking, self.asking = asking[:first], asking[first:]
-                for wire, tag, _ in asking:
-                    wire.send({"k": "proven", "t": tag})
+                requests, self.proof_requests = requests[:request_count], requests[request_count:]
+                for connection, proof_id, _ in requests:
+                    connection.send({"k": "proven", "t": proof_id})
             else:
-                self.tell_orders()
+                self.publish_committed()
                 # By what this machine has applied: a gateway that knows all of it knows the newest.
-                known = self.published_state.committed.index
-                for wire, tag, at in asking:
-                    age = max(at - begun, 0.0)
-                    proof = {"k": "proven", "t": tag, "index": known}
-                    wire.send(proof | {"age": round(age + 0.001, 4)} if age else proof)
-            if self.asking:
-                await asyncio.sleep(max(begun + PROVE - self.clock.now(), 0.01))
-        self.proving = False
-
-    async def confirmed(self) -> int | None:
+                applied_index = self.published_state.committed.index
+                for connection, proof_id, requested_at in requests:
+                    age = max(requested_at - round_started_at, 0.0)
+                    proof = {"k": "proven", "t": proof_id, "index": applied_index}
+                    connection.send(proof | {"age": round(age + 0.001, 4)} if age else proof)
+            if self.proof_requests:
+                await asyncio.sleep(max(round_started_at + PROOF_INTERVAL_S - self.clock.now(), 0.01))
+        self.proof_running = False
+
+    async def confirm_index(self) -> int | None:
         """Up to which index this machine surely knows all; None where that can't be proven now."""
         try:
-            return await self.replica.confirm(LIMIT, patient=self.published_state.committed.index > 0)
+            return await self.replica.confirm(
+                STORE_TIMEOUT_S, patient=self.published_state.committed.index > 0
+            )
         except Exception as e:  # one round that fails must not be the last
             log("proof-failed", why=repr(e))
             return None
 
     # Other control machines.
 
-    def peer_joined(self, wire: MessageConnection) -> None:
+    def peer_connected(self, connection: MessageConnection) -> None:
         """A new connection to one: it is told all that is known of servers."""
         now = self.clock.now()
-        if self.peers.regions.tells_whole(str(wire.tag), self.peers.alive):
-            packs = str(wire.tag) in self.peers.regions.capable
-            wire.send(roster(self.registry.snapshot(now), packs))
+        if self.peers.topology.sends_snapshot(str(connection.tag), self.peers.alive):
+            supports_compression = str(connection.tag) in self.peers.topology.forwarding_nodes
+            connection.send(servers_message(self.registry.snapshot(now), supports_compression))
         # It may have begun anew, and know neither when evacuations were ordered nor who has an answer.
-        if told := self.evacuations.wire(now):
-            wire.send(told)
+        if evacuations := self.evacuations.to_message(now):
+            connection.send(evacuations)
 
-    def peer_answers(self, wire: MessageConnection, message: Message) -> None:
+    def handle_peer_reply(self, connection: MessageConnection, message: Message) -> None:
         """What another control machine says on a connection opened from here."""
-        self.peers.heard(str(wire.tag))
+        self.peers.record_received(str(connection.tag))
         if message.get("k") == "got":
-            self.got(str(wire.tag), message)
+            self.handle_replication_confirmation(str(connection.tag), message)
 
-    def got(self, name: str, message: Message) -> None:
+    def handle_replication_confirmation(self, name: str, message: Message) -> None:
         """Another control machine knows what it was told of a server."""
-        copies = self.copies.get(int(message["n"]))
-        if copies is not None:
-            copies.got(name)
+        pending = self.pending_replications.get(int(message["n"]))
+        if pending is not None:
+            pending.record_confirmation(name)
 
-    def relayed(self, wire: MessageConnection, message: Message, now: float) -> None:
+    def handle_relayed_message(self, connection: MessageConnection, message: Message, now: float) -> None:
         """From another control machine, by way of a gateway."""
-        name, said = str(message["from"]), message["m"]
-        self.relays.heard(name, wire, now)
-        if said["k"] == "got":
-            self.got(name, said)
+        name, relayed_message = str(message["from"]), message["m"]
+        self.relays.record_received(name, connection, now)
+        if relayed_message["k"] == "got":
+            self.handle_replication_confirmation(name, relayed_message)
         else:
-            self.from_peer(name, said, now, lambda answer: self.relays.send(name, answer, now))
+            self.handle_peer_message(
+                name, relayed_message, now, lambda reply: self.relays.send(name, reply, now)
+            )
 
-    def from_peer(self, name: str, message: Message, now: float, answer: Callable[[Message], object]) -> bool:
+    def handle_peer_message(
+        self, name: str, message: Message, now: float, reply: Callable[[Message], object]
+    ) -> bool:
         """From another control machine, whichever way it came; whether it is such a message."""
         match message.get("k"):
             case "reg":
                 self.replica.heard(name, message["m"])
             case "roster":
-                answer({"k": "got", "n": message["n"]} if "n" in message else HEARD)
-                self.learn(message, now)
+                reply({"k": "got", "n": message["n"]} if "n" in message else RECEIPT)
+                self.merge_servers(message, now)
             case "beats":
-                answer(HEARD)
-                self.refresh(name, message, now)
+                reply(RECEIPT)
+                self.refresh_heartbeats(name, message, now)
             case "want":
-                self.tell_wanted(name, message, now)
+                self.send_requested_servers(name, message, now)
             case "moved":
-                self.evacuations.learn(message, now)
+                self.evacuations.merge(message, now)
             case _:
                 return False
         return True
 
-    def handle_message(self, wire: MessageConnection, message: Message) -> None:
+    def handle_message(self, connection: MessageConnection, message: Message) -> None:
         """What comes on connections that others have opened: control machines and gateways."""
         now = self.clock.now()
-        if isinstance(wire.tag, str):
-            self.peers.heard(wire.tag)
+        if isinstance(connection.tag, str):
+            self.peers.record_received(connection.tag)
         match message.get("k"):
             case "relayed":
-                self.relayed(wire, message, now)
+                self.handle_relayed_message(connection, message, now)
             case "peer":
-                wire.tag = str(message["name"])
+                connection.tag = str(message["name"])
                 if message.get("fans"):
-                    self.peers.regions.capable.add(wire.tag)
+                    self.peers.topology.forwarding_nodes.add(connection.tag)
             case "hot":
-                self.evidence(wire, message, now)
+                self.handle_evidence(connection, message, now)
             case "hello":
-                self.publisher.handle_message(wire, message)
-                self.relays.joined(wire)
-                if known := self.ledger.whole(now, wire.tag.zone):
-                    wire.send({"k": "hot", "e": known})
+                self.publisher.handle_message(connection, message)
+                self.relays.add_gateway(connection)
+                if evidence := self.ledger.whole(now, connection.tag.zone):
+                    connection.send({"k": "hot", "e": evidence})
             case _:
-                if not self.from_peer(str(wire.tag), message, now, wire.send):
-                    self.publisher.handle_message(wire, message)
+                if not self.handle_peer_message(str(connection.tag), message, now, connection.send):
+                    self.publisher.handle_message(connection, message)
 
-    def inbound_closed(self, wire: MessageConnection, reason: str) -> None:
+    def inbound_closed(self, connection: MessageConnection, reason: str) -> None:
         """A connection that another process had opened has ended."""
-        super().inbound_closed(wire, reason)
-        self.relays.left(wire)
-        if isinstance(wire.tag, Subscriber):
-            self.ledger.left(wire.tag.name)
+        super().inbound_closed(connection, reason)
+        self.relays.remove_connection(connection)
+        if isinstance(connection.tag, Subscriber):
+            self.ledger.left(connection.tag.name)
 
-    def evidence(self, wire: MessageConnection, message: Message, now: float) -> None:
+    def handle_evidence(self, connection: MessageConnection, message: Message, now: float) -> None:
         """What gateways that follow here, or another control machine's, saw of servers."""
-        if isinstance(wire.tag, Subscriber):
-            self.ledger.heard(wire.tag.name, wire.tag.zone, message["w"], now)
+        if isinstance(connection.tag, Subscriber):
+            self.ledger.heard(connection.tag.name, connection.tag.zone, message["w"], now)
         else:
-            self.ledger.merge(str(wire.tag), message["e"], now)
-        self.gather(now + EVIDENCE)
+            self.ledger.merge(str(connection.tag), message["e"], now)
+        self.schedule_evidence(now + EVIDENCE_DELAY_S)
 
-    def gather(self, at: float) -> None:
+    def schedule_evidence(self, at: float) -> None:
         """Tell evidence on servers at this time, with all that comes until then."""
-        if not self.telling:
-            self.telling = True
-            self.clock.schedule(at, self.tell_evidence)
+        if not self.evidence_scheduled:
+            self.evidence_scheduled = True
+            self.clock.schedule(at, self.send_evidence)
 
-    def tell_evidence(self, now: float) -> None:
+    def send_evidence(self, now: float) -> None:
         """Tell other control machines and gateways what gateways saw of servers."""
-        self.telling = False
+        self.evidence_scheduled = False
         if entries := self.ledger.to_peers(now):
-            self.peers.all({"k": "hot", "e": entries})
-        news = self.ledger.to_gateways(now, {reader.zone for reader in self.published_state.subscribers})
-        for reader in list(self.published_state.subscribers):
-            if told := news.get(reader.zone):
-                reader.send({"k": "hot", "e": told})
+            self.peers.broadcast({"k": "hot", "e": entries})
+        evidence_by_zone = self.ledger.to_gateways(
+            now, {subscriber.zone for subscriber in self.published_state.subscribers}
+        )
+        for subscriber in list(self.published_state.subscribers):
+            if evidence := evidence_by_zone.get(subscriber.zone):
+                subscriber.send({"k": "hot", "e": evidence})
         if self.ledger.waiting():
-            self.gather(now + EVIDENCE_AGAIN)
+            self.schedule_evidence(now + EVIDENCE_RETRY_DELAY_S)
 
-    def learn(self, message: Message, now: float) -> None:
+    def merge_servers(self, message: Message, now: float) -> None:
         """Servers, as another control machine knows them."""
-        self.to_gateways.tell(self.registry.merge(decode_entries(message), now), now)
-        if PASS_ON in message:
-            self.peers.pass_on(message)
+        self.gateway_updates.add(self.registry.merge(decode_entries(message), now), now)
+        if FORWARD_FIELD in message:
+            self.peers.forward_in_region(message)
 
-    def refresh(self, sender: str, message: Message, now: float) -> None:
+    def refresh_heartbeats(self, sender: str, message: Message, now: float) -> None:
         """Another control machine has heard these again, and nothing else is new of them."""
-        news, unknown = [], []
-        for ident, sequence, age in message["b"]:
-            if self.registry.refresh(ident, sequence, now - age):
+        changed_entries, unknown = [], []
+        for instance_id, sequence, age in message["b"]:
+            if self.registry.refresh(instance_id, sequence, now - age):
                 continue
-            old = self.registry.entries.get(ident)
+            old = self.registry.entries.get(instance_id)
             if old is None:
-                unknown.append(ident)
+                unknown.append(instance_id)
             elif old.state is not State.GONE:
                 new = Entry(
-                    ident, old.service, old.address, old.zone, old.slots, old.state, sequence, old.cold_until,
-                    now - age,
+                    instance_id, old.service, old.address, old.zone, old.slots, old.state, sequence,
+                    old.cold_until, now - age,
                 )  # fmt: skip
                 entry, changed = self.registry.update(new, now)
                 if changed:
-                    news.append(entry)
-        self.to_gateways.tell(news, now)
-        if PASS_ON in message:
-            self.peers.pass_on(message)
+                    changed_entries.append(entry)
+        self.gateway_updates.add(changed_entries, now)
+        if FORWARD_FIELD in message:
+            self.peers.forward_in_region(message)
         if unknown:
-            self.peers.send(sender, {"k": "want", "i": unknown[:WANTED_MOST]})
+            self.peers.send(sender, {"k": "want", "i": unknown[:MAX_REQUESTED_SERVERS]})
 
-    def tell_wanted(self, asker: str, message: Message, now: float) -> None:
+    def send_requested_servers(self, requester: str, message: Message, now: float) -> None:
         """Another control machine has heard that these live, and knows nothing else of them."""
         entries = self.registry.entries
-        known = [entries[ident].to_message(now) for ident in message["i"] if ident in entries]
+        known = [
+            entries[instance_id].to_message(now) for instance_id in message["i"] if instance_id in entries
+        ]
         if known:
-            self.peers.send(asker, roster(known, asker in self.peers.regions.capable))
+            self.peers.send(
+                requester, servers_message(known, requester in self.peers.topology.forwarding_nodes)
+            )
 
-    def gossip(self, now: float) -> None:
+    def report_heartbeats(self, now: float) -> None:
         """Tell the other control machines whose heartbeats have come here."""
-        beaten, self.beaten = self.beaten, {}
-        if beaten:
-            beats = [
-                [e.instance_id, e.sequence, round(now - e.last_heartbeat_at, 2)] for e in beaten.values()
+        heartbeats, self.unreported_heartbeats = self.unreported_heartbeats, {}
+        if heartbeats:
+            summaries = [
+                [e.instance_id, e.sequence, round(now - e.last_heartbeat_at, 2)] for e in heartbeats.values()
             ]
-            self.peers.fan_out({"k": "beats", "b": beats})
+            self.peers.fan_out({"k": "beats", "b": summaries})
 
-    def tell_peers(self, entries: list[Entry], now: float) -> None:
+    def send_servers_to_peers(self, entries: list[Entry], now: float) -> None:
         """News of servers, to the other control machines."""
-        self.peers.fan_out(roster([entry.to_message(now) for entry in entries], self.peers.inflates()))
+        self.peers.fan_out(
+            servers_message(
+                [entry.to_message(now) for entry in entries], self.peers.all_support_compression()
+            )
+        )
 
-    async def copied(self, entry: Entry) -> bool:
+    async def replicate(self, entry: Entry) -> bool:
         """Whether a majority of the core knows of it, this machine among them.
 
         A second machine may be cut off from the others together with this one.
         """
-        self.number += 1
-        number, voters = self.number, self.replica.voters
+        self.replication_number += 1
+        replication_number, voters = self.replication_number, self.replica.voters
         now = self.clock.now()
-        told = self.peers.all({"k": "roster", "e": [entry.to_message(now)], "n": number})
-        lacking = len(voters) // 2 + 1 - (self.me in voters)
-        copies = self.copies[number] = Copies(voters.intersection(told), lacking, self.loop.create_future())
+        reached = self.peers.broadcast({"k": "roster", "e": [entry.to_message(now)], "n": replication_number})
+        remaining = len(voters) // 2 + 1 - (self.own_name in voters)
+        pending = self.pending_replications[replication_number] = PendingReplication(
+            voters.intersection(reached), remaining, self.loop.create_future()
+        )
         try:
-            if len(copies.asked) < lacking:
+            if len(pending.awaited) < remaining:
                 return False
-            if lacking > 0:
-                await asyncio.wait_for(copies.whole, COPIED)
+            if remaining > 0:
+                await asyncio.wait_for(pending.completed, REPLICATION_TIMEOUT_S)
         except TimeoutError:
             return False
         finally:
-            self.copies.pop(number, None)
+            self.pending_replications.pop(replication_number, None)
         return True
 
     # Calls.
 
-    def control(
+    def handle_request(
         self, method: str, target: str, body: bytes, caller: Caller = LOCAL_CALLER
     ) -> Response | Awaitable[Response]:
         """Answer a call of an operator, a server or a client."""
-        asked = read_call(method, target)
-        call = self.calls.get(asked.name)
-        if call is None:
+        call = parse_call(method, target)
+        handler = self.handlers.get(call.name)
+        if handler is None:
             return 404, {"errorText": f"no such call: {method} {target[:100]}"}
-        return call(asked, body, caller)
+        return handler(call, body, caller)
 
-    def resolve(self, asked: Asked) -> Response:
+    def resolve_gateways(self, call: ApiCall) -> Response:
         """Answer a client's look-up with gateways."""
-        membership, query = self.membership_transport.membership, asked.query
+        membership, query = self.membership_transport.membership, call.query
         members = list(membership.alive.values())
-        found = locate(members, membership.suspects, query.get("zone", ""), query.get("region", ""), self.rng)
-        if not found:
+        addresses = select_gateways(
+            members, membership.suspects, query.get("zone", ""), query.get("region", ""), self.rng
+        )
+        if not addresses:
             return 503, {"errorText": "no gateway is ready"}
-        ttl = min(TTL, self.settings.bound("ttl_max_s", TTL))
-        return 200, {"addresses": found, "ttlS": ttl}
+        ttl = min(RESOLUTION_TTL_S, self.settings.bound("ttl_max_s", RESOLUTION_TTL_S))
+        return 200, {"addresses": addresses, "ttlS": ttl}
 
-    def beat(self, ident: str, body: bytes) -> Response | Awaitable[Response]:
+    def handle_heartbeat(self, instance_id: str, body: bytes) -> Response | Awaitable[Response]:
         """Take a server's heartbeat."""
         import msgspec
 
         now = self.clock.now()
         try:
-            new = parse_heartbeat(ident, msgspec.json.decode(body), now)
+            new = parse_heartbeat(instance_id, msgspec.json.decode(body), now)
         except (HeartbeatError, msgspec.DecodeError) as e:
             return 400, {"errorText": str(e)}
-        known = self.registry.entries.get(ident)
-        until = known.cold_until if known is not None else math.inf
-        entry, news = self.registry.update(new, now)
-        if news and (entry.cold_until > max(until, now) or (known and entry.state is not State.READY)):
-            self.cast(entry, now)
-        if news:
-            self.to_gateways.tell([entry], now)
+        previous = self.registry.entries.get(instance_id)
+        cold_until = previous.cold_until if previous is not None else math.inf
+        entry, changed = self.registry.update(new, now)
+        if changed and (
+            entry.cold_until > max(cold_until, now) or (previous and entry.state is not State.READY)
+        ):
+            self.broadcast_to_gateways(entry, now)
+        if changed:
+            self.gateway_updates.add([entry], now)
             # With the number of this beat, the word on an earlier one would hide what is new.
-            self.beaten.pop(ident, None)
+            self.unreported_heartbeats.pop(instance_id, None)
         else:
-            self.beaten[ident] = entry
-        if entry.state is not State.READY or (news and entry.cold_until > now):
+            self.unreported_heartbeats[instance_id] = entry
+        if entry.state is not State.READY or (changed and entry.cold_until > now):
             # Also that it is cold: a machine that is cut off must not be the only one told.
-            return self.held(entry)
-        if news:
-            self.to_peers.tell([entry], now)
-        return 200, self.near_target(entry)
+            return self.respond_when_replicated(entry)
+        if changed:
+            self.peer_updates.add([entry], now)
+        return 200, self.heartbeat_target_field(entry)
 
-    def near_target(self, entry: Entry) -> dict[str, str]:
+    def heartbeat_target_field(self, entry: Entry) -> dict[str, str]:
         """What the answer to a server's heartbeat says of where its later ones are to go."""
         membership, settings = self.membership_transport.membership, self.settings
         region = settings.zones.get(entry.zone, "")
@@ -431,146 +462,146 @@
         port = settings.listen["controlPlane"][1]  # alike on all machines
         return {"heartbeatTarget": f"{host}:{port}"}
 
-    def cast(self, entry: Entry, now: float) -> None:
+    def broadcast_to_gateways(self, entry: Entry, now: float) -> None:
         """Straight to all gateways: some follow one who is cut off, dark, or not reached from here."""
-        edges = [
+        gateways = [
             m for m in self.membership_transport.membership.alive.values() if m.meta.get("role") == "edge"
         ]
-        self.membership_transport.cast({"e": [entry.to_message(now)]}, [m.address for m in edges])
+        self.membership_transport.cast({"e": [entry.to_message(now)]}, [m.address for m in gateways])
 
-    async def held(self, entry: Entry) -> Response:
+    async def respond_when_replicated(self, entry: Entry) -> Response:
         """A server's word that it leaves: acknowledged once a majority of the core would tell it too."""
-        if await self.copied(entry):
+        if await self.replicate(entry):
             return 200, {}
         return 503, {"errorText": "no majority of the control machines knows of it yet"}
 
-    def leave(self, ident: str) -> Awaitable[Response]:
+    def handle_deregistration(self, instance_id: str) -> Awaitable[Response]:
         """Take the word of a server that it has ended."""
         now = self.clock.now()
-        entry, news = self.registry.mark_gone(ident, now)
-        if news:
-            self.to_gateways.tell([entry], now)
-            self.cast(entry, now)
-        return self.held(entry)
+        entry, changed = self.registry.mark_gone(instance_id, now)
+        if changed:
+            self.gateway_updates.add([entry], now)
+            self.broadcast_to_gateways(entry, now)
+        return self.respond_when_replicated(entry)
 
-    async def configure(self, body: bytes) -> Response:
+    async def handle_configuration(self, body: bytes) -> Response:
         """Take a configuration or a change of one."""
         if self.stopping:
             return 503, {"errorText": "stops"}
-        for _ in range(CHECKS):
+        for _ in range(MAX_CHECK_ATTEMPTS):
             try:
-                command, faults = self.read_order(body)
-                if command.get("unchecked") and await self.replica.confirm(LIMIT) is None:
+                command, faults = self.parse_command(body)
+                if command.get("unchecked") and await self.replica.confirm(STORE_TIMEOUT_S) is None:
                     return 503, {"errorText": "no majority can be reached"}
                 if command.get("unchecked"):
                     # What it builds on may not have come here before.
-                    command, faults = self.read_order(body)
-            except InvalidError as e:
+                    command, faults = self.parse_command(body)
+            except InvalidRequestError as e:
                 return 400, {"errorText": str(e)}
             if faults:
                 log("configuration-refused", why=faults[0], faults=len(faults))
                 return 400, {"errorText": faults[0], "faults": faults[:50]}
-            verdict = await self.replica.submit(command, LIMIT)
+            verdict = await self.replica.submit(command, STORE_TIMEOUT_S)
             if verdict.kind != UNCHECKED:
                 break
-        return await self.acknowledge(command, verdict)
+        return await self.respond(command, verdict)
 
-    def read_order(self, body: bytes) -> tuple[dict[str, Any], list[str]]:
+    def parse_command(self, body: bytes) -> tuple[dict[str, Any], list[str]]:
         """The command for the store, and the faults of what it makes. Raises InvalidError.
 
         ``unchecked`` marks a change that builds on another version than the one that is known here, so that
         nobody has checked yet what comes of it.
         """
-        orders = self.replica.orders
-        command, faults = read_configuration(body, orders.document, orders.version)
-        if command["do"] == "modify" and command["base"] != orders.version:
+        stored = self.replica.orders
+        command, faults = parse_configuration(body, stored.document, stored.version)
+        if command["do"] == "modify" and command["base"] != stored.version:
             command["unchecked"] = True
         return command, faults
 
-    async def put(self, command: dict[str, Any]) -> Response:
+    async def submit_command(self, command: dict[str, Any]) -> Response:
         """Submit a command, and the answer to its caller."""
-        return await self.acknowledge(command, await self.replica.submit(command, LIMIT))
+        return await self.respond(command, await self.replica.submit(command, STORE_TIMEOUT_S))
 
-    async def acknowledge(self, command: dict[str, Any], verdict: Verdict) -> Response:
+    async def respond(self, command: dict[str, Any], verdict: Verdict) -> Response:
         """The answer to a command's caller; an order that was taken waits shortly for the gateways."""
         log("order", what=command["do"], verdict=verdict.kind, why=verdict.reason, index=verdict.index)
         if not verdict.ok:
-            return STATUS.get(verdict.kind, 503), {
+            return STATUS_BY_VERDICT.get(verdict.kind, 503), {
                 "errorText": verdict.reason,
                 "version": f"{verdict.version:08x}",
             }
-        until = self.clock.now() + TOLD
+        deadline = self.clock.now() + SUBSCRIBER_ACK_TIMEOUT_S
         index = min(verdict.index, self.published_state.committed.index)
-        while self.published_state.count_behind(index) and self.clock.now() < until:
+        while self.published_state.count_behind(index) and self.clock.now() < deadline:
             await asyncio.sleep(0.01)
         return 200, {"version": f"{verdict.version:08x}"}
 
-    async def read(self) -> Response:
+    async def handle_configuration_read(self) -> Response:
         """The newest configuration, whole; 503 without a majority."""
-        if await self.replica.confirm(LIMIT) is None:
+        if await self.replica.confirm(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
-        kept = self.replica.orders
-        if kept.document is None:
+        stored = self.replica.orders
+        if stored.document is None:
             return 503, {"errorText": "there is no configuration yet"}
-        return 200, kept.document
+        return 200, stored.document
 
-    async def copy(self) -> Response:
+    async def export_state(self) -> Response:
         """The operator's word as a file may hold it, at least as new as all that was acknowledged."""
-        if await self.replica.confirm(LIMIT) is None:
+        if await self.replica.confirm(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
-        return self.show("copy")
+        return self.show_view("copy")
 
-    def show(self, what: str) -> Response:
+    def show_view(self, what: str) -> Response:
         """One of the views for operators."""
         from latchspoke.controlplane import view  # loaded only when people ask
 
-        return 200, view.answer(self, what)
+        return 200, view.render_view(self, what)
 
-    async def evacuate(self, asked: Asked, caller: Caller) -> Response:
+    async def handle_evacuation(self, call: ApiCall, caller: Caller) -> Response:
         """Begin or finish one; ``evacuations`` tells which calls repeat an earlier one.
 
         First a majority confirms what stands. That also takes time in which the end of the connection arrives
         here, if the caller has given this call up and sent it elsewhere: a machine that was frozen or slow
         must not carry out later what has been taken back meanwhile.
         """
-        zone, begins = asked.of, asked.name.endswith("begin")
+        zone, is_begin = call.subject, call.name.endswith("begin")
         if zone not in self.settings.zones:
             return 400, {"errorText": f"zone {zone[:60]!r} is not known"}
-        if await self.replica.confirm(LIMIT) is None:
+        if await self.replica.confirm(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
         if caller.gone:
             return 503, {"errorText": "the caller has left"}
-        orders, ack = self.replica.orders, self.settings.bound("ackS", ACK)
-        kind = self.evacuations.judge(zone, begins, orders, ack, self.clock.now())
-        if kind is Kind.UNCLEAR:
+        stored, ack_s = self.replica.orders, self.settings.bound("ackS", DEFAULT_ACK_TIMEOUT_S)
+        call_kind = self.evacuations.classify(zone, is_begin, stored, ack_s, self.clock.now())
+        if call_kind is CallKind.UNCLEAR:
             return 503, {"errorText": "another evacuation of it was taken back a moment ago: send it again"}
-        command: dict[str, Any] = {"do": "evacuate" if begins else "restore", "zone": zone}
-        if kind is Kind.ANOTHER:
-            command["stand"] = orders.standing(zone)
-        status, told = await self.put(command)
-        if status == 200 and begins:
-            self.evacuations.acknowledged(zone, self.clock.now())
-            self.peers.all({"k": "moved", "z": {}, "a": {}, "c": {zone: 0.0}})
-        return status, told | {"standing": self.replica.orders.standing(zone)}
+        command: dict[str, Any] = {"do": "evacuate" if is_begin else "restore", "zone": zone}
+        if call_kind is CallKind.ANOTHER:
+            command["stand"] = stored.standing(zone)
+        status, response = await self.submit_command(command)
+        if status == 200 and is_begin:
+            self.evacuations.record_acknowledged_begin(zone, self.clock.now())
+            self.peers.broadcast({"k": "moved", "z": {}, "a": {}, "c": {zone: 0.0}})
+        return status, response | {"standing": self.replica.orders.standing(zone)}
 
     # Who there is.
 
-    def membership_changed(self, news: News) -> None:
+    def membership_changed(self, change: News) -> None:
         """A change of the membership."""
-        if news.kind != "changed":
-            log("membership", what=news.kind, who=news.member.name)
-        if news.member.meta.get("role") == "core" and news.kind in ("joined", "gone"):
-            self.core_changed()
+        if change.kind != "changed":
+            log("membership", what=change.kind, who=change.member.name)
+        if change.member.meta.get("role") == "core" and change.kind in ("joined", "gone"):
+            self.control_nodes_changed()
 
-    def core_changed(self) -> None:
+    def control_nodes_changed(self) -> None:
         """Tell the replicated store and the connections which control machines are alive."""
         alive = {
             f"{m.host}:{m.port}": Place(str(m.meta.get("zone", "")), str(m.meta.get("region", "")))
             for m in self.membership_transport.membership.alive.values()
             if m.meta.get("role") == "core"
         }
-        named = {name_of(identity) for identity in self.replica.register.member.members.all}
-        self.peers.known(alive, named)
+        configured = {name_of(identity) for identity in self.replica.register.member.members.all}
+        self.peers.update_nodes(alive, configured)
         self.replica.peers(alive)
 
     # Life.
@@ -584,40 +615,42 @@
         for name in ("controlPlane", "directoryService"):
             if name in s.listen:
                 self.listeners.append(
-                    await create(lambda: HttpServerConnection(self.control), *s.listen[name], backlog=512)
+                    await create(
+                        lambda: HttpServerConnection(self.handle_request), *s.listen[name], backlog=512
+                    )
                 )
-        self.core_changed()
+        self.control_nodes_changed()
         now = self.clock.now()
-        self.clock.schedule(now + SWEEP, self.sweep)
-        self.clock.schedule(now + GOSSIP, self.regossip)
+        self.clock.schedule(now + SWEEP_INTERVAL_S, self.sweep)
+        self.clock.schedule(now + HEARTBEAT_REPORT_INTERVAL_S, self.report_heartbeats_periodically)
         self.serving_started(control=str(s.listen.get("controlPlane")))
 
     def sweep(self, now: float) -> None:
         """Periodic: judge silent servers, drop old evidence, look at the settings file."""
-        self.clock.schedule(now + SWEEP, self.sweep)
-        if not self.peers.connected and len(self.peers.links):
-            self.together_at = now
-        news = self.registry.sweep(now, detect_silence=now - self.together_at > ALONE)
-        self.to_gateways.tell(news, now)
+        self.clock.schedule(now + SWEEP_INTERVAL_S, self.sweep)
+        if not self.peers.connected_count and len(self.peers.links):
+            self.last_connected_at = now
+        changed = self.registry.sweep(now, detect_silence=now - self.last_connected_at > ISOLATION_GRACE_S)
+        self.gateway_updates.add(changed, now)
         self.ledger.sweep(now)
         if self.replica.proven and self.published_state.committed.index < self.replica.orders.index:
-            self.tell_orders()
-        self.core_changed()
+            self.publish_committed()
+        self.control_nodes_changed()
         self.settings_watch.look(now)
 
-    def regossip(self, now: float) -> None:
+    def report_heartbeats_periodically(self, now: float) -> None:
         """Periodic: ``gossip``."""
-        self.clock.schedule(now + GOSSIP, self.regossip)
-        self.gossip(now)
+        self.clock.schedule(now + HEARTBEAT_REPORT_INTERVAL_S, self.report_heartbeats_periodically)
+        self.report_heartbeats(now)
 
     def stop(self) -> None:
         """SIGTERM: end in order."""
         if not self.stopping:
             self.stopping = True
             log("stops")
-            self.spawn(self.end())
+            self.spawn(self.shut_down())
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Hand over, leave the membership and close."""
         await self.replica.stop()
         await asyncio.sleep(0.1)
--- a/latchspoke/controlplane/peers.py
+++ b/latchspoke/controlplane/peers.py
@@ -8,79 +8,81 @@
 from collections.abc import Callable, Mapping
 
 from latchspoke.configstore.voters import Place
-from latchspoke.controlplane.fanout import PASS_ON, Regions
-from latchspoke.controlplane.relays import Relays
+from latchspoke.controlplane.fanout import FORWARD_FIELD, RegionTopology
+from latchspoke.controlplane.relays import GatewayRelays
 from latchspoke.transport.connection import Message, MessageConnection, dial
 
-DIAL = 0.4  # s
-PAUSE = (0.05, 0.5)  # s between tries
-WAITING_MOST = 500  # messages for one that can't be reached; older ones go first
-RAFT_WAITS = 20
-DOUBTFUL = 0.35  # s that something sent may go without a word from the other side: two heartbeats
+DIAL_TIMEOUT_S = 0.4  # s
+RECONNECT_DELAY_S = (0.05, 0.5)  # s between tries
+MAX_QUEUED_MESSAGES = 500  # messages for one that can't be reached; older ones go first
+MAX_PENDING_MESSAGES = 20
+UNANSWERED_TIMEOUT_S = 0.35  # s that something sent may go without a word from the other side: two heartbeats
 
 
-class Link:
+class PeerLink:
     """What goes to one other control machine. Any message may be lost."""
 
     def __init__(self, peers: Peers, name: str) -> None:
         self.peers, self.name = peers, name
         host, _, port = name.rpartition(":")
         self.address = host, int(port)
-        self.wire: MessageConnection | None = None
-        self.waiting: deque[Message] = deque(maxlen=RAFT_WAITS)
-        self.unanswered: float | None = None  # when the first was sent after which nothing came from there
-        self.heard_at = -math.inf  # directly, on any connection
-        self.wanted = True
-        self.task = asyncio.get_running_loop().create_task(self.work())
-
-    def doubtful(self, now: float) -> bool:
+        self.connection: MessageConnection | None = None
+        self.pending: deque[Message] = deque(maxlen=MAX_PENDING_MESSAGES)
+        self.unanswered_since: float | None = (
+            None  # when the first was sent after which nothing came from there
+        )
+        self.last_received_at = -math.inf  # directly, on any connection
+        self.running = True
+        self.task = asyncio.get_running_loop().create_task(self.run())
+
+    def is_unresponsive(self, now: float) -> bool:
         """Whether what is sent directly may not arrive."""
-        if self.wire is None or self.wire.closed:
+        if self.connection is None or self.connection.closed:
             return True
-        return self.unanswered is not None and now - self.unanswered > DOUBTFUL
+        return self.unanswered_since is not None and now - self.unanswered_since > UNANSWERED_TIMEOUT_S
 
-    def heard(self, now: float) -> None:
+    def record_received(self, now: float) -> None:
         """The other side has said something, directly."""
-        self.unanswered, self.heard_at = None, now
+        self.unanswered_since, self.last_received_at = None, now
 
     def send(self, message: Message, now: float) -> bool:
         """Directly; whether it went out now. Else it waits for the connection."""
-        if self.unanswered is None:
-            self.unanswered = now
-        if self.wire is not None and not self.wire.closed:
-            return self.wire.send(message)
-        self.waiting.append(message)
+        if self.unanswered_since is None:
+            self.unanswered_since = now
+        if self.connection is not None and not self.connection.closed:
+            return self.connection.send(message)
+        self.pending.append(message)
         return False
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Keep the connection open, until ``stop``."""
-        pause = PAUSE[0]
-        while self.wanted:
-            over = asyncio.Event()
-
-            def ended(wire: MessageConnection, reason: str, over: asyncio.Event = over) -> None:
-                over.set()
-
-            wire = MessageConnection(self.peers.heard_back, ended)
-            if await dial(wire, *self.address, DIAL):
-                pause = PAUSE[0]
-                wire.tag = self.name
-                wire.send({"k": "peer", "name": self.peers.me, "fans": 1})
-                self.peers.joined(wire)
-                while self.waiting:
-                    wire.send(self.waiting.popleft())
-                self.wire = wire
-                await over.wait()
-                self.wire = None
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, PAUSE[1])
+        delay = RECONNECT_DELAY_S[0]
+        while self.running:
+            closed = asyncio.Event()
+
+            def on_closed(connection: MessageConnection, reason: str, closed: asyncio.Event = closed) -> None:
+                closed.set()
+
+            connection = MessageConnection(self.peers.on_message, on_closed)
+            if await dial(connection, *self.address, DIAL_TIMEOUT_S):
+                delay = RECONNECT_DELAY_S[0]
+                connection.tag = self.name
+                connection.send({"k": "peer", "name": self.peers.own_name, "fans": 1})
+                self.peers.on_connected(connection)
+                while self.pending:
+                    connection.send(self.pending.popleft())
+                self.connection = connection
+                await closed.wait()
+                self.connection = None
+            await asyncio.sleep(delay)
+            delay = min(delay * 2, RECONNECT_DELAY_S[1])
 
     def stop(self) -> None:
         """Close it for good."""
-        self.wanted = False
+        self.running = False
         self.task.cancel()
-        if self.wire is not None:
-            self.wire.end("stops")
+        if self.connection is not None:
+            self.connection.end("stops")
 
 
 class Peers:
@@ -88,77 +90,81 @@
 
     def __init__(
         self,
-        me: str,
-        joined: Callable[[MessageConnection], None],
-        heard_back: Callable[[MessageConnection, Message], None],
-        relays: Relays,
-        regions: Regions,
+        own_name: str,
+        on_connected: Callable[[MessageConnection], None],
+        on_message: Callable[[MessageConnection, Message], None],
+        relays: GatewayRelays,
+        topology: RegionTopology,
         clock: Callable[[], float],
     ) -> None:
-        self.me, self.joined, self.heard_back = me, joined, heard_back
-        self.relays, self.regions, self.clock = relays, regions, clock
-        self.links: dict[str, Link] = {}
+        self.own_name, self.on_connected, self.on_message = own_name, on_connected, on_message
+        self.relays, self.topology, self.clock = relays, topology, clock
+        self.links: dict[str, PeerLink] = {}
         self.alive: set[str] = set()
 
-    def known(self, places: Mapping[str, Place], keep: set[str]) -> None:
+    def update_nodes(self, places: Mapping[str, Place], keep_names: set[str]) -> None:
         """Those that are alive; ``keep``: also those that may come back, as the register counts on them."""
         names = self.alive = set(places)
-        self.regions.of.update((name, place.region) for name, place in places.items())
-        for name in sorted((names | keep) - {self.me}):
+        self.topology.region_by_node.update((name, place.region) for name, place in places.items())
+        for name in sorted((names | keep_names) - {self.own_name}):
             if name not in self.links:
-                self.links[name] = Link(self, name)
-        for name in [n for n in self.links if n not in names | keep]:
+                self.links[name] = PeerLink(self, name)
+        for name in [name for name in self.links if name not in names | keep_names]:
             self.links.pop(name).stop()
 
     def send(self, name: str, message: Message) -> None:
         """To one control machine, known or not."""
         link = self.links.get(name)
-        if link is None and name != self.me:
-            link = self.links[name] = Link(self, name)
+        if link is None and name != self.own_name:
+            link = self.links[name] = PeerLink(self, name)
         if link is not None:
-            self.give(link, message)
+            self.deliver(link, message)
 
-    def all(self, message: Message) -> list[str]:
+    def broadcast(self, message: Message) -> list[str]:
         """To every one that is connected, or reached by way of a gateway; who that is."""
-        return [name for name, link in self.links.items() if self.give(link, message, False)]
+        return [name for name, link in self.links.items() if self.deliver(link, message, False)]
 
     def fan_out(self, message: Message) -> None:
         """To all that are connected; it crosses each border between regions once."""
         now = self.clock()
-        reached = [name for name, link in self.links.items() if link.wire is not None or name in self.alive]
-        targets = self.regions.targets(reached, lambda name: not self.links[name].doubtful(now))
-        for name, pass_on in targets.items():
-            self.give(self.links[name], message | {PASS_ON: 1} if pass_on else message, False)
-
-    def pass_on(self, message: Message) -> None:
+        reached = [
+            name for name, link in self.links.items() if link.connection is not None or name in self.alive
+        ]
+        targets = self.topology.targets(reached, lambda name: not self.links[name].is_unresponsive(now))
+        for name, should_forward in targets.items():
+            self.deliver(self.links[name], message | {FORWARD_FIELD: 1} if should_forward else message, False)
+
+    def forward_in_region(self, message: Message) -> None:
         """What came from another region, to those beside this machine."""
-        plain = {field: value for field, value in message.items() if field != PASS_ON}
-        for name in self.regions.near(self.links):
-            self.give(self.links[name], plain, False)
+        stripped = {field: value for field, value in message.items() if field != FORWARD_FIELD}
+        for name in self.topology.in_own_region(self.links):
+            self.deliver(self.links[name], stripped, False)
 
-    def give(self, link: Link, message: Message, keep: bool = True) -> bool:
+    def deliver(self, link: PeerLink, message: Message, queue: bool = True) -> bool:
         """To one, by each way that may be of use; whether it was on its way. ``keep``: until connected."""
         now = self.clock()
-        sent = link.send(message, now) if keep or link.wire is not None else False
+        sent = link.send(message, now) if queue or link.connection is not None else False
         name = link.name
-        astray = link.doubtful(now) or self.relays.answers(name, link.heard_at, now)
-        if astray and name in self.alive:
+        use_relays = link.is_unresponsive(now) or self.relays.has_return_path(
+            name, link.last_received_at, now
+        )
+        if use_relays and name in self.alive:
             sent |= self.relays.send(name, message, now)
         return sent
 
-    def heard(self, name: str) -> None:
+    def record_received(self, name: str) -> None:
         """A message from it has come directly."""
         if (link := self.links.get(name)) is not None:
-            link.heard(self.clock())
+            link.record_received(self.clock())
 
-    def inflates(self) -> bool:
+    def all_support_compression(self) -> bool:
         """Whether all that are alive can read servers that are deflated."""
-        return self.alive - {self.me} <= self.regions.capable
+        return self.alive - {self.own_name} <= self.topology.forwarding_nodes
 
     @property
-    def connected(self) -> int:
+    def connected_count(self) -> int:
         """To how many there is a connection."""
-        return sum(link.wire is not None and not link.wire.closed for link in self.links.values())
+        return sum(link.connection is not None and not link.connection.closed for link in self.links.values())
 
     def stop(self) -> None:
         """Close all connections for good."""
--- a/latchspoke/controlplane/relays.py
+++ b/latchspoke/controlplane/relays.py
@@ -15,61 +15,69 @@
 from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.netstring import encode_frame
 
-MOST_BYTES = 256 * 1024  # of a message; larger ones would fill a gateway's link
-FRESH = 1.0  # s for which the way by which a message came is taken for the answer
-TRIED = 2  # gateways by which a message goes while none is known to reach the other side
+MAX_MESSAGE_BYTES = 256 * 1024  # of a message; larger ones would fill a gateway's link
+RETURN_PATH_LIFETIME_S = 1.0  # s for which the way by which a message came is taken for the answer
+RELAYS_PER_MESSAGE = 2  # gateways by which a message goes while none is known to reach the other side
 
 
-class Way(msgspec.Struct):
+class ReturnPath(msgspec.Struct):
     """The connection by which something from another control machine came last."""
 
-    wire: MessageConnection
-    at: float
+    connection: MessageConnection
+    received_at: float
 
 
-class Relays:
+class GatewayRelays:
     """The gateways that are connected to this control machine."""
 
-    def __init__(self, me: str, draw: random.Random) -> None:
-        self.me, self.draw = me, draw
-        self.wires: list[MessageConnection] = []
-        self.ways: dict[str, Way] = {}  # by the name of the other control machine
+    def __init__(self, own_name: str, rng: random.Random) -> None:
+        self.own_name, self.rng = own_name, rng
+        self.connections: list[MessageConnection] = []
+        self.return_paths: dict[str, ReturnPath] = {}  # by the name of the other control machine
 
-    def joined(self, wire: MessageConnection) -> None:
+    def add_gateway(self, connection: MessageConnection) -> None:
         """A gateway has connected."""
-        if wire not in self.wires:
-            self.wires.append(wire)
+        if connection not in self.connections:
+            self.connections.append(connection)
 
-    def left(self, wire: MessageConnection) -> None:
+    def remove_connection(self, connection: MessageConnection) -> None:
         """A connection has ended."""
-        if wire in self.wires:
-            self.wires.remove(wire)
-        self.ways = {name: way for name, way in self.ways.items() if way.wire is not wire}
+        if connection in self.connections:
+            self.connections.remove(connection)
+        self.return_paths = {
+            name: path for name, path in self.return_paths.items() if path.connection is not connection
+        }
 
-    def heard(self, name: str, wire: MessageConnection, now: float) -> None:
+    def record_received(self, name: str, connection: MessageConnection, now: float) -> None:
         """A relayed message from ``name`` has come on this connection."""
-        self.joined(wire)
-        self.ways[name] = Way(wire, now)
+        self.add_gateway(connection)
+        self.return_paths[name] = ReturnPath(connection, now)
 
-    def answers(self, name: str, since: float, now: float) -> bool:
+    def has_return_path(self, name: str, since: float, now: float) -> bool:
         """Whether something from ``name`` came by a gateway lately, and after ``since``."""
-        way = self.ways.get(name)
-        return way is not None and way.at > since and now - way.at < FRESH
+        path = self.return_paths.get(name)
+        return (
+            path is not None and path.received_at > since and now - path.received_at < RETURN_PATH_LIFETIME_S
+        )
 
     def send(self, name: str, message: Message, now: float) -> bool:
         """Whether some gateway was given it."""
         body = msgspec.json.encode(message)
-        if len(body) > MOST_BYTES:
+        if len(body) > MAX_MESSAGE_BYTES:
             return False
-        wires = self.choose(name, now)
-        data = encode_frame({"k": "relay", "to": name, "from": self.me, "m": msgspec.Raw(body)})
-        sent = [wire.write(data) for wire in wires]
+        connections = self.choose_connections(name, now)
+        data = encode_frame({"k": "relay", "to": name, "from": self.own_name, "m": msgspec.Raw(body)})
+        sent = [connection.write(data) for connection in connections]
         return any(sent)
 
-    def choose(self, name: str, now: float) -> list[MessageConnection]:
+    def choose_connections(self, name: str, now: float) -> list[MessageConnection]:
         """The gateways by which a message for this control machine goes."""
-        way = self.ways.get(name)
-        if way is not None and now - way.at < FRESH and not way.wire.closed:
-            return [way.wire]
-        live = [wire for wire in self.wires if not wire.closed]
-        return self.draw.sample(live, min(TRIED, len(live)))
+        path = self.return_paths.get(name)
+        if (
+            path is not None
+            and now - path.received_at < RETURN_PATH_LIFETIME_S
+            and not path.connection.closed
+        ):
+            return [path.connection]
+        open_connections = [connection for connection in self.connections if not connection.closed]
+        return self.rng.sample(open_connections, min(RELAYS_PER_MESSAGE, len(open_connections)))
--- a/latchspoke/controlplane/news.py
+++ b/latchspoke/controlplane/update_batcher.py
@@ -12,34 +12,34 @@
 from latchspoke.net.clock import Clock
 from latchspoke.registry.registry import Entry
 
-GATHER = 0.05  # s
-Send = Callable[[list[Entry], float], object]
+BATCH_WINDOW_S = 0.05  # s
+SendBatch = Callable[[list[Entry], float], object]
 
 
-class ServerNews:
+class ServerUpdateBatcher:
     """What is to be told to one group of listeners."""
 
-    def __init__(self, clock: Clock, send: Send) -> None:
+    def __init__(self, clock: Clock, send: SendBatch) -> None:
         """``send`` gets the entries and the time (s, by ``clock``)."""
         self.clock, self.send = clock, send
-        self.waiting: dict[str, Entry] = {}
+        self.pending: dict[str, Entry] = {}
         self.sent_at = -math.inf
         self.scheduled = False
 
-    def tell(self, entries: Iterable[Entry], now: float) -> None:
+    def add(self, entries: Iterable[Entry], now: float) -> None:
         """These have changed."""
-        self.waiting.update((entry.instance_id, entry) for entry in entries)
-        if not self.waiting or self.scheduled:
+        self.pending.update((entry.instance_id, entry) for entry in entries)
+        if not self.pending or self.scheduled:
             return
-        if now - self.sent_at >= GATHER:
+        if now - self.sent_at >= BATCH_WINDOW_S:
             self.flush(now)
         else:
             self.scheduled = True
-            self.clock.schedule(self.sent_at + GATHER, self.flush)
+            self.clock.schedule(self.sent_at + BATCH_WINDOW_S, self.flush)
 
     def flush(self, now: float) -> None:
         """Send what waits."""
-        entries, self.waiting = list(self.waiting.values()), {}
+        entries, self.pending = list(self.pending.values()), {}
         self.sent_at, self.scheduled = now, False
         if entries:
             self.send(entries, now)
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -17,7 +17,7 @@
 STATES = {State.READY: "ready", State.DRAINING: "draining", State.GONE: "gone"}
 
 
-def server(entry: Entry, zones: dict[str, str], now: float) -> dict[str, Any]:
+def server_view(entry: Entry, zones: dict[str, str], now: float) -> dict[str, Any]:
     """One life, as its beats tell."""
     avoided = {
         "gone": entry.state is State.GONE,
@@ -41,24 +41,26 @@
     }
 
 
-def history(node: Node) -> list[dict[str, Any]]:
+def history_view(node: Node) -> list[dict[str, Any]]:
     """The versions that the register remembers, the newest first; a digest names what the operator sent."""
-    kept = node.replica.orders
+    stored = node.replica.orders
     return [
-        {"version": f"{version:08x}", "digest": digest, "current": version == kept.version}
-        for version, digest in reversed(kept.history.items())
+        {"version": f"{version:08x}", "digest": digest, "current": version == stored.version}
+        for version, digest in reversed(stored.history.items())
     ]
 
 
-def members(node: Node) -> list[dict[str, Any]]:
+def members_view(node: Node) -> list[dict[str, Any]]:
     """Gateways and control machines that the membership knows to live, with what each has acknowledged."""
-    membership, index = node.membership_transport.membership, node.published_state.committed.index
-    read = {reader.name: reader.acknowledged_index for reader in node.published_state.subscribers}
-    found = []
+    membership, current_index = node.membership_transport.membership, node.published_state.committed.index
+    acknowledged_index = {
+        subscriber.name: subscriber.acknowledged_index for subscriber in node.published_state.subscribers
+    }
+    views = []
     for name, member in sorted(membership.alive.items()):
         meta = member.meta
-        door = meta.get("door")
-        seen = {
+        status_port = meta.get("door")
+        view = {
             "name": name,
             "role": meta.get("role"),
             "zone": meta.get("zone"),
@@ -67,18 +69,22 @@
             "ready": bool(meta.get("ready")),
             "suspected": name in membership.suspects,
             "front": meta.get("front"),
-            "status": f"{member.host}:{door}" if door else None,
+            "status": f"{member.host}:{status_port}" if status_port else None,
         }
-        if name in read:
+        if name in acknowledged_index:
             # Only those that follow this machine have told it what they know.
-            seen |= {"follows_here": True, "index": read[name], "behind": read[name] < index}
-        found.append(seen)
-    return found
+            view |= {
+                "follows_here": True,
+                "index": acknowledged_index[name],
+                "behind": acknowledged_index[name] < current_index,
+            }
+        views.append(view)
+    return views
 
 
-def status(node: Node) -> dict[str, Any]:
+def status_view(node: Node) -> dict[str, Any]:
     """The whole view."""
-    now, settings, kept = node.clock.now(), node.settings, node.replica.orders
+    now, settings, stored = node.clock.now(), node.settings, node.replica.orders
     return {
         "name": settings.name,
         "role": "core",
@@ -86,48 +92,50 @@
         "region": settings.region,
         "life": node.instance_id,
         "stopping": node.stopping,
-        "version": f"{kept.version:08x}",
-        "index": kept.index,
+        "version": f"{stored.version:08x}",
+        "index": stored.index,
         "told_index": node.published_state.committed.index,
-        "evacuated": sorted(kept.evacuated),
+        "evacuated": sorted(stored.evacuated),
         "register": node.replica.status(),
-        "peers_connected": node.peers.connected,
-        "members": members(node),
+        "peers_connected": node.peers.connected_count,
+        "members": members_view(node),
         "gone": sorted(node.membership_transport.membership.gone),
-        "servers": [server(e, settings.zones, now) for e in node.registry.entries.values()],
+        "servers": [server_view(e, settings.zones, now) for e in node.registry.entries.values()],
         "evidence": {
             ident: evidence(node.ledger.evidence(ident, now))
             for ident in sorted({*node.ledger.first, *node.ledger.second})
         },
-        "history": history(node)[:5],
+        "history": history_view(node)[:5],
     }
 
 
-def metrics(seen: dict[str, Any]) -> str:
+def render_metrics(view: dict[str, Any]) -> str:
     """The text format of a view."""
-    register = seen["register"]
-    people = MetricFamily("latchspoke_members", "Live machines that the membership knows, by role and state.")
+    register = view["register"]
+    member_family = MetricFamily(
+        "latchspoke_members", "Live machines that the membership knows, by role and state."
+    )
     counts: dict[tuple[str, str], int] = {}
-    for member in seen["members"]:
+    for member in view["members"]:
         state = "suspected" if member["suspected"] else "ready" if member["ready"] else "not_ready"
         key = str(member["role"]), state
         counts[key] = counts.get(key, 0) + 1
     for (role, state), count in sorted(counts.items()):
-        people.add(count, role=role, state=state)
-    servers = MetricFamily("latchspoke_servers", "Servers by service and state, as their beats tell.")
+        member_family.add(count, role=role, state=state)
+    server_family = MetricFamily("latchspoke_servers", "Servers by service and state, as their beats tell.")
     states: dict[tuple[str, str], int] = {}
-    for each in seen["servers"]:
-        key = each["service"], "silent" if each["silent"] else each["state"]
+    for server in view["servers"]:
+        key = server["service"], "silent" if server["silent"] else server["state"]
         states[key] = states.get(key, 0) + 1
     for (service, state), count in sorted(states.items()):
-        servers.add(count, service=service, state=state)
-    following = [member for member in seen["members"] if member.get("follows_here")]
+        server_family.add(count, service=service, state=state)
+    following = [member for member in view["members"] if member.get("follows_here")]
     return render(
         [
             MetricFamily("latchspoke_config_version", "The configuration in force.").add(
-                int(seen["version"], 16)
+                int(view["version"], 16)
             ),
-            MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(seen["index"]),
+            MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(view["index"]),
             MetricFamily("latchspoke_register_leads", "1 on the machine that leads the register.").add(
                 register["role"] == "leader"
             ),
@@ -146,15 +154,15 @@
                 sum(bool(member["behind"]) for member in following)
             ),
             MetricFamily("latchspoke_members_gone", "Machines that the membership holds to be gone.").add(
-                len(seen["gone"])
+                len(view["gone"])
             ),
-            people,
-            servers,
+            member_family,
+            server_family,
         ]
     )
 
 
-def copy(node: Node) -> bytes:
+def export_state(node: Node) -> bytes:
     """The operator's word, as ``store restore`` reads it. It has the tenants' keys in it."""
     from latchspoke.configstore import copies
 
@@ -162,15 +170,15 @@
     return copies.write(copies.take(register.orders, register.applied, node.settings.name))
 
 
-def answer(node: Node, what: str) -> Any:
+def render_view(node: Node, what: str) -> Any:
     """What is asked on the control address beside the protocol's calls."""
     match what:
         case "status":
-            return status(node)
+            return status_view(node)
         case "metrics":
-            return metrics(status(node))
+            return render_metrics(status_view(node))
         case "history":
-            return {"versions": history(node)}
+            return {"versions": history_view(node)}
         case "copy":
-            return copy(node)
+            return export_state(node)
     raise ValueError(what)
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -181,12 +181,12 @@
 
 async def one_copy(self: Any, entry: Any) -> bool:
     """A second machine is enough, though it may be cut off together with this one."""
-    self.number += 1
-    number, future = self.number, self.loop.create_future()
-    told = self.peers.all({"k": "roster", "e": [entry.to_message(self.clock.now())], "n": number})
-    self.copies[number] = controlplane.Copies(set(told), 1, future)
+    self.replication_number += 1
+    number, future = self.replication_number, self.loop.create_future()
+    told = self.peers.broadcast({"k": "roster", "e": [entry.to_message(self.clock.now())], "n": number})
+    self.pending_replications[number] = controlplane.PendingReplication(set(told), 1, future)
     with contextlib.suppress(TimeoutError):
-        await asyncio.wait_for(future, controlplane.COPIED)
+        await asyncio.wait_for(future, controlplane.REPLICATION_TIMEOUT_S)
         return True
     return False
 
@@ -268,8 +268,8 @@
         (t(1.0, "core_cut", how="halves", lasts=11.0),
          *(t(at, "shrink", count=2, where=where)
            for at, where in ((5.2, "meters"), (5.3, "orders"), (6.0, "meters"), (6.1, "orders")))),
-        lambda: [on(controlplane.Node, "copied", one_copy),
-                 on(controlplane.Node, "cast", lambda self, entry, now: None), no_relays()],
+        lambda: [on(controlplane.Node, "replicate", one_copy),
+                 on(controlplane.Node, "broadcast_to_gateways", lambda self, entry, now: None), no_relays()],
         cores=5, seed=4,
     ),
     "evacuation": Guard(
@@ -317,12 +317,14 @@
     ),
     "check": Guard(
         "CONFIG orders", (t(1.0, "invalid", count=3),),
-        lambda: [around(controlplane, "read_configuration", read_nothing_wrong)],
+        lambda: [around(controlplane, "parse_configuration", read_nothing_wrong)],
     ),
     "base": Guard(
         "CONFIG orders", (t(1.0, "race", count=3),), lambda: [around(Orders, "configure", any_base)]
     ),
-    "read-back": Guard("CONFIG read", (), lambda: [around(controlplane.Node, "read", old_document)]),
+    "read-back": Guard(
+        "CONFIG read", (), lambda: [around(controlplane.Node, "handle_configuration_read", old_document)]
+    ),
     "added-routes": Guard(
         "DENIED",
         (t(1.0, "change", how="idle"), t(2.0, "many_routes", count=30), t(3.0, "change", how="timeout")),
@@ -352,7 +354,7 @@
     "fault": Guard("FAULT", (), lambda: [around(dataplane.Node, "sweep", raises)]),
     "orders": Guard(
         "ACKS", (t(1.0, "change", how="timeout"),),
-        lambda: [around(controlplane.Node, "configure", first_only)],
+        lambda: [around(controlplane.Node, "handle_configuration", first_only)],
     ),
 }  # fmt: skip
 
--- a/latchspoke/lab/system/rules.py
+++ b/latchspoke/lab/system/rules.py
@@ -10,7 +10,7 @@
 from functools import cached_property
 from typing import Any
 
-from latchspoke.controlplane.evacuations import REPEAT_PART
+from latchspoke.controlplane.evacuations import REPEAT_WINDOW_FRACTION
 from latchspoke.lab.system.callers import strayed
 from latchspoke.lab.system.day import Played
 from latchspoke.lab.system.record import Arrival, Doc, Order, Try
@@ -511,7 +511,7 @@
     for order in view.record.orders:
         if order.what != "begin":
             continue
-        again = order.sent <= last.get(order.zone, -math.inf) + REPEAT_PART * view.bound("ackS")
+        again = order.sent <= last.get(order.zone, -math.inf) + REPEAT_WINDOW_FRACTION * view.bound("ackS")
         begun[order.zone] += not again
         last[order.zone] = max(order.sent, min(order.acked, order.over))
         if math.isinf(order.acked):
--- a/tests/controlplane/test_fanout.py
+++ b/tests/controlplane/test_fanout.py
@@ -9,9 +9,9 @@
 import pytest
 
 from latchspoke.controlplane.calls import heartbeat_target
-from latchspoke.controlplane.fanout import PASS_ON, Regions, roster
-from latchspoke.controlplane.peers import Link, Peers
-from latchspoke.controlplane.relays import Relays
+from latchspoke.controlplane.fanout import FORWARD_FIELD, RegionTopology, servers_message
+from latchspoke.controlplane.peers import PeerLink, Peers
+from latchspoke.controlplane.relays import GatewayRelays
 from latchspoke.distribution.published_state import decode_entries
 from latchspoke.membership.words import Member
 from tests.controlplane.test_node import Box, box  # noqa: F401
@@ -19,10 +19,10 @@
 NAMES = [f"{region}{number}" for region in "abc" for number in range(4)]
 
 
-def regions(me: str = "a0", capable: list[str] = NAMES) -> Regions:
-    made = Regions(me, me[0], Random(1))
-    made.of = {name: name[0] for name in NAMES}
-    made.capable = set(capable)
+def regions(me: str = "a0", capable: list[str] = NAMES) -> RegionTopology:
+    made = RegionTopology(me, me[0], Random(1))
+    made.region_by_node = {name: name[0] for name in NAMES}
+    made.forwarding_nodes = set(capable)
     return made
 
 
@@ -40,11 +40,11 @@
     """Also beside machines that pass nothing on, that are doubtful, or of whom no region is known."""
     for capable, doubtful in (([], ""), (["b1"], ""), (NAMES, "b1"), (["b1"], "b1")):
         made = regions(capable=capable)
-        made.of["c2"] = ""
+        made.region_by_node["c2"] = ""
         targets = made.targets(others(), lambda name, out=doubtful: name != out)  # type: ignore[misc]
         told = set(targets)
         for name, pass_on in targets.items():
-            told |= set(regions(name).near(others(name))) if pass_on else set()
+            told |= set(regions(name).in_own_region(others(name))) if pass_on else set()
         assert told >= set(others())
         assert doubtful not in [name for name, pass_on in targets.items() if pass_on]
 
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("newcomer", ["a1", "b0", "c3"])
 def test_one_that_begins_is_told_all_by_its_own_region_and_by_one_of_each_other(newcomer: str) -> None:
-    tellers = [me for me in others(newcomer) if regions(me).tells_whole(newcomer, others(me))]
+    tellers = [me for me in others(newcomer) if regions(me).sends_snapshot(newcomer, others(me))]
     assert sorted(name[0] for name in tellers) == sorted("abc" + newcomer[0] * 2)
 
 
@@ -74,25 +74,25 @@
 def test_what_is_passed_on_stays_in_the_region() -> None:
     clock = [0.0]
     peers = Peers(
-        "a0", lambda wire: None, lambda wire, message: None, Relays("a0", Random(1)), regions(),
+        "a0", lambda wire: None, lambda wire, message: None, GatewayRelays("a0", Random(1)), regions(),
         lambda: clock[0],
     )  # fmt: skip
     for name in others():
-        link = object.__new__(Link)
-        link.peers, link.name, link.unanswered, link.heard_at = peers, name, None, 0.0
-        link.wire = cast(Any, Wire())
+        link = object.__new__(PeerLink)
+        link.peers, link.name, link.unanswered_since, link.last_received_at = peers, name, None, 0.0
+        link.connection = cast(Any, Wire())
         peers.links[name] = link
     peers.alive = set(others())
     peers.fan_out({"k": "beats", "b": []})
-    sent = {name: cast(Any, link.wire).sent for name, link in peers.links.items()}
-    assert sorted(PASS_ON in message for messages in sent.values() for message in messages) == [
+    sent = {name: cast(Any, link.connection).sent for name, link in peers.links.items()}
+    assert sorted(FORWARD_FIELD in message for messages in sent.values() for message in messages) == [
         False, False, False, True, True,
     ]  # fmt: skip
     for messages in sent.values():
         messages.clear()
-    peers.pass_on({"k": "beats", "b": [], PASS_ON: 1})
+    peers.forward_in_region({"k": "beats", "b": [], FORWARD_FIELD: 1})
     assert {name for name, messages in sent.items() if messages} == {"a1", "a2", "a3"}
-    assert not any(PASS_ON in message for messages in sent.values() for message in messages)
+    assert not any(FORWARD_FIELD in message for messages in sent.values() for message in messages)
 
 
 def test_a_server_that_nobody_has_told_of_is_asked_for(box: Box) -> None:  # noqa: F811
@@ -103,7 +103,7 @@
     box.node.handle_message(cast(Any, wire), {"k": "beats", "b": [["s-1", 4, 0.2]]})
     assert asked == [("10.2.0.11:7601", {"k": "want", "i": ["s-1"]})]
     known = {"i": "s-1", "t": 0, "q": 4, "s": "svc", "a": "10.9.0.1:8080", "z": "waw-a", "n": 2, "g": 0.1}
-    box.node.handle_message(cast(Any, wire), roster([known], packs=True))
+    box.node.handle_message(cast(Any, wire), servers_message([known], compress=True))
     assert box.node.registry.entries["s-1"].address == "10.9.0.1:8080"
     asked.clear()
     box.node.handle_message(cast(Any, wire), {"k": "want", "i": ["s-1", "s-2"]})
@@ -113,8 +113,10 @@
 
 def test_many_servers_travel_deflated_where_all_can_inflate_them() -> None:
     entries = [{"i": f"s-{n}", "t": 0, "q": 1, "s": "svc", "a": f"10.0.0.{n}:8080"} for n in range(60)]
-    assert decode_entries(roster(entries, packs=True)) == entries
-    assert "ez" in roster(entries, packs=True) and "ez" not in roster(entries, packs=False)
+    assert decode_entries(servers_message(entries, compress=True)) == entries
+    assert "ez" in servers_message(entries, compress=True) and "ez" not in servers_message(
+        entries, compress=False
+    )
 
 
 def core(number: int, region: str) -> Member:
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -14,7 +14,7 @@
 
 from latchspoke.configstore.orders import CONFLICT, INVALID, REPEATED, TAKEN, UNCHECKED, UNKNOWN, Verdict
 from latchspoke.controlplane import node
-from latchspoke.controlplane.calls import locate, read_call
+from latchspoke.controlplane.calls import parse_call, select_gateways
 from latchspoke.lab.virtual import Network, VirtualLoop
 from latchspoke.lab.virtual_run import VirtualClock
 from latchspoke.membership.words import Member
@@ -78,7 +78,7 @@
         self.node = node.Node(made, self.loop, "", VirtualClock(self.loop), Random(seed))
         self.replica = cast(Replica, self.node.replica)
         self.peers: list[dict[str, Any]] = []
-        monkeypatch.setattr(self.node.peers, "all", self.tell_peers)
+        monkeypatch.setattr(self.node.peers, "broadcast", self.tell_peers)
         self.second = True
         self.answers_to: int | None = None  # another number than the one asked for
         self.hear = [f"10.{n}.0.11:7601" for n in (2, 3, 4)]  # who answers of the others
@@ -89,7 +89,9 @@
         for name in hear if "n" in message else ():
             wire = SimpleNamespace(tag=name)
             number = message["n"] if self.answers_to is None else self.answers_to
-            self.loop.call_later(0.02, self.node.peer_answers, cast(Any, wire), {"k": "got", "n": number})
+            self.loop.call_later(
+                0.02, self.node.handle_peer_reply, cast(Any, wire), {"k": "got", "n": number}
+            )
         return hear
 
     def wire(self) -> Any:
@@ -100,7 +102,7 @@
         self, name: str, body: object = None, of: str = "", caller: Any = LOCAL_CALLER
     ) -> tuple[int, Any]:
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
-        given = self.node.control("POST", f"/rpc?call={name}&of={of}", data, caller)
+        given = self.node.handle_request("POST", f"/rpc?call={name}&of={of}", data, caller)
         if isinstance(given, tuple):
             return given
 
@@ -139,7 +141,7 @@
         replica.changed["waw-a"] = replica.changed.get("waw-a", 0) + 1
     replica.stand["waw-a"] = stand
     replica.orders = replica.made(replica.orders.index, 0, None)
-    box.node.applied(cast(Any, replica.orders))
+    box.node.store_applied(cast(Any, replica.orders))
     return status, {key: value for key, value in replica.commands[-1].items() if key != "zone"}
 
 
@@ -192,17 +194,17 @@
     box.replica.proven = False  # so it finds them on its disk, whatever their age
     box.replica.stand["waw-a"], box.replica.changed["waw-a"] = 1, 7
     box.replica.orders = box.replica.made(9, 0, None)
-    box.node.applied(cast(Any, box.replica.orders))
+    box.node.store_applied(cast(Any, box.replica.orders))
     box.replica.proven = True
     wire = box.wire()
-    box.node.peer_joined(wire)
+    box.node.peer_connected(wire)
     assert [message["k"] for message in wire.sent] == ["roster"], "it has seen nothing that it could tell"
     if told is not None:
         box.node.handle_message(box.wire(), {"k": "moved", **told})
     command = evacuation(box, "begin", 0.5, 2 if stands else 1)[1]
     assert command == {"do": "evacuate"} | ({"stand": 1} if stands else {})
     if stands:
-        box.node.peer_joined(wire)
+        box.node.peer_connected(wire)
         (moved,) = [message for message in wire.sent if message["k"] == "moved"]
         place, begun, age = moved["z"]["waw-a"]
         assert (place, begun) == (8, True) and age < 0.6 and moved["c"]["waw-a"] < 0.6
@@ -281,13 +283,13 @@
 
 def test_an_acknowledgement_waits_for_gateways_for_a_while(box: Box) -> None:
     box.replica.commit(7, page())
-    box.node.tell_orders()
+    box.node.publish_committed()
     wire = box.wire()
     box.node.inbound_message(wire, {"k": "hello", "name": "g"})
     box.replica.verdict = Verdict(TAKEN, index=1)
     begun = box.loop.now
     box.call("configuration.replace", page())
-    assert box.loop.now - begun == pytest.approx(node.TOLD, abs=0.02)
+    assert box.loop.now - begun == pytest.approx(node.SUBSCRIBER_ACK_TIMEOUT_S, abs=0.02)
     box.node.inbound_message(wire, {"k": "ack", "n": 1, "index": 1})
     begun = box.loop.now
     box.call("configuration.replace", page())
@@ -330,7 +332,7 @@
     box.second = False
     cold = beat | {"callSequence": 3, "coldRemainingS": 2.5}
     assert box.call("instances.heartbeat", cold, "s1")[0] == 503
-    box.node.gossip(box.loop.now)
+    box.node.report_heartbeats(box.loop.now)
     assert "b" not in box.peers[-1], "a word on an earlier beat must not go out with this one's number"
     box.second = True
     assert box.call("instances.heartbeat", cold | {"callSequence": 4, "coldRemainingS": 1.6}, "s1")[0] == 200
@@ -377,14 +379,16 @@
         gateway("b1", "b", "r"),
         gateway("c1", "c", "q"),
     ]
-    assert locate(some, (), "a", "r", Random(1)) == ["a1", "b1"]
-    assert locate(some, ("a1",), "a", "r", Random(1)) == ["b1"]
-    assert locate(some, ("a1", "b1", "c1"), "c", "q", Random(1)) == ["c1"], "better one suspected than none"
-    assert set(locate(some, (), "d", "p", Random(1))) == {"a1", "b1", "c1"}
+    assert select_gateways(some, (), "a", "r", Random(1)) == ["a1", "b1"]
+    assert select_gateways(some, ("a1",), "a", "r", Random(1)) == ["b1"]
+    assert select_gateways(some, ("a1", "b1", "c1"), "c", "q", Random(1)) == ["c1"], (
+        "better one suspected than none"
+    )
+    assert set(select_gateways(some, (), "d", "p", Random(1))) == {"a1", "b1", "c1"}
     many = [gateway(f"g{i}", "a", "r") for i in range(84)]
-    assert len(set(locate(many, (), "a", "r", Random(1)))) == 64
-    assert read_call("POST", "/rpc?call=evacuation.begin&of=a%2Db").of == "a-b"
-    assert read_call("GET", "/rpc?call=evacuation.begin").name == "GET /rpc"
+    assert len(set(select_gateways(many, (), "a", "r", Random(1)))) == 64
+    assert parse_call("POST", "/rpc?call=evacuation.begin&of=a%2Db").subject == "a-b"
+    assert parse_call("GET", "/rpc?call=evacuation.begin").name == "GET /rpc"
 
 
 def test_a_word_to_the_former_life_of_a_control_machine_counts_for_nothing(
--- a/tests/ctl/test_views.py
+++ b/tests/ctl/test_views.py
@@ -105,7 +105,7 @@
 def test_a_control_machine_tells_the_fleet(tmp_path: Path) -> None:
     loop = asyncio.new_event_loop()
     node = control(loop, tmp_path)
-    answers = {path: node.control("GET", path, b"") for path in ("/status", "/metrics", "/history")}
+    answers = {path: node.handle_request("GET", path, b"") for path in ("/status", "/metrics", "/history")}
     node.replica.ledger.close()
     loop.close()
     seen, page, history = (answer[1] for answer in answers.values())  # type: ignore[index]
--- a/tests/outliers/test_wiring.py
+++ b/tests/outliers/test_wiring.py
@@ -65,8 +65,8 @@
         (word,) = edges[number].subscription.connection.sent  # type: ignore[union-attr]
         assert word == {"k": "hot", "w": [["b1", 3.0, 3.0]]}
         core.inbound_message(lines[number], word)
-        core.telling = False
-        core.tell_evidence(core.clock.now())
+        core.evidence_scheduled = False
+        core.send_evidence(core.clock.now())
     (told,) = [m for m in lines[2].sent if m["k"] == "hot"]
     edges[2].subscription.handle_message(Line(), told)
     assert edges[2].balancer.outlier_shares == {} or set(edges[2].balancer.outlier_shares) == {"b1"}
@@ -76,7 +76,7 @@
     ask = json.dumps({"host": "a.example", "path": "/read/1", "tenant": "mill"}).encode()
     page = pages.explained(edges[2].handle_query("POST", "/explain", ask)[1])
     assert "by edge-0, edge-1" in page
-    fleet: Any = core.control("GET", "/status", b"")
+    fleet: Any = core.handle_request("GET", "/status", b"")
     assert fleet[1]["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
     # One that comes later is told at once.
     late = Line()
