--- a/latchspoke/controlplane/__init__.py
+++ b/latchspoke/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane's program: keeps the operator's word, knows servers and gateways, and tells gateways."""
+"""The control plane: replicated configuration, server registry, and their distribution to gateways."""
--- a/latchspoke/controlplane/__main__.py
+++ b/latchspoke/controlplane/__main__.py
@@ -1,11 +1,11 @@
-"""``python -m latchspoke.controlplane``: one control machine, by the settings file."""
+"""``python -m latchspoke.controlplane``: runs a control-plane node from the settings file."""
 
 from __future__ import annotations
 
 import signal
 import sys
 
-# Whoever starts processes may say at any moment that their settings have changed. They are read below.
+# A supervisor may send SIGHUP at any time. The settings are read below anyway.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from latchspoke.controlplane.node import main  # noqa: E402
--- a/latchspoke/controlplane/calls.py
+++ b/latchspoke/controlplane/calls.py
@@ -1,4 +1,4 @@
-"""What servers, clients and the operator ask of a control machine, by the protocol's calls. No sockets."""
+"""Parses the API calls of servers, clients and operators, and computes their answers. No I/O."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from latchspoke.membership.words import Member
 
 MAX_ADDRESSES = 64
-MIN_GATEWAYS = 2  # gateways that a client is told of, if there are as many in its region
+MIN_GATEWAYS = 2  # with fewer in the client's zone, those of its region are added
 
 
 class ApiCall(msgspec.Struct, frozen=True):
-    """A call: its name by the protocol, and what it is about."""
+    """An API call: its name and subject (an instance ID or a zone)."""
 
     name: str
     subject: str
@@ -26,7 +26,7 @@
 
 
 def parse_call(method: str, target: str) -> ApiCall:
-    """``name`` is "" where the call is not known."""
+    """Parse the request line of a call; ``name`` is "" for an unknown call."""
     parts = urlsplit(target)
     query = {name: values[0] for name, values in parse_qs(parts.query).items()}
     if parts.path == "/rpc" and method == "POST":
@@ -37,30 +37,30 @@
 
 
 class InvalidRequestError(ValueError):
-    """The operator's call can't be taken whatever is in force; one line says why."""
+    """The request is invalid regardless of the current configuration; the message is one line."""
 
 
 def parse_configuration(
     body: bytes, current: dict[str, Any] | None, version: int
 ) -> tuple[dict[str, Any], list[str]]:
-    """The command for the register, and the faults of the whole as far as they can be told here.
+    """The command for the replicated store, and the faults of the resulting configuration.
 
-    A change is tried on the document in force here, if it builds on that; else the register tells. Raises
-    InvalidError where the body can't be read at all.
+    A patch is checked only if its base is the current version here; otherwise the store decides. Raises
+    InvalidRequestError if the body is malformed.
     """
     try:
         request = msgspec.json.decode(body)
-    except msgspec.DecodeError as e:
-        raise InvalidRequestError(f"it can't be read whole: {e}") from None
+    except msgspec.DecodeError as error:
+        raise InvalidRequestError(f"the body is not valid JSON: {error}") from None
     if not isinstance(request, dict):
-        raise InvalidRequestError("it is no object")
+        raise InvalidRequestError("the body is not a JSON object")
     try:
         new_version, base_version = (
             number(request.get("version", "")),
             base_number(request.get("baseVersion")),
         )
-    except (TypeError, ValueError) as e:
-        raise InvalidRequestError(str(e)) from None
+    except (TypeError, ValueError) as error:
+        raise InvalidRequestError(str(error)) from None
     digest = blake2b(body, digest_size=16).hexdigest()
     command: dict[str, Any] = {"version": new_version, "base": base_version, "digest": digest}
     if "upsert" in request or "remove" in request:
@@ -69,23 +69,23 @@
             return command, []
         try:
             document: Any = apply_patch(current, request)  # type: ignore[arg-type]
-        except ValueError as e:
-            return command, [str(e)]
+        except ValueError as error:
+            return command, [str(error)]
         return command, [str(fault) for fault in check(document)]
     command |= {"do": "replace", "doc": request}
     return command, [str(fault) for fault in check(request)]
 
 
-MIN_HEARTBEAT_TARGETS = 3  # control machines of a region among which its servers' heartbeats are dealt
+MIN_HEARTBEAT_TARGETS = 3  # control-plane nodes of a region that share its servers' heartbeats
 
 
 def heartbeat_target(
     members: list[Member], suspects: Container[str], region: str, own_region: str, rng: Any
 ) -> str:
-    """The host that a server of this region is to call from now on, or '' where it may stay.
+    """The host that a server of this region is to send later heartbeats to, or '' to keep the current one.
 
-    It stays with a machine of its own region: heartbeats that cross regions are paid for. It is sent to one
-    only where there are several, so that a machine that is cut off doesn't hold all of a region.
+    Redirects to the server's own region, as traffic between regions is expensive. Requires several nodes
+    there, so that no single unreachable node receives the heartbeats of a whole region.
     """
     if region == own_region:
         return ""
@@ -102,9 +102,9 @@
 def select_gateways(
     members: list[Member], suspects: Container[str], zone: str, region: str, rng: Any
 ) -> list[str]:
-    """The ready gateways for a client there, only near ones where there are some: at most 64 addresses.
+    """The addresses of ready gateways for a client in this zone, the nearest only: at most MAX_ADDRESSES.
 
-    A suspected one is left out as long as others are left: it is not removed yet, but may well be dead.
+    Suspected gateways are left out while others are available.
     """
     ready = [
         member
--- a/latchspoke/controlplane/evacuations.py
+++ b/latchspoke/controlplane/evacuations.py
@@ -1,11 +1,10 @@
-"""Which calls about evacuations repeat an earlier call, and which are a second operator's. Pure.
-
-``evacuation.begin`` and ``evacuation.finish`` carry nothing but the zone: a call that is sent again after a
-lost answer, and the call of another operator, are the same bytes. No rule can tell them apart in every case.
-What is known: a caller sends again at short pauses, and never later than ``ackS`` after its first sending. A
-begin that comes soon after the last one, whether or not that one's caller has its answer, is therefore taken
-for a repeat; one that comes later is another evacuation, which its own operator takes back. A finish that
-comes soon after another, while one more evacuation stands, may be either: nothing is done, nothing promised.
+"""Distinguishes repeated evacuation calls from those of a second operator. No I/O.
+
+``evacuation.begin`` and ``evacuation.finish`` carry only the zone, so a retry after a lost response looks the
+same as another operator's call. A caller retries at short intervals, and no later than ``ackS`` after its
+first attempt. A begin shortly after the last one is therefore taken for a retry, and a later one for another
+evacuation, which has a finish of its own. A finish shortly after another, while one more evacuation is
+active, is ambiguous and is rejected.
 """
 
 from __future__ import annotations
@@ -19,40 +18,38 @@
 
 from latchspoke.configstore.orders import Orders
 
-REPEAT_WINDOW_FRACTION = (
-    0.75  # of ``ackS``; callers' pauses, with one or two machines that say nothing, take no longer
-)
+REPEAT_WINDOW_FRACTION = 0.75  # of ``ackS``; covers a retry interval with one or two unresponsive nodes
 
 
 class CallKind(Enum):
-    """What a call is taken for."""
+    """The classification of a call."""
 
-    FIRST = "first"  # nothing stands
+    FIRST = "first"  # no evacuation of the zone is active
     REPEAT = "repeat"
     ANOTHER = "another"
     UNCLEAR = "unclear"
 
 
 class EvacuationChange(msgspec.Struct, frozen=True):
-    """The last change of a zone's evacuations."""
+    """The last change of a zone's number of active evacuations."""
 
-    log_index: int  # in the log
-    is_begin: bool  # one more stands since; else one less
-    changed_at: float  # s, on this machine's clock
-    observed: bool  # as it came; what stood at the start of a process may be of any age
+    log_index: int
+    is_begin: bool  # the number increased
+    changed_at: float  # s, by the clock of this process
+    observed: bool  # at the time of its commit; otherwise its age is unknown
 
 
 class EvacuationCallTracker:
-    """What one control machine knows of changes and calls, by zone; others tell theirs."""
+    """The changes and answered calls known to a control-plane node, by zone; peers exchange them."""
 
     def __init__(self, started_at: float) -> None:
         self.started_at = started_at
-        self.active_counts: dict[str, int] = {}  # as last applied here
+        self.active_counts: dict[str, int] = {}  # as last applied
         self.changes: dict[str, EvacuationChange] = {}
-        self.begin_acknowledged_at: dict[str, float] = {}  # when a begin was last acknowledged
+        self.begin_acknowledged_at: dict[str, float] = {}
 
     def record_applied(self, orders: Orders, now: float, observed: bool) -> None:
-        """The store has applied orders. ``seen``: at about the time at which they were committed."""
+        """The store has applied commands. ``observed``: at about the time of their commit."""
         for zone in orders.zones:
             active = orders.standing(zone)
             previous = self.active_counts.get(zone, 0)
@@ -64,17 +61,17 @@
             self.active_counts[zone] = active
 
     def record_acknowledged_begin(self, zone: str, now: float) -> None:
-        """A begin was answered with success at ``now``."""
+        """A begin was acknowledged at ``now``."""
         self.begin_acknowledged_at[zone] = max(self.begin_acknowledged_at.get(zone, -math.inf), now)
 
     def classify(self, zone: str, is_begin: bool, orders: Orders, ack_s: float, now: float) -> CallKind:
-        """What a call that comes now is taken for. ``ack_s``: the longest time over which one is repeated."""
+        """Classify a call that arrives now. ``ack_s``: the longest time over which a call is repeated."""
         if not orders.standing(zone):
             return CallKind.FIRST
         log_index = orders.zones[zone][0]
         change = self.changes.get(zone)
         if change is None or change.log_index != log_index or not change.observed:
-            # What stood already when this process began may have been ordered a moment before.
+            # The change precedes this process; it may be recent.
             change = EvacuationChange(log_index, is_begin, self.started_at, False)
         if change.is_begin != is_begin:
             return CallKind.ANOTHER
@@ -88,7 +85,7 @@
         return CallKind.REPEAT if is_begin else CallKind.UNCLEAR
 
     def to_message(self, now: float) -> dict[str, Any] | None:
-        """For another control machine, which may have begun anew; None if there is nothing to tell."""
+        """The message for a peer that may have restarted; None if there is nothing to send."""
         observed = {
             zone: [change.log_index, change.is_begin, round(now - change.changed_at, 3)]
             for zone, change in self.changes.items()
@@ -100,7 +97,7 @@
         return {"k": "moved", "z": observed, "a": {}, "c": ages}
 
     def merge(self, message: Mapping[str, Any], now: float) -> None:
-        """What ``wire`` wrote elsewhere. Raises KeyError, TypeError, ValueError."""
+        """Merge a message of ``to_message``. Raises KeyError, TypeError, ValueError."""
         for zone, (log_index, is_begin, age) in message["z"].items():
             known = self.changes.get(zone)
             if (
--- a/latchspoke/controlplane/fanout.py
+++ b/latchspoke/controlplane/fanout.py
@@ -1,10 +1,10 @@
-"""Soft state for all other control machines that crosses each border between regions once.
+"""Fan-out of soft state to the other control-plane nodes, with one message per remote region.
 
-Whoever has news sends it to the control machines of its own region, and to one of each other region, which
-passes it on to those beside it. What is lost on the way, as with a machine that fails between, is asked for:
-the word on heartbeats names each server once a second, and one that is not known is wanted from its sender.
+A node sends an update to the nodes of its own region and to one node of each other region, which forwards it
+within that region. A lost update is recovered by the periodic heartbeat reports: a server that is unknown to
+the receiver is requested from the sender.
 
-What must be known to a majority before it is acknowledged goes to each machine directly, and not by this.
+State that a majority must have before it is acknowledged is sent to each node directly.
 """
 
 from __future__ import annotations
@@ -17,26 +17,27 @@
 from latchspoke.distribution.published_state import encode_entries
 from latchspoke.transport.connection import Message
 
-FORWARD_FIELD = "fan"  # the field that asks the receiver to pass a message on within its region
-MAX_REQUESTED_SERVERS = 200  # servers asked for at once
+FORWARD_FIELD = "fan"  # present if the receiver is to forward the message within its region
+MAX_REQUESTED_SERVERS = 200  # per message
 
 
 class RegionTopology:
-    """Where the other control machines stand, and which of them pass news on."""
+    """The regions of the other control-plane nodes, and which of them forward messages."""
 
     def __init__(self, own_name: str, region: str, rng: random.Random) -> None:
         self.own_name, self.region, self.rng = own_name, region, rng
-        self.region_by_node: dict[str, str] = {}  # region by name
-        self.forwarding_nodes: set[str] = set()  # names of those that have said that they pass news on
+        self.region_by_node: dict[str, str] = {}
+        self.forwarding_nodes: set[str] = set()  # have announced that they forward and decompress
 
     def in_own_region(self, names: Iterable[str]) -> list[str]:
-        """Those of this region, and those of whom no region is known."""
+        """The nodes of this region, and those whose region is unknown."""
         return [name for name in names if self.region_by_node.get(name, self.region) in (self.region, "")]
 
     def targets(self, names: Collection[str], is_reachable: Callable[[str], bool]) -> dict[str, bool]:
-        """To whom news for all of these goes, and whether it is to be passed on there.
+        """The nodes to send an update for all of ``names`` to, and whether each is to forward it.
 
-        ``sound``: whether what is sent there surely arrives. A region without such a machine is told whole.
+        ``is_reachable``: whether a node can be relied on to receive it. Without such a forwarding node, all
+        nodes of the region are targets.
         """
         forward_by_target = dict.fromkeys(self.in_own_region(names), False)
         distant: defaultdict[str, list[str]] = defaultdict(list)
@@ -54,9 +55,9 @@
         return forward_by_target
 
     def sends_snapshot(self, newcomer: str, alive: Iterable[str]) -> bool:
-        """Whether this machine tells one that has just connected all it knows.
+        """Whether this node sends a snapshot to a peer that has just connected.
 
-        All of the newcomer's region do, and of each other region one, by the newcomer's name.
+        All nodes of the newcomer's region do, and one of each other region, chosen by the newcomer's name.
         """
         if newcomer in self.in_own_region([newcomer]):
             return True
@@ -65,5 +66,5 @@
 
 
 def servers_message(entries: list[Message], compress: bool) -> Message:
-    """Servers for other control machines; ``packs``: all that get it can inflate them."""
+    """The message with servers for peers. ``compress``: all receivers can decompress it."""
     return {"k": "roster"} | encode_entries(entries, compress)
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -1,4 +1,4 @@
-"""Puts the control plane's parts together, and runs them from start to SIGTERM."""
+"""The control-plane process: connects its parts and runs them from start to SIGTERM."""
 
 from __future__ import annotations
 
@@ -46,34 +46,32 @@
 from latchspoke.transport.log import log
 from latchspoke.transport.request_ids import first_request_id
 
-SWEEP_INTERVAL_S = 0.25  # s
-HEARTBEAT_REPORT_INTERVAL_S = 1.0  # s between words to the other control machines on who has beaten here
-PROOF_INTERVAL_S = 0.4  # s between proofs, at least; those who ask meanwhile share the next
-REPLICATION_TIMEOUT_S = 0.8  # s that a server's word to leave waits for a majority of the core
-SUBSCRIBER_ACK_TIMEOUT_S = 0.35  # s that an acknowledged order waits for the gateways that follow here
-STORE_TIMEOUT_S = 0.85  # s for the register
-ISOLATION_GRACE_S = 3.5  # s without others until silence of servers may be this machine's own
-EVIDENCE_DELAY_S = 0.1  # s that what gateways saw of servers is gathered before it is told on
-EVIDENCE_RETRY_DELAY_S = 0.3  # s until what has changed too little to be told is looked at again
-DEFAULT_ACK_TIMEOUT_S = (
-    6.0  # s; so long after its first sending an evacuation may be sent again, if no bound tells
-)
-RESOLUTION_TTL_S = 1.0  # s; how long a client holds the locator's answer
-MAX_CHECK_ATTEMPTS = 3  # tries to check a change against a base that moves meanwhile
-RECEIPT: Message = {"k": "heard"}  # the answer to what needs none: the way to its sender is sound
+SWEEP_INTERVAL_S = 0.25
+HEARTBEAT_REPORT_INTERVAL_S = 1.0  # between reports of received heartbeats to the other control-plane nodes
+PROOF_INTERVAL_S = 0.4  # minimum between proof rounds; requests that arrive meanwhile share the next one
+REPLICATION_TIMEOUT_S = 0.8  # for a majority of the control-plane nodes to confirm a server's state
+SUBSCRIBER_ACK_TIMEOUT_S = 0.35  # a committed command waits this long for the gateways subscribed here
+STORE_TIMEOUT_S = 0.85  # for a request to the replicated store
+ISOLATION_GRACE_S = 3.5  # after reconnecting to a peer, before missing heartbeats count against servers
+EVIDENCE_DELAY_S = 0.1  # collects the gateways' evidence on servers before it is sent on
+EVIDENCE_RETRY_DELAY_S = 0.3  # until evidence that changed too little to be sent is checked again
+DEFAULT_ACK_TIMEOUT_S = 6.0  # the longest time over which a caller repeats an evacuation call
+RESOLUTION_TTL_S = 1.0  # how long clients cache a gateway look-up
+MAX_CHECK_ATTEMPTS = 3  # a patch is checked again when its base version has changed meanwhile
+RECEIPT: Message = {"k": "heard"}  # answers a message without a reply, to show that the path works
 STATUS_BY_VERDICT = {"taken": 200, "repeated": 200, "conflict": 412, "invalid": 400}
 
 
 @dataclass(slots=True)
 class PendingReplication:
-    """Other control machines that were told of a server, and how many of them must still say so."""
+    """The voters that a server's state was sent to, and how many more must confirm it."""
 
     awaited: set[str]
     remaining: int
     completed: asyncio.Future[None]
 
     def record_confirmation(self, name: str) -> None:
-        """This control machine has said that it knows."""
+        """A control-plane node has confirmed the state."""
         if name in self.awaited:
             self.awaited.discard(name)
             self.remaining -= 1
@@ -82,12 +80,12 @@
 
 
 class Node(NodeProcess):
-    """One control machine on its sockets."""
+    """One control-plane process."""
 
     PORT_OFFSET = CONTROL_PORT_OFFSET
 
     def build(self) -> None:
-        """Raises LedgerError."""
+        """Create the parts of the control-plane node and connect them. Raises LedgerError."""
         s = self.settings
         self.own_name = self.internal_endpoint
         founders = tuple(f"{host}:{port}" for host, port in self.seed_addresses())
@@ -114,14 +112,13 @@
         self.membership_transport = self.create_membership_transport(meta)
         self.gateway_updates = ServerUpdateBatcher(self.clock, self.published_state.publish_entries)
         self.peer_updates = ServerUpdateBatcher(self.clock, self.send_servers_to_peers)
-        self.unreported_heartbeats: dict[str, Entry] = {}  # heard here since the last word to the others
+        self.unreported_heartbeats: dict[str, Entry] = {}  # since the last report
         self.pending_replications: dict[int, PendingReplication] = {}
         self.replication_number = first_request_id(self.instance_id)
-        self.proof_requests: list[
-            tuple[MessageConnection, int, float]
-        ] = []  # gateways that wait for a proof, and since when
+        # Connection, proof ID and time of each request that waits for a proof.
+        self.proof_requests: list[tuple[MessageConnection, int, float]] = []
         self.proof_running = False
-        self.last_connected_at = self.started_at = self.clock.now()
+        self.connected_since = self.started_at = self.clock.now()
         self.evacuations = EvacuationCallTracker(self.started_at)
         self.handlers: dict[str, Callable[[ApiCall, bytes, Caller], Response | Awaitable[Response]]] = {
             "instances.heartbeat": lambda call, body, caller: self.handle_heartbeat(call.subject, body),
@@ -139,20 +136,20 @@
         }
         self.stopping = False
 
-    # The register.
+    # The replicated store.
 
     def send_store_message(self, name: str, message: Message) -> None:
-        """Send a message of the replicated store to another control machine."""
+        """Send a message of the replicated store to another control-plane node."""
         self.peers.send(name, {"k": "reg", "m": message})
 
     def store_applied(self, stored: StoredState) -> None:
-        """The operator's word as committed: the only one that is ever told."""
+        """The replicated store has applied committed commands; only committed state is published."""
         self.evacuations.record_applied(stored, self.clock.now(), self.replica.proven)
         if self.replica.proven:
             self.publish_committed()
 
     def publish_committed(self) -> None:
-        """Tell gateways the newest orders, if they are news."""
+        """Publish the newest committed state to gateways, unless they have it."""
         stored = self.replica.orders
         committed = CommittedState(stored.index, stored.version, stored.document, stored.evacuated)
         if self.published_state.update_committed(committed, self.clock.now()):
@@ -164,15 +161,17 @@
             )
 
     def handle_proof_request(self, connection: MessageConnection, proof_id: int) -> None:
-        """A gateway asks whether what it knows is the newest. Those who ask at one time share a proof."""
+        """A gateway asks for a proof that its state is current; concurrent requests share a round."""
         self.proof_requests.append((connection, proof_id, self.clock.now()))
         if not self.proof_running:
             self.proof_running = True
             self.spawn(self.run_proof_rounds())
 
     async def run_proof_rounds(self) -> None:
-        """Rounds of a majority, as long as somebody asks. What a round proves holds as of its beginning, so
-        that it serves those too who have asked since, with its age."""
+        """Run quorum rounds while proof requests are waiting.
+
+        A proof holds as of the start of its round. Requests that arrived later are answered with its age.
+        """
         while self.proof_requests:
             round_started_at, request_count = self.clock.now(), len(self.proof_requests)
             index = await self.confirm_index()
@@ -183,7 +182,7 @@
                     connection.send({"k": "proven", "t": proof_id})
             else:
                 self.publish_committed()
-                # By what this machine has applied: a gateway that knows all of it knows the newest.
+                # The index applied here: a gateway that has applied it too is current.
                 applied_index = self.published_state.committed.index
                 for connection, proof_id, requested_at in requests:
                     age = max(requested_at - round_started_at, 0.0)
@@ -194,41 +193,41 @@
         self.proof_running = False
 
     async def confirm_index(self) -> int | None:
-        """Up to which index this machine surely knows all; None where that can't be proven now."""
+        """The index up to which this node is confirmed to be current; None without a quorum."""
         try:
             return await self.replica.confirm(
                 STORE_TIMEOUT_S, patient=self.published_state.committed.index > 0
             )
-        except Exception as e:  # one round that fails must not be the last
-            log("proof-failed", why=repr(e))
+        except Exception as error:  # a failed round must not end the proof rounds
+            log("proof-failed", why=repr(error))
             return None
 
-    # Other control machines.
+    # Other control-plane nodes.
 
     def peer_connected(self, connection: MessageConnection) -> None:
-        """A new connection to one: it is told all that is known of servers."""
+        """A connection to a peer has opened: send it the known servers and evacuation changes."""
         now = self.clock.now()
         if self.peers.topology.sends_snapshot(str(connection.tag), self.peers.alive):
             supports_compression = str(connection.tag) in self.peers.topology.forwarding_nodes
             connection.send(servers_message(self.registry.snapshot(now), supports_compression))
-        # It may have begun anew, and know neither when evacuations were ordered nor who has an answer.
+        # A restarted peer knows neither when evacuations changed nor which calls were answered.
         if evacuations := self.evacuations.to_message(now):
             connection.send(evacuations)
 
     def handle_peer_reply(self, connection: MessageConnection, message: Message) -> None:
-        """What another control machine says on a connection opened from here."""
+        """A message of a peer on a connection opened by this node."""
         self.peers.record_received(str(connection.tag))
         if message.get("k") == "got":
             self.handle_replication_confirmation(str(connection.tag), message)
 
     def handle_replication_confirmation(self, name: str, message: Message) -> None:
-        """Another control machine knows what it was told of a server."""
+        """A peer confirms that it has the server state of a message."""
         pending = self.pending_replications.get(int(message["n"]))
         if pending is not None:
             pending.record_confirmation(name)
 
     def handle_relayed_message(self, connection: MessageConnection, message: Message, now: float) -> None:
-        """From another control machine, by way of a gateway."""
+        """A message of a peer that a gateway has relayed."""
         name, relayed_message = str(message["from"]), message["m"]
         self.relays.record_received(name, connection, now)
         if relayed_message["k"] == "got":
@@ -241,7 +240,7 @@
     def handle_peer_message(
         self, name: str, message: Message, now: float, reply: Callable[[Message], object]
     ) -> bool:
-        """From another control machine, whichever way it came; whether it is such a message."""
+        """Handle a message of a peer, direct or relayed; False if it is of another kind."""
         match message.get("k"):
             case "reg":
                 self.replica.heard(name, message["m"])
@@ -260,7 +259,7 @@
         return True
 
     def handle_message(self, connection: MessageConnection, message: Message) -> None:
-        """What comes on connections that others have opened: control machines and gateways."""
+        """A message on an inbound connection, from a peer or a gateway."""
         now = self.clock.now()
         if isinstance(connection.tag, str):
             self.peers.record_received(connection.tag)
@@ -283,14 +282,14 @@
                     self.publisher.handle_message(connection, message)
 
     def inbound_closed(self, connection: MessageConnection, reason: str) -> None:
-        """A connection that another process had opened has ended."""
+        """An inbound connection has closed."""
         super().inbound_closed(connection, reason)
         self.relays.remove_connection(connection)
         if isinstance(connection.tag, Subscriber):
             self.ledger.left(connection.tag.name)
 
     def handle_evidence(self, connection: MessageConnection, message: Message, now: float) -> None:
-        """What gateways that follow here, or another control machine's, saw of servers."""
+        """Evidence on servers, from a subscribed gateway or from a peer."""
         if isinstance(connection.tag, Subscriber):
             self.ledger.heard(connection.tag.name, connection.tag.zone, message["w"], now)
         else:
@@ -298,13 +297,13 @@
         self.schedule_evidence(now + EVIDENCE_DELAY_S)
 
     def schedule_evidence(self, at: float) -> None:
-        """Tell evidence on servers at this time, with all that comes until then."""
+        """Schedule ``send_evidence``, unless it is scheduled already."""
         if not self.evidence_scheduled:
             self.evidence_scheduled = True
             self.clock.schedule(at, self.send_evidence)
 
     def send_evidence(self, now: float) -> None:
-        """Tell other control machines and gateways what gateways saw of servers."""
+        """Send new evidence on servers to the peers and the subscribed gateways."""
         self.evidence_scheduled = False
         if entries := self.ledger.to_peers(now):
             self.peers.broadcast({"k": "hot", "e": entries})
@@ -318,13 +317,13 @@
             self.schedule_evidence(now + EVIDENCE_RETRY_DELAY_S)
 
     def merge_servers(self, message: Message, now: float) -> None:
-        """Servers, as another control machine knows them."""
+        """Merge a peer's servers, and forward the message within the region if it asks for that."""
         self.gateway_updates.add(self.registry.merge(decode_entries(message), now), now)
         if FORWARD_FIELD in message:
             self.peers.forward_in_region(message)
 
     def refresh_heartbeats(self, sender: str, message: Message, now: float) -> None:
-        """Another control machine has heard these again, and nothing else is new of them."""
+        """Refresh the servers of a peer's heartbeat report; request those that are unknown here."""
         changed_entries, unknown = [], []
         for instance_id, sequence, age in message["b"]:
             if self.registry.refresh(instance_id, sequence, now - age):
@@ -347,7 +346,7 @@
             self.peers.send(sender, {"k": "want", "i": unknown[:MAX_REQUESTED_SERVERS]})
 
     def send_requested_servers(self, requester: str, message: Message, now: float) -> None:
-        """Another control machine has heard that these live, and knows nothing else of them."""
+        """A peer requests servers that it knows only by their instance IDs."""
         entries = self.registry.entries
         known = [
             entries[instance_id].to_message(now) for instance_id in message["i"] if instance_id in entries
@@ -358,7 +357,7 @@
             )
 
     def report_heartbeats(self, now: float) -> None:
-        """Tell the other control machines whose heartbeats have come here."""
+        """Report the heartbeats received here to the other control-plane nodes."""
         heartbeats, self.unreported_heartbeats = self.unreported_heartbeats, {}
         if heartbeats:
             summaries = [
@@ -367,7 +366,7 @@
             self.peers.fan_out({"k": "beats", "b": summaries})
 
     def send_servers_to_peers(self, entries: list[Entry], now: float) -> None:
-        """News of servers, to the other control machines."""
+        """Send changed servers to the other control-plane nodes."""
         self.peers.fan_out(
             servers_message(
                 [entry.to_message(now) for entry in entries], self.peers.all_support_compression()
@@ -375,9 +374,9 @@
         )
 
     async def replicate(self, entry: Entry) -> bool:
-        """Whether a majority of the core knows of it, this machine among them.
+        """Whether a majority of the control-plane nodes, including this one, has the server's state.
 
-        A second machine may be cut off from the others together with this one.
+        A single copy is not enough: its node may be partitioned off together with this one.
         """
         self.replication_number += 1
         replication_number, voters = self.replication_number, self.replica.voters
@@ -398,20 +397,20 @@
             self.pending_replications.pop(replication_number, None)
         return True
 
-    # Calls.
+    # API calls.
 
     def handle_request(
         self, method: str, target: str, body: bytes, caller: Caller = LOCAL_CALLER
     ) -> Response | Awaitable[Response]:
-        """Answer a call of an operator, a server or a client."""
+        """Answer an API call of an operator, a server or a client."""
         call = parse_call(method, target)
         handler = self.handlers.get(call.name)
         if handler is None:
-            return 404, {"errorText": f"no such call: {method} {target[:100]}"}
+            return 404, {"errorText": f"unknown call: {method} {target[:100]}"}
         return handler(call, body, caller)
 
     def resolve_gateways(self, call: ApiCall) -> Response:
-        """Answer a client's look-up with gateways."""
+        """Answer a client's look-up with the addresses of gateways."""
         membership, query = self.membership_transport.membership, call.query
         members = list(membership.alive.values())
         addresses = select_gateways(
@@ -423,14 +422,14 @@
         return 200, {"addresses": addresses, "ttlS": ttl}
 
     def handle_heartbeat(self, instance_id: str, body: bytes) -> Response | Awaitable[Response]:
-        """Take a server's heartbeat."""
+        """Handle a server's heartbeat."""
         import msgspec
 
         now = self.clock.now()
         try:
             new = parse_heartbeat(instance_id, msgspec.json.decode(body), now)
-        except (HeartbeatError, msgspec.DecodeError) as e:
-            return 400, {"errorText": str(e)}
+        except (HeartbeatError, msgspec.DecodeError) as error:
+            return 400, {"errorText": str(error)}
         previous = self.registry.entries.get(instance_id)
         cold_until = previous.cold_until if previous is not None else math.inf
         entry, changed = self.registry.update(new, now)
@@ -440,43 +439,43 @@
             self.broadcast_to_gateways(entry, now)
         if changed:
             self.gateway_updates.add([entry], now)
-            # With the number of this beat, the word on an earlier one would hide what is new.
+            # A report with this sequence number would hide the change from the peers.
             self.unreported_heartbeats.pop(instance_id, None)
         else:
             self.unreported_heartbeats[instance_id] = entry
         if entry.state is not State.READY or (changed and entry.cold_until > now):
-            # Also that it is cold: a machine that is cut off must not be the only one told.
+            # Replicated also when cold, as this node may be partitioned off.
             return self.respond_when_replicated(entry)
         if changed:
             self.peer_updates.add([entry], now)
         return 200, self.heartbeat_target_field(entry)
 
     def heartbeat_target_field(self, entry: Entry) -> dict[str, str]:
-        """What the answer to a server's heartbeat says of where its later ones are to go."""
+        """The response field that redirects a server's later heartbeats, or no field."""
         membership, settings = self.membership_transport.membership, self.settings
         region = settings.zones.get(entry.zone, "")
         members = list(membership.alive.values())
         host = heartbeat_target(members, membership.suspects, region, settings.region, self.rng)
         if not host:
             return {}
-        port = settings.listen["controlPlane"][1]  # alike on all machines
+        port = settings.listen["controlPlane"][1]  # the same on all nodes
         return {"heartbeatTarget": f"{host}:{port}"}
 
     def broadcast_to_gateways(self, entry: Entry, now: float) -> None:
-        """Straight to all gateways: some follow one who is cut off, dark, or not reached from here."""
+        """Send a server to all gateways by datagram; some may be subscribed to an unreachable node."""
         gateways = [
             m for m in self.membership_transport.membership.alive.values() if m.meta.get("role") == "edge"
         ]
         self.membership_transport.cast({"e": [entry.to_message(now)]}, [m.address for m in gateways])
 
     async def respond_when_replicated(self, entry: Entry) -> Response:
-        """A server's word that it leaves: acknowledged once a majority of the core would tell it too."""
+        """Acknowledge a server's change once a majority of the control-plane nodes has it."""
         if await self.replicate(entry):
             return 200, {}
-        return 503, {"errorText": "no majority of the control machines knows of it yet"}
+        return 503, {"errorText": "not yet replicated to a majority of the control-plane nodes"}
 
     def handle_deregistration(self, instance_id: str) -> Awaitable[Response]:
-        """Take the word of a server that it has ended."""
+        """Handle a server's deregistration."""
         now = self.clock.now()
         entry, changed = self.registry.mark_gone(instance_id, now)
         if changed:
@@ -485,19 +484,19 @@
         return self.respond_when_replicated(entry)
 
     async def handle_configuration(self, body: bytes) -> Response:
-        """Take a configuration or a change of one."""
+        """Handle a full configuration or a patch."""
         if self.stopping:
-            return 503, {"errorText": "stops"}
+            return 503, {"errorText": "shutting down"}
         for _ in range(MAX_CHECK_ATTEMPTS):
             try:
                 command, faults = self.parse_command(body)
                 if command.get("unchecked") and await self.replica.confirm(STORE_TIMEOUT_S) is None:
                     return 503, {"errorText": "no majority can be reached"}
                 if command.get("unchecked"):
-                    # What it builds on may not have come here before.
+                    # The base version may have been applied here meanwhile.
                     command, faults = self.parse_command(body)
-            except InvalidRequestError as e:
-                return 400, {"errorText": str(e)}
+            except InvalidRequestError as error:
+                return 400, {"errorText": str(error)}
             if faults:
                 log("configuration-refused", why=faults[0], faults=len(faults))
                 return 400, {"errorText": faults[0], "faults": faults[:50]}
@@ -507,10 +506,10 @@
         return await self.respond(command, verdict)
 
     def parse_command(self, body: bytes) -> tuple[dict[str, Any], list[str]]:
-        """The command for the store, and the faults of what it makes. Raises InvalidError.
+        """The command for the replicated store, and the faults of the result. Raises InvalidRequestError.
 
-        ``unchecked`` marks a change that builds on another version than the one that is known here, so that
-        nobody has checked yet what comes of it.
+        ``unchecked`` marks a patch whose base is not the version known here, so that its result could not be
+        checked.
         """
         stored = self.replica.orders
         command, faults = parse_configuration(body, stored.document, stored.version)
@@ -519,11 +518,11 @@
         return command, faults
 
     async def submit_command(self, command: dict[str, Any]) -> Response:
-        """Submit a command, and the answer to its caller."""
+        """Submit a command and return the response to its caller."""
         return await self.respond(command, await self.replica.submit(command, STORE_TIMEOUT_S))
 
     async def respond(self, command: dict[str, Any], verdict: Verdict) -> Response:
-        """The answer to a command's caller; an order that was taken waits shortly for the gateways."""
+        """The response to a command; after a commit, waits briefly for the gateways subscribed here."""
         log("order", what=command["do"], verdict=verdict.kind, why=verdict.reason, index=verdict.index)
         if not verdict.ok:
             return STATUS_BY_VERDICT.get(verdict.kind, 503), {
@@ -537,7 +536,7 @@
         return 200, {"version": f"{verdict.version:08x}"}
 
     async def handle_configuration_read(self) -> Response:
-        """The newest configuration, whole; 503 without a majority."""
+        """The newest configuration; 503 without a quorum."""
         if await self.replica.confirm(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
         stored = self.replica.orders
@@ -546,23 +545,22 @@
         return 200, stored.document
 
     async def export_state(self) -> Response:
-        """The operator's word as a file may hold it, at least as new as all that was acknowledged."""
+        """An export of the committed state, with every acknowledged command; 503 without a quorum."""
         if await self.replica.confirm(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
         return self.show_view("copy")
 
     def show_view(self, what: str) -> Response:
         """One of the views for operators."""
-        from latchspoke.controlplane import view  # loaded only when people ask
+        from latchspoke.controlplane import view  # imported only when needed
 
         return 200, view.render_view(self, what)
 
     async def handle_evacuation(self, call: ApiCall, caller: Caller) -> Response:
-        """Begin or finish one; ``evacuations`` tells which calls repeat an earlier one.
+        """Begin or finish an evacuation; ``evacuations`` detects repeated calls.
 
-        First a majority confirms what stands. That also takes time in which the end of the connection arrives
-        here, if the caller has given this call up and sent it elsewhere: a machine that was frozen or slow
-        must not carry out later what has been taken back meanwhile.
+        A quorum read comes first. It also gives time to notice that the caller has closed the connection and
+        sent the call elsewhere: a node that was paused must not apply a call that was reversed meanwhile.
         """
         zone, is_begin = call.subject, call.name.endswith("begin")
         if zone not in self.settings.zones:
@@ -570,11 +568,13 @@
         if await self.replica.confirm(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
         if caller.gone:
-            return 503, {"errorText": "the caller has left"}
+            return 503, {"errorText": "the caller has disconnected"}
         stored, ack_s = self.replica.orders, self.settings.bound("ackS", DEFAULT_ACK_TIMEOUT_S)
         call_kind = self.evacuations.classify(zone, is_begin, stored, ack_s, self.clock.now())
         if call_kind is CallKind.UNCLEAR:
-            return 503, {"errorText": "another evacuation of it was taken back a moment ago: send it again"}
+            return 503, {
+                "errorText": "another evacuation of this zone ended a moment ago: send the call again"
+            }
         command: dict[str, Any] = {"do": "evacuate" if is_begin else "restore", "zone": zone}
         if call_kind is CallKind.ANOTHER:
             command["stand"] = stored.standing(zone)
@@ -584,17 +584,17 @@
             self.peers.broadcast({"k": "moved", "z": {}, "a": {}, "c": {zone: 0.0}})
         return status, response | {"standing": self.replica.orders.standing(zone)}
 
-    # Who there is.
+    # Membership.
 
     def membership_changed(self, change: News) -> None:
-        """A change of the membership."""
+        """A member has joined, changed or gone."""
         if change.kind != "changed":
             log("membership", what=change.kind, who=change.member.name)
         if change.member.meta.get("role") == "core" and change.kind in ("joined", "gone"):
             self.control_nodes_changed()
 
     def control_nodes_changed(self) -> None:
-        """Tell the replicated store and the connections which control machines are alive."""
+        """Pass the live control-plane nodes to the peer links and the replicated store."""
         alive = {
             f"{m.host}:{m.port}": Place(str(m.meta.get("zone", "")), str(m.meta.get("region", "")))
             for m in self.membership_transport.membership.alive.values()
@@ -604,13 +604,13 @@
         self.peers.update_nodes(alive, configured)
         self.replica.peers(alive)
 
-    # Life.
+    # Lifecycle.
 
     async def start(self) -> None:
-        """Listen, and begin the periodic work. Raises OSError."""
+        """Listen and start the periodic work. Raises OSError."""
         s = self.settings
         create = self.loop.create_server
-        self.replica.start()  # before anybody can ask
+        self.replica.start()  # before a request can arrive
         await self.listen_internal(self.membership_transport)
         for name in ("controlPlane", "directoryService"):
             if name in s.listen:
@@ -626,11 +626,11 @@
         self.serving_started(control=str(s.listen.get("controlPlane")))
 
     def sweep(self, now: float) -> None:
-        """Periodic: judge silent servers, drop old evidence, look at the settings file."""
+        """Periodic work: missed heartbeats, expired evidence, unpublished state, changed settings."""
         self.clock.schedule(now + SWEEP_INTERVAL_S, self.sweep)
         if not self.peers.connected_count and len(self.peers.links):
-            self.last_connected_at = now
-        changed = self.registry.sweep(now, detect_silence=now - self.last_connected_at > ISOLATION_GRACE_S)
+            self.connected_since = now
+        changed = self.registry.sweep(now, detect_silence=now - self.connected_since > ISOLATION_GRACE_S)
         self.gateway_updates.add(changed, now)
         self.ledger.sweep(now)
         if self.replica.proven and self.published_state.committed.index < self.replica.orders.index:
@@ -639,19 +639,19 @@
         self.settings_watch.look(now)
 
     def report_heartbeats_periodically(self, now: float) -> None:
-        """Periodic: ``gossip``."""
+        """Periodic: ``report_heartbeats``."""
         self.clock.schedule(now + HEARTBEAT_REPORT_INTERVAL_S, self.report_heartbeats_periodically)
         self.report_heartbeats(now)
 
     def stop(self) -> None:
-        """SIGTERM: end in order."""
+        """Shut down in order (SIGTERM)."""
         if not self.stopping:
             self.stopping = True
             log("stops")
             self.spawn(self.shut_down())
 
     async def shut_down(self) -> None:
-        """Hand over, leave the membership and close."""
+        """Stop the replicated store, leave the membership and close the connections."""
         await self.replica.stop()
         await asyncio.sleep(0.1)
         self.membership_transport.leave()
@@ -663,5 +663,5 @@
 
 
 def main(path: str | None = None) -> int:
-    """Exit codes: 0 ended in order, 1 the register's store can't be used, 2 settings that can't be used."""
+    """Exit codes: 0 orderly shutdown, 1 unusable store of the replicated log, 2 invalid settings."""
     return node_process.main("controlplane", Node, path, LedgerError)
--- a/latchspoke/controlplane/peers.py
+++ b/latchspoke/controlplane/peers.py
@@ -1,4 +1,4 @@
-"""Held connections between control machines: the register's messages, and what each has heard of servers."""
+"""Connections between control-plane nodes, for Raft messages and the replication of the server registry."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from latchspoke.controlplane.relays import GatewayRelays
 from latchspoke.transport.connection import Message, MessageConnection, dial
 
-DIAL_TIMEOUT_S = 0.4  # s
-RECONNECT_DELAY_S = (0.05, 0.5)  # s between tries
-MAX_QUEUED_MESSAGES = 500  # messages for one that can't be reached; older ones go first
-MAX_PENDING_MESSAGES = 20
-UNANSWERED_TIMEOUT_S = 0.35  # s that something sent may go without a word from the other side: two heartbeats
+DIAL_TIMEOUT_S = 0.4
+RECONNECT_DELAY_S = (0.05, 0.5)  # initial and maximum
+MAX_QUEUED_MESSAGES = 500
+MAX_PENDING_MESSAGES = 20  # while a peer is not connected; the oldest are dropped
+UNANSWERED_TIMEOUT_S = 0.35  # without a message of the peer; two Raft heartbeats
 
 
 class PeerLink:
-    """What goes to one other control machine. Any message may be lost."""
+    """The outbound connection to one peer, kept open. Any message may be lost."""
 
     def __init__(self, peers: Peers, name: str) -> None:
         self.peers, self.name = peers, name
@@ -28,25 +28,23 @@
         self.address = host, int(port)
         self.connection: MessageConnection | None = None
         self.pending: deque[Message] = deque(maxlen=MAX_PENDING_MESSAGES)
-        self.unanswered_since: float | None = (
-            None  # when the first was sent after which nothing came from there
-        )
-        self.last_received_at = -math.inf  # directly, on any connection
+        self.unanswered_since: float | None = None  # when the first unanswered message was sent
+        self.last_received_at = -math.inf  # directly, on any connection of the peer
         self.running = True
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     def is_unresponsive(self, now: float) -> bool:
-        """Whether what is sent directly may not arrive."""
+        """Whether messages sent directly may not arrive."""
         if self.connection is None or self.connection.closed:
             return True
         return self.unanswered_since is not None and now - self.unanswered_since > UNANSWERED_TIMEOUT_S
 
     def record_received(self, now: float) -> None:
-        """The other side has said something, directly."""
+        """A direct message of the peer has arrived."""
         self.unanswered_since, self.last_received_at = None, now
 
     def send(self, message: Message, now: float) -> bool:
-        """Directly; whether it went out now. Else it waits for the connection."""
+        """Send a message, or queue it for the connection; whether it was sent now."""
         if self.unanswered_since is None:
             self.unanswered_since = now
         if self.connection is not None and not self.connection.closed:
@@ -55,7 +53,7 @@
         return False
 
     async def run(self) -> None:
-        """Keep the connection open, until ``stop``."""
+        """Keep the connection open until ``stop``."""
         delay = RECONNECT_DELAY_S[0]
         while self.running:
             closed = asyncio.Event()
@@ -78,15 +76,18 @@
             delay = min(delay * 2, RECONNECT_DELAY_S[1])
 
     def stop(self) -> None:
-        """Close it for good."""
+        """Close the connection for good."""
         self.running = False
         self.task.cancel()
         if self.connection is not None:
-            self.connection.end("stops")
+            self.connection.end("shutting down")
 
 
 class Peers:
-    """All, by inner address. ``joined`` gets a new connection, to be told all; ``heard_back`` answers."""
+    """The links to all peers, by internal address.
+
+    ``on_connected`` receives each new connection, ``on_message`` the peers' messages on it.
+    """
 
     def __init__(
         self,
@@ -103,7 +104,7 @@
         self.alive: set[str] = set()
 
     def update_nodes(self, places: Mapping[str, Place], keep_names: set[str]) -> None:
-        """Those that are alive; ``keep``: also those that may come back, as the register counts on them."""
+        """Update the live nodes. ``keep_names``: members of the replicated store, whose links are kept."""
         names = self.alive = set(places)
         self.topology.region_by_node.update((name, place.region) for name, place in places.items())
         for name in sorted((names | keep_names) - {self.own_name}):
@@ -113,7 +114,7 @@
             self.links.pop(name).stop()
 
     def send(self, name: str, message: Message) -> None:
-        """To one control machine, known or not."""
+        """Send a message to one node, which need not be known yet."""
         link = self.links.get(name)
         if link is None and name != self.own_name:
             link = self.links[name] = PeerLink(self, name)
@@ -121,11 +122,11 @@
             self.deliver(link, message)
 
     def broadcast(self, message: Message) -> list[str]:
-        """To every one that is connected, or reached by way of a gateway; who that is."""
+        """Send a message to all peers; returns the names of those it was sent to, directly or by relay."""
         return [name for name, link in self.links.items() if self.deliver(link, message, False)]
 
     def fan_out(self, message: Message) -> None:
-        """To all that are connected; it crosses each border between regions once."""
+        """Send a message to all peers, once per remote region."""
         now = self.clock()
         reached = [
             name for name, link in self.links.items() if link.connection is not None or name in self.alive
@@ -135,13 +136,16 @@
             self.deliver(self.links[name], message | {FORWARD_FIELD: 1} if should_forward else message, False)
 
     def forward_in_region(self, message: Message) -> None:
-        """What came from another region, to those beside this machine."""
+        """Forward a message from another region to the nodes of this region."""
         stripped = {field: value for field, value in message.items() if field != FORWARD_FIELD}
         for name in self.topology.in_own_region(self.links):
             self.deliver(self.links[name], stripped, False)
 
     def deliver(self, link: PeerLink, message: Message, queue: bool = True) -> bool:
-        """To one, by each way that may be of use; whether it was on its way. ``keep``: until connected."""
+        """Send a message by each path that may work; whether one accepted it.
+
+        ``queue``: keep it for the connection if there is none.
+        """
         now = self.clock()
         sent = link.send(message, now) if queue or link.connection is not None else False
         name = link.name
@@ -153,17 +157,17 @@
         return sent
 
     def record_received(self, name: str) -> None:
-        """A message from it has come directly."""
+        """A direct message of this peer has arrived."""
         if (link := self.links.get(name)) is not None:
             link.record_received(self.clock())
 
     def all_support_compression(self) -> bool:
-        """Whether all that are alive can read servers that are deflated."""
+        """Whether all live peers can decompress servers."""
         return self.alive - {self.own_name} <= self.topology.forwarding_nodes
 
     @property
     def connected_count(self) -> int:
-        """To how many there is a connection."""
+        """The number of peers with an open connection."""
         return sum(link.connection is not None and not link.connection.closed for link in self.links.values())
 
     def stop(self) -> None:
--- a/latchspoke/controlplane/update_batcher.py
+++ b/latchspoke/controlplane/update_batcher.py
@@ -1,7 +1,7 @@
-"""News of servers, gathered while they come fast: one message for many in place of one for each.
+"""Batches changes of servers, to bound the message rate when many servers change together.
 
-What comes after a pause goes out at once. What follows within ``GATHER`` s waits until that has passed, so
-that thousands of servers that start together cost each listener 20 messages a second, not one a server.
+The first change after a pause is sent at once. Changes within ``BATCH_WINDOW_S`` after a batch wait for the
+end of that window.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from latchspoke.net.clock import Clock
 from latchspoke.registry.registry import Entry
 
-BATCH_WINDOW_S = 0.05  # s
+BATCH_WINDOW_S = 0.05
 SendBatch = Callable[[list[Entry], float], object]
 
 
 class ServerUpdateBatcher:
-    """What is to be told to one group of listeners."""
+    """The changes to be sent to one group of receivers."""
 
     def __init__(self, clock: Clock, send: SendBatch) -> None:
-        """``send`` gets the entries and the time (s, by ``clock``)."""
+        """``send`` receives the entries and the time (s, by ``clock``)."""
         self.clock, self.send = clock, send
         self.pending: dict[str, Entry] = {}
         self.sent_at = -math.inf
         self.scheduled = False
 
     def add(self, entries: Iterable[Entry], now: float) -> None:
-        """These have changed."""
+        """Add changed entries, and send them now or at the end of the window."""
         self.pending.update((entry.instance_id, entry) for entry in entries)
         if not self.pending or self.scheduled:
             return
@@ -38,7 +38,7 @@
             self.clock.schedule(self.sent_at + BATCH_WINDOW_S, self.flush)
 
     def flush(self, now: float) -> None:
-        """Send what waits."""
+        """Send the pending entries."""
         entries, self.pending = list(self.pending.values()), {}
         self.sent_at, self.scheduled = now, False
         if entries:
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -1,6 +1,6 @@
-"""What a control machine shows of itself and of the fleet: ``GET /status``, ``/metrics``, ``/history``.
+"""Views of a control-plane node and the fleet: ``GET /status``, ``/metrics``, ``/history``.
 
-Keys of tenants are no part of it, nor is the configuration.
+They contain neither the configuration nor API keys; only the export does.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def server_view(entry: Entry, zones: dict[str, str], now: float) -> dict[str, Any]:
-    """One life, as its beats tell."""
+    """One server instance, as its heartbeats report it."""
     avoided = {
         "gone": entry.state is State.GONE,
         "draining": entry.state is State.DRAINING,
@@ -42,7 +42,7 @@
 
 
 def history_view(node: Node) -> list[dict[str, Any]]:
-    """The versions that the register remembers, the newest first; a digest names what the operator sent."""
+    """The configuration versions in the replicated store, newest first, with the digests of the requests."""
     stored = node.replica.orders
     return [
         {"version": f"{version:08x}", "digest": digest, "current": version == stored.version}
@@ -51,7 +51,7 @@
 
 
 def members_view(node: Node) -> list[dict[str, Any]]:
-    """Gateways and control machines that the membership knows to live, with what each has acknowledged."""
+    """The live gateways and control-plane nodes, with the index that each subscriber has acknowledged."""
     membership, current_index = node.membership_transport.membership, node.published_state.committed.index
     acknowledged_index = {
         subscriber.name: subscriber.acknowledged_index for subscriber in node.published_state.subscribers
@@ -72,7 +72,7 @@
             "status": f"{member.host}:{status_port}" if status_port else None,
         }
         if name in acknowledged_index:
-            # Only those that follow this machine have told it what they know.
+            # Known only for the gateways subscribed to this node.
             view |= {
                 "follows_here": True,
                 "index": acknowledged_index[name],
@@ -83,7 +83,7 @@
 
 
 def status_view(node: Node) -> dict[str, Any]:
-    """The whole view."""
+    """The status of the node and the fleet."""
     now, settings, stored = node.clock.now(), node.settings, node.replica.orders
     return {
         "name": settings.name,
@@ -110,7 +110,7 @@
 
 
 def render_metrics(view: dict[str, Any]) -> str:
-    """The text format of a view."""
+    """A status view in the text format of metrics."""
     register = view["register"]
     member_family = MetricFamily(
         "latchspoke_members", "Live machines that the membership knows, by role and state."
@@ -163,7 +163,7 @@
 
 
 def export_state(node: Node) -> bytes:
-    """The operator's word, as ``store restore`` reads it. It has the tenants' keys in it."""
+    """The committed state for ``store restore``. Contains the tenants' API keys."""
     from latchspoke.configstore import copies
 
     register = node.replica.register
@@ -171,7 +171,7 @@
 
 
 def render_view(node: Node, what: str) -> Any:
-    """What is asked on the control address beside the protocol's calls."""
+    """The view with this name. Raises ValueError."""
     match what:
         case "status":
             return status_view(node)
--- a/latchspoke/dataplane/subscription.py
+++ b/latchspoke/dataplane/subscription.py
@@ -195,7 +195,7 @@
             self.proof_id += 1
             self.pending_proofs[self.proof_id] = now
             connection.send({"k": "prove", "t": self.proof_id})
-            entries = self.follower.remove_missing(now, UNKNOWN_SERVER_TTL_S)
+            entries = self.follower.expire_missing(now, UNKNOWN_SERVER_TTL_S)
             if entries:
                 self.on_change(False, entries)
             await asyncio.sleep(min(self.proof_interval, max(left, MIN_CHECK_INTERVAL_S)))
--- a/latchspoke/distribution/__init__.py
+++ b/latchspoke/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""The board: what gateways are told, as numbered changes down held connections. Pure."""
+"""Publishes the committed state and the servers to subscribers, as numbered changes. No I/O."""
--- a/latchspoke/distribution/published_state.py
+++ b/latchspoke/distribution/published_state.py
@@ -1,7 +1,7 @@
-"""What is told to those who follow: the operator's word as committed, and the servers. Pure.
+"""The published state: the committed configuration and evacuations, and the servers. No I/O.
 
-Each change has a number. Who has missed one asks for the whole again. The same board stands on a control
-machine and on a gateway, which tells another that can't reach any control machine.
+Changes carry sequence numbers; a subscriber that has missed one requests a full snapshot. Control-plane nodes
+publish to gateways, and a gateway publishes to gateways that cannot reach a control-plane node.
 """
 
 from __future__ import annotations
@@ -19,15 +19,13 @@
 Message = dict[str, Any]
 Document = dict[str, Any]
 
-COMPRESSION_THRESHOLD_BYTES = 2048  # bytes; what is larger travels deflated, as gateways' links are narrow
-FAST_COMPRESSION_LEVEL = 1  # zlib's level where time matters more than bytes
-MAX_PAST_DOCUMENTS = (
-    30  # documents that are kept, so that who comes back after a while is told only what changed
-)
+COMPRESSION_THRESHOLD_BYTES = 2048
+FAST_COMPRESSION_LEVEL = 1  # of zlib, where time matters more than size
+MAX_PAST_DOCUMENTS = 30  # as bases of patches for reconnecting subscribers
 
 
 def encode_field(name: str, value: Document) -> Message:
-    """A field of a message: as it is, or deflated where it is large."""
+    """A field of a message, compressed if it is large."""
     data = msgspec.json.encode(value)
     if len(data) < COMPRESSION_THRESHOLD_BYTES:
         return {name: value}
@@ -35,7 +33,7 @@
 
 
 def encode_entries(entries: list[Document], compress: bool) -> Message:
-    """The field ``e`` of a message: servers, deflated where they are many and the reader can inflate."""
+    """The field ``e`` of a message with servers. ``compress``: the receiver can decompress it."""
     data = msgspec.json.encode(entries)
     if not compress or len(data) < COMPRESSION_THRESHOLD_BYTES:
         return {"e": entries}
@@ -43,29 +41,29 @@
 
 
 def decode_entries(message: Message) -> list[Document]:
-    """The servers that ``pack_entries`` packed; none if there is no such field. Raises ValueError."""
+    """The servers from ``encode_entries``; empty if the field is missing. Raises ValueError."""
     if "ez" not in message:
         return list(message.get("e", ()))
     try:
         return msgspec.json.decode(zlib.decompress(b64decode(message["ez"])), type=list[dict[str, Any]])
-    except (zlib.error, msgspec.MsgspecError) as e:
-        raise ValueError(f"servers can't be read: {e}") from None
+    except (zlib.error, msgspec.MsgspecError) as error:
+        raise ValueError(f"servers can't be read: {error}") from None
 
 
 def decode_field(name: str, message: Message) -> Document | None:
-    """The field that ``pack`` made, or None. Raises ValueError."""
+    """The field from ``encode_field``, or None if it is missing. Raises ValueError."""
     if name in message:
         return message[name]  # type: ignore[no-any-return]
     if f"{name}z" not in message:
         return None
     try:
         return msgspec.json.decode(zlib.decompress(b64decode(message[f"{name}z"])), type=dict[str, Any])
-    except (zlib.error, msgspec.MsgspecError) as e:
-        raise ValueError(f"{name} can't be read: {e}") from None
+    except (zlib.error, msgspec.MsgspecError) as error:
+        raise ValueError(f"{name} can't be read: {error}") from None
 
 
 class CommittedState(msgspec.Struct):
-    """The operator's word as of one place in the register's log; 0: nothing yet."""
+    """The configuration and the evacuated zones as of an index of the replicated log (0: none yet)."""
 
     index: int = 0
     version: int = 0
@@ -74,50 +72,49 @@
 
 
 class Subscriber(msgspec.Struct, eq=False):
-    """One who follows, on one connection."""
+    """A subscriber on one connection."""
 
     name: str
     send: Callable[[Message], object]
-    has_snapshot: bool = False  # has been given the whole, so that changes make sense
+    has_snapshot: bool = False  # a snapshot was sent, so that changes can be applied
     acknowledged_sequence_number: int = 0
-    acknowledged_index: int = 0  # of the orders that it has acknowledged
-    version: int = 0  # of the configuration that it has, as it last said
+    acknowledged_index: int = 0  # of the committed state
+    version: int = 0  # of the configuration, as last reported
     zone: str = ""
-    supports_compression: bool = False  # it can read servers that are deflated
+    supports_compression: bool = False
 
 
 class PublishedState(msgspec.Struct):
-    """The newest state, and who follows it."""
+    """The newest state and its subscribers."""
 
     registry: Registry
     committed: CommittedState = msgspec.field(default_factory=CommittedState)
     sequence_number: int = 0
     subscribers: list[Subscriber] = msgspec.field(default_factory=list)
-    # Gives the change between two documents, or None where the whole is shorter.
+    # Returns the patch between two documents, or None if the document is shorter.
     diff_documents: Callable[[Document, Document], Document | None] | None = None
-    # Gives the versions of the sets of servers by service, where callers are kept at their servers.
+    # Returns the pool versions by service, for routes with affinity.
     pool_versions: Callable[[PublishedState], dict[str, str]] | None = None
-    past_documents: dict[int, Document] = msgspec.field(
-        default_factory=dict
-    )  # documents by version, the newest last
-    # What leads to the document in force, by the version that a reader has (0: none that is kept): readers
-    # who come back together share the work of packing it.
+    # By version, the newest last.
+    past_documents: dict[int, Document] = msgspec.field(default_factory=dict)
+    # Encoded updates to the current document by the subscriber's version (0: unknown version), shared by
+    # subscribers that reconnect together.
     document_updates: dict[int, Message] = msgspec.field(default_factory=dict)
     document_updates_version: int = 0
 
     def add_subscriber(self, subscriber: Subscriber, now: float) -> None:
-        """A reader has connected; it is told the whole if there is one."""
+        """Add a subscriber, and send it a snapshot if there is committed state."""
         self.subscribers.append(subscriber)
         if self.committed.index:
             self.send_snapshot(subscriber, now)
 
     def remove_subscriber(self, subscriber: Subscriber) -> None:
-        """A reader has gone."""
+        """Remove a subscriber; no effect if it is unknown."""
         if subscriber in self.subscribers:
             self.subscribers.remove(subscriber)
 
     def send_snapshot(self, subscriber: Subscriber, now: float) -> None:
-        """Tell one reader all: orders, document and servers."""
+        """Send a subscriber the committed state and the servers."""
         subscriber.has_snapshot = True
         committed = self.committed
         snapshot: Message = {
@@ -131,7 +128,7 @@
         subscriber.send(snapshot | self.document_update(subscriber.version) | self.pool_versions_field())
 
     def document_update(self, version: int) -> Message:
-        """The document for who has that version of it: nothing, a change, or all of it."""
+        """The update for a subscriber with this version: nothing, a patch or the document."""
         committed = self.committed
         if committed.document is None:
             return {"doc": None}
@@ -147,7 +144,7 @@
         return self.document_updates[base_version]
 
     def encode_document_update(self, version: int, document: Document) -> Message:
-        """The change from a document that is kept, or the whole where that is shorter or there is none."""
+        """The patch from this version, or the document if that is shorter or the version is not kept."""
         old = self.past_documents.get(version)
         if old is not None and self.diff_documents is not None:
             patch = self.diff_documents(old, document)
@@ -156,12 +153,15 @@
         return encode_field("doc", document)
 
     def pool_versions_field(self) -> dict[str, dict[str, str]]:
-        """The field that tells the versions of sets of servers, if routes need them."""
+        """The message field with the pool versions, if any route needs them."""
         pool_versions = self.pool_versions(self) if self.pool_versions is not None else None
         return {"pools": pool_versions} if pool_versions else {}
 
     def broadcast(self, message: Message, compressed: Message | None = None) -> None:
-        """A change, numbered, to all that have the whole; ``packed``: for those who inflate servers."""
+        """Send a numbered change to all subscribers with a snapshot.
+
+        ``compressed``: the variant for subscribers that support compression.
+        """
         self.sequence_number += 1
         sequence_field = {"n": self.sequence_number}
         plain, compressed = (
@@ -173,17 +173,17 @@
                 subscriber.send(compressed if subscriber.supports_compression else plain)
 
     def publish_entries(self, entries: Iterable[Entry], now: float) -> None:
-        """These are news."""
+        """Send changed servers to the subscribers."""
         changed = list(entries)
         if changed and not self.subscribers:
-            self.sequence_number += 1  # nobody follows here, as at most gateways
+            self.sequence_number += 1  # most gateways have no subscribers
         elif changed:
             encoded = [entry.to_message(now) for entry in changed]
             fields = {"k": "servers"} | self.pool_versions_field()
             self.broadcast(fields | {"e": encoded}, fields | encode_entries(encoded, True))
 
     def update_committed(self, new: CommittedState, now: float) -> bool:
-        """The operator's word has changed; whether this is newer than what was known."""
+        """Publish committed state if it is newer than the current one; whether it is."""
         old = self.committed
         if new.index <= old.index:
             return False
@@ -208,38 +208,40 @@
         return True
 
     def record_acknowledgement(self, subscriber: Subscriber, sequence_number: int, index: int) -> None:
-        """A reader has taken the change of this number, and has orders up to this index."""
+        """A subscriber has applied the change with this number, and committed state up to this index."""
         subscriber.acknowledged_sequence_number = max(
             subscriber.acknowledged_sequence_number, sequence_number
         )
         subscriber.acknowledged_index = max(subscriber.acknowledged_index, index)
 
     def count_behind(self, index: int) -> int:
-        """How many of those who follow have not acknowledged the orders of this place."""
+        """The number of subscribers that have not acknowledged this index."""
         return sum(subscriber.acknowledged_index < index for subscriber in self.subscribers)
 
 
 class GapError(Exception):
-    """A change was missed, or doesn't fit what is here: the whole is to be asked for."""
+    """A change was missed or has another base: a snapshot must be requested."""
 
 
 class Follower(msgspec.Struct):
-    """The side that is told. It never goes back: older orders are passed over."""
+    """Applies the messages of a publisher to a local state; older committed state is ignored."""
 
     published_state: PublishedState
     apply_patch: Callable[[Document, Document], Document]
     sequence_number: int = -1
-    missing_since: dict[str, float] = msgspec.field(
-        default_factory=dict
-    )  # servers that the whole did not name
-    differing_pools: frozenset[str] = frozenset()  # services whose set here is another than the one told of
+    # Instance IDs that the publisher's snapshot did not contain, and the time of the snapshot.
+    missing_since: dict[str, float] = msgspec.field(default_factory=dict)
+    differing_pools: frozenset[str] = frozenset()  # services whose pool version differs from the publisher's
 
     def reset_sequence(self) -> None:
-        """A new connection: its numbers are others."""
+        """A new connection starts a new sequence, with a snapshot."""
         self.sequence_number = -1
 
     def apply(self, message: Message, now: float) -> tuple[bool, list[Entry]]:
-        """Whether there are new orders, and the servers that are news. Raises GapError, BeatError."""
+        """Apply a message; whether the committed state has changed, and the changed servers.
+
+        Raises GapError, HeartbeatError, KeyError, TypeError, ValueError.
+        """
         kind, sequence_number = message["k"], int(message["n"])
         if kind != "whole" and (self.sequence_number < 0 or sequence_number != self.sequence_number + 1):
             raise GapError(f"change {sequence_number} after {self.sequence_number}")
@@ -257,7 +259,7 @@
                 if instance_id not in named
             }
         else:
-            # Also who is no news here: a control machine that has started again hears of them one by one.
+            # Unchanged servers too: a restarted control-plane node learns of its servers one by one.
             for item in received:
                 self.missing_since.pop(str(item["i"]), None)
         self.published_state.publish_entries(entries, now)
@@ -272,14 +274,14 @@
         return committed_changed, entries
 
     def apply_broadcast(self, entries: Iterable[Document], now: float) -> list[Entry]:
-        """News that came beside the connection, of servers that are known here. Raises BeatError."""
+        """Apply a broadcast outside the subscription, for known servers only. Raises HeartbeatError."""
         known = [item for item in entries if str(item["i"]) in self.published_state.registry.entries]
         changed = self.published_state.registry.merge(known, now)
         self.published_state.publish_entries(changed, now)
         return changed
 
     def parse_committed(self, message: Message) -> CommittedState:
-        """The orders in a message. Raises GapError where they build on what is not here."""
+        """The committed state in a message. Raises GapError if its base is not the current version."""
         old = self.published_state.committed
         index, version = int(message["index"]), int(message["version"])
         received_document, patch = decode_field("doc", message), decode_field("patch", message)
@@ -288,32 +290,34 @@
             document = received_document
         elif patch is not None:
             if old.document is None or old.version != message["from"]:
-                raise GapError(f"a change of version {message['from']}, and here is {old.version}")
+                raise GapError(
+                    f"patch for version {message['from']}, but the current version is {old.version}"
+                )
             document = self.apply_patch(old.document, patch)
         else:
             if version != old.version:
-                raise GapError(f"version {version} is told of without its document")
+                raise GapError(f"version {version} arrived without its document")
             document = old.document
         return CommittedState(index, version, document, frozenset(message["evac"]))
 
-    def remove_missing(self, now: float, retention_s: float) -> list[Entry]:
-        """Servers that the one who tells does not know, for so long (s): they have ended."""
+    def expire_missing(self, now: float, retention_s: float) -> list[Entry]:
+        """Mark servers as gone that the publisher has not known for this time (s); returns them."""
         gone = [instance_id for instance_id, since in self.missing_since.items() if now - since > retention_s]
-        found: list[Entry] = []
+        expired: list[Entry] = []
         for instance_id in gone:
             del self.missing_since[instance_id]
             entry, changed = self.published_state.registry.mark_gone(instance_id, now, expired=True)
             if changed:
-                found.append(entry)
-        self.published_state.publish_entries(found, now)
-        return found
+                expired.append(entry)
+        self.published_state.publish_entries(expired, now)
+        return expired
 
 
 class Lease(msgspec.Struct):
-    """The right to act under the operator's word as known here, by this machine's own clock.
+    """The right to serve with the committed state known here, by the clock of this process.
 
-    Proven at a moment: then no later order had been acknowledged. It holds for ``lasts`` s from there, less
-    than the time after which a key that was taken away must be of no more use (``revokeS``).
+    A proof shows that no newer command had been acknowledged at ``proven_at``. The lease ends ``duration_s``
+    later, which is less than the time within which a revoked API key must be rejected (``revokeS``).
     """
 
     duration_s: float
@@ -321,9 +325,9 @@
 
     @property
     def expires_at(self) -> float:
-        """When the right ends (s, monotonic)."""
+        """The end of the lease (s, monotonic)."""
         return self.proven_at + self.duration_s
 
     def renew(self, at: float) -> None:
-        """``at``: before the question for the proof was sent, less the age of the answer."""
+        """Renew the lease. ``at``: when the proof was requested, minus the age of the proof."""
         self.proven_at = max(self.proven_at, at)
--- a/latchspoke/distribution/publisher.py
+++ b/latchspoke/distribution/publisher.py
@@ -1,4 +1,4 @@
-"""What those who follow a board say on their connections: hello, how far they are, and asks for proofs."""
+"""Handles the messages of subscribers: hello, acknowledgements, snapshot and proof requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Publisher:
-    """Hears those who follow. Proofs come from ``prove``."""
+    """Registers subscribers of a published state; ``on_proof_request`` answers proof requests."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         self.published_state, self.clock, self.on_proof_request = published_state, clock, on_proof_request
 
     def handle_message(self, connection: MessageConnection, message: Message) -> bool:
-        """Whether it was for this."""
+        """Handle a message of a subscriber; False if it is of another kind."""
         subscriber = connection.tag if isinstance(connection.tag, Subscriber) else None
         match message.get("k"):
             case "hello":
@@ -49,6 +49,6 @@
         return True
 
     def connection_closed(self, connection: MessageConnection) -> None:
-        """A connection is over."""
+        """Remove the subscriber of a closed connection, if there is one."""
         if isinstance(connection.tag, Subscriber):
             self.published_state.remove_subscriber(connection.tag)
--- a/latchspoke/registry/__init__.py
+++ b/latchspoke/registry/__init__.py
@@ -1,4 +1,4 @@
-"""The registry: which servers there are, as their beats say. Soft state under leases, never on disk. Pure."""
+"""The server registry: soft state that expires without heartbeats and is never on disk. No I/O."""
 
 from latchspoke.registry.registry import Entry, Registry, State
 
--- a/latchspoke/registry/registry.py
+++ b/latchspoke/registry/registry.py
@@ -1,9 +1,9 @@
-"""Servers by the id of their life. Copies on many machines grow together, in whatever order news comes.
+"""A replicated registry of server instances; replicas converge whatever the order of updates.
 
-A life only goes one way: ready, draining, gone; only one that is gone for its silence alone, as where
-machines were cut off from each other, comes back by a later beat. Of what may go back and forth (cold or not,
-silent or not), the word of the beat with the higher number holds. Times are this machine's own monotonic
-seconds; between machines only ages and remainders travel.
+An instance moves from ready to draining to gone. Only an instance that is gone because its heartbeats were
+missing, as in a network partition, returns with a later heartbeat. For properties that change both ways, such
+as cold and silent, the heartbeat with the highest sequence number wins. Times are monotonic seconds of this
+process; messages carry ages and remaining times instead.
 """
 
 from __future__ import annotations
@@ -15,20 +15,17 @@
 
 import msgspec
 
-SILENT_AFTER_HEARTBEATS = 2.2  # beats that may go by before a server counts as silent
-GONE_AFTER_HEARTBEATS = 8.0  # and as gone
-COLD_INCREASE_THRESHOLD_S = (
-    0.15  # s; so much longer cold than was told is news: it may be pushed over meanwhile
-)
-COLD_DECREASE_THRESHOLD_S = 0.4  # s; and so much shorter
-WARM_REPORT_PERIOD_S = 180.0  # s; so long it is told when a life turned warm, as its share grows from there
-TOMBSTONE_RETENTION_S = (
-    60.0  # s; ids of lives that have ended are kept for so long, so that a late beat changes nothing
-)
+SILENT_AFTER_HEARTBEATS = 2.2
+GONE_AFTER_HEARTBEATS = 8.0
+# Smaller changes of the remaining cold time are not distributed. An increase may overload the server.
+COLD_INCREASE_THRESHOLD_S = 0.15
+COLD_DECREASE_THRESHOLD_S = 0.4
+WARM_REPORT_PERIOD_S = 180.0  # the end of the cold time is sent this long, as gateways ramp up from it
+TOMBSTONE_RETENTION_S = 60.0  # gone instances are kept, so that a late heartbeat has no effect
 
 
 class State(IntEnum):
-    """Where a server stands; it only goes up, but for one that was lost."""
+    """The state of an instance; only an expired one returns to a lower value."""
 
     READY = 0
     DRAINING = 1
@@ -39,7 +36,7 @@
 
 
 class Heartbeat(TypedDict, total=False):
-    """The body of a server's call, by the protocol's names."""
+    """The body of a server's heartbeat, in the names of the API."""
 
     service: str
     address: str
@@ -52,11 +49,11 @@
 
 
 class HeartbeatError(ValueError):
-    """A call that can't be taken; one line says which field and why."""
+    """An invalid heartbeat or server message; the message is one line."""
 
 
 class Entry(msgspec.Struct):
-    """One life of a server."""
+    """A server instance."""
 
     instance_id: str
     service: str
@@ -70,10 +67,10 @@
     silent: bool = False
     gone_at: float = math.inf
     version: str = ""
-    expired: bool = False  # gone for its silence alone: a later beat brings it back
+    expired: bool = False  # gone only because heartbeats were missing; a later one brings it back
 
     def to_message(self, now: float) -> dict[str, Any]:
-        """For another machine; short names, as it travels often."""
+        """The message form for other nodes."""
         fields: dict[str, Any] = {"i": self.instance_id, "t": int(self.state), "q": self.sequence}
         if self.expired:
             fields["l"] = 1
@@ -88,9 +85,9 @@
 
 
 def parse_heartbeat(instance_id: str, body: object, now: float) -> Entry:
-    """Raises BeatError."""
+    """The entry for a heartbeat that arrived at ``now``. Raises HeartbeatError."""
     if not isinstance(body, dict) or not instance_id:
-        raise HeartbeatError("a beat is an object, and its id stands in the path")
+        raise HeartbeatError("a heartbeat is a JSON object, with the instance ID in the path")
     try:
         state = STATE_BY_NAME.get(body.get("state", "available"))
         if state is None:
@@ -98,7 +95,7 @@
         address = str(body["address"])
         host, _, port = address.rpartition(":")
         if not host or not 0 < int(port) < 65536:
-            raise HeartbeatError(f"address: {address!r} is no host:port")
+            raise HeartbeatError(f"address: {address!r} is not host:port")
         cold_remaining_s = float(body.get("coldRemainingS") or 0.0)
         slots = max(int(body.get("capacitySlots") or 1), 1)
         cold_until = now + cold_remaining_s if cold_remaining_s > 0 else -math.inf
@@ -107,19 +104,19 @@
         return Entry(
             instance_id, service, address, zone, slots, state, sequence, cold_until, now, version=version
         )
-    except (KeyError, TypeError, ValueError) as e:
-        raise HeartbeatError(f"a beat of {instance_id[:40]}: {e!r}") from None
+    except (KeyError, TypeError, ValueError) as error:
+        raise HeartbeatError(f"invalid heartbeat of {instance_id[:40]}: {error!r}") from None
 
 
 class Registry:
-    """All lives known here."""
+    """The server instances known to this node."""
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         self.heartbeat_interval_s = heartbeat_interval_s
         self.entries: dict[str, Entry] = {}
 
     def update(self, new: Entry, now: float) -> tuple[Entry, bool]:
-        """Take a beat, or what another machine tells; the entry now, and whether it is news for gateways."""
+        """Merge a heartbeat or an entry of another node; the result, and whether gateways need it."""
         old = self.entries.get(new.instance_id)
         if old is None:
             self.entries[new.instance_id] = new
@@ -154,7 +151,7 @@
             new.sequence == old.sequence
             and new.cold_until > max(old.cold_until, now) + COLD_INCREASE_THRESHOLD_S
         ):
-            # The same beat, sent again elsewhere: who took it there goes by this, and tells what differs.
+            # The same heartbeat, resent to another node, which has already distributed the longer time.
             old.cold_until, changed = new.cold_until, True
         if is_newer or (new.sequence == old.sequence and new.last_heartbeat_at > old.last_heartbeat_at):
             old.last_heartbeat_at = max(old.last_heartbeat_at, new.last_heartbeat_at)
@@ -164,7 +161,7 @@
             cold_changed = (
                 cold_increase > COLD_INCREASE_THRESHOLD_S or -cold_increase > COLD_DECREASE_THRESHOLD_S
             )
-            # A beat that says nothing of cold leaves the moment at which it turned warm.
+            # Without a cold time in the heartbeat, the end of the earlier one stays.
             warm_since = max(min(old.cold_until, now), new.cold_until)
             old.cold_until = new.cold_until if new.cold_until > now else warm_since
             changed |= (
@@ -176,9 +173,9 @@
         return old, changed
 
     def refresh(self, instance_id: str, sequence: int, last_heartbeat_at: float) -> bool:
-        """A later beat that tells nothing new of a life in good standing; whether that is all it was.
+        """Apply a newer heartbeat that changes nothing else; False if ``update`` must be used.
 
-        The same as ``heard`` with a copy of the entry under that number, at less than half of the cost.
+        A cheaper equivalent of ``update`` with a copy of the entry under this sequence number.
         """
         old = self.entries.get(instance_id)
         if old is None or old.state is State.GONE or old.silent or sequence <= old.sequence:
@@ -187,7 +184,7 @@
         return True
 
     def mark_gone(self, instance_id: str, now: float, expired: bool = False) -> tuple[Entry, bool]:
-        """It has ended in order; or nobody hears of it any more."""
+        """Mark an instance as gone: deregistered, or ``expired`` for lack of heartbeats."""
         current = self.entries.get(instance_id)
         sequence = current.sequence if expired and current is not None else 0
         return self.update(
@@ -196,7 +193,7 @@
         )
 
     def parse_entry(self, fields: dict[str, Any], now: float) -> Entry:
-        """What ``wire`` wrote. Raises BeatError."""
+        """The entry for a message of ``to_message``. Raises HeartbeatError."""
         try:
             state = State(int(fields["t"]))
             cold_remaining_s = float(fields.get("c", -math.inf))
@@ -206,18 +203,18 @@
                 int(fields.get("n", 1)), state, int(fields["q"]), now + cold_remaining_s,
                 now - float(fields.get("g", 0.0)), bool(fields.get("x", 0)), expired=bool(fields.get("l", 0)),
             )  # fmt: skip
-        except (KeyError, TypeError, ValueError) as e:
-            raise HeartbeatError(f"a server as another machine tells it: {e!r}") from None
+        except (KeyError, TypeError, ValueError) as error:
+            raise HeartbeatError(f"invalid server entry: {error!r}") from None
 
     def merge(self, messages: Iterable[dict[str, Any]], now: float) -> list[Entry]:
-        """What another machine knows; the entries that are news here. Raises BeatError."""
+        """Merge the servers of another node; returns the changed entries. Raises HeartbeatError."""
         results = [self.update(self.parse_entry(message, now), now) for message in messages]
         return [entry for entry, changed in results if changed]
 
     def sweep(self, now: float, detect_silence: bool = True) -> list[Entry]:
-        """Those that have fallen silent or are gone by now.
+        """Detect missed heartbeats and drop old tombstones; returns the changed entries.
 
-        ``judge`` False: this machine itself may be the one that is cut off, so silence says nothing.
+        ``detect_silence`` False: this node may itself be partitioned off, so missed heartbeats do not count.
         """
         changed: list[Entry] = []
         for entry in list(self.entries.values()):
@@ -237,5 +234,5 @@
         return changed
 
     def snapshot(self, now: float) -> list[dict[str, Any]]:
-        """All lives, as another machine is told them."""
+        """All instances, in message form."""
         return [entry.to_message(now) for entry in self.entries.values()]
--- a/tests/distribution/test_published_state.py
+++ b/tests/distribution/test_published_state.py
@@ -107,7 +107,7 @@
     gateway.reset_sequence()
     gateway.apply(sent[0], 0.0)
     gateway.published_state.update_committed(order(9, 9), 0.0)
-    with pytest.raises(GapError, match="of version"):
+    with pytest.raises(GapError, match="patch for version"):
         gateway.apply({**sent[1], "index": 10}, 0.0)
 
 
@@ -122,8 +122,8 @@
         registry.update(parse_heartbeat(ident, body, 0.0), 0.0)
     source.update_committed(order(1, 1), 0.0)
     gateway.apply(pipe(source)[0], 0.0)
-    assert not gateway.remove_missing(7.0, 8.0)
-    (ended,) = gateway.remove_missing(9.0, 8.0)
+    assert not gateway.expire_missing(7.0, 8.0)
+    (ended,) = gateway.expire_missing(9.0, 8.0)
     assert (ended.instance_id, ended.state) == ("s2", State.GONE)
 
 
@@ -155,7 +155,7 @@
     entry, _ = source.registry.update(parse_heartbeat("s1", body | {"callSequence": 2}, 1.0), 1.0)
     source.publish_entries([entry], 1.0)
     assert gateway.apply(told[1], 1.0) == (False, []), "here it is no news"
-    assert not gateway.remove_missing(20.0, 8.0)
+    assert not gateway.expire_missing(20.0, 8.0)
     assert gateway.published_state.registry.entries["s1"].state is State.READY
 
 
