--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -1,4 +1,4 @@
-"""What servers, gateways and the operator get from one control machine; its register is a puppet."""
+"""A control-plane node with a fake replicated store: API calls, replication and proofs."""
 
 from __future__ import annotations
 
@@ -23,416 +23,435 @@
 from tests.settings.test_node import settings
 
 
-class Replica:
-    """The register as it answers a control machine."""
+class FakeReplica:
+    """A fake replicated store."""
 
     def __init__(self, *args: Any, catch_up: float) -> None:
-        self.stand: dict[str, int] = {}
-        self.changed: dict[str, int] = {}
-        self.orders = self.made(0, 0, None)
+        self.active_evacuations: dict[str, int] = {}
+        self.evacuation_index: dict[str, int] = {}
+        self.orders = self.build_state(0, 0, None)
         self.proven, self.verdict = True, Verdict(TAKEN)
         self.commands: list[dict[str, Any]] = []
-        self.confirms = 0
-        self.reached: bool = True
-        self.meanwhile: Callable[[], object] = lambda: None
-        self.submitted: Callable[[dict[str, Any]], object] = lambda command: None
+        self.confirm_count = 0
+        self.has_quorum: bool = True
+        self.during_confirm: Callable[[], object] = lambda: None
+        self.on_submit: Callable[[dict[str, Any]], object] = lambda command: None
         self.voters = {f"10.{n}.0.11:7601" for n in range(1, 6)}
-        self.begun: list[str] = []
-        self.fails = False
+        self.start_order: list[str] = []
+        self.raises_error = False
 
     def commit(self, version: int, doc: dict[str, Any] | None) -> None:
-        self.orders = self.made(self.orders.index + 1, version, doc)
+        self.orders = self.build_state(self.orders.index + 1, version, doc)
 
-    def made(self, index: int, version: int, doc: dict[str, Any] | None) -> Any:
+    def build_state(self, index: int, version: int, doc: dict[str, Any] | None) -> Any:
         return SimpleNamespace(
-            index=index, version=version, document=doc, evacuated=frozenset(self.stand),
-            zones={zone: (self.changed.get(zone, 0), stand) for zone, stand in self.stand.items()},
-            standing=lambda zone: self.stand.get(zone, 0),
+            index=index, version=version, document=doc, evacuated=frozenset(self.active_evacuations),
+            zones={
+                zone: (self.evacuation_index.get(zone, 0), count)
+                for zone, count in self.active_evacuations.items()
+            },
+            standing=lambda zone: self.active_evacuations.get(zone, 0),
         )  # fmt: skip
 
     def start(self) -> None:
-        self.begun.append("register")
+        self.start_order.append("register")
 
     async def confirm(self, limit: float, **more: Any) -> int | None:
-        self.confirms += 1
-        if self.fails:
-            raise RuntimeError("a fault put in")
+        self.confirm_count += 1
+        if self.raises_error:
+            raise RuntimeError("injected fault")
         index = cast(int, self.orders.index)
         await asyncio.sleep(0.01)
-        self.meanwhile()
-        return index if self.reached else None
+        self.during_confirm()
+        return index if self.has_quorum else None
 
     async def submit(self, command: dict[str, Any], limit: float) -> Verdict:
         self.commands.append(command)
-        self.submitted(command)
+        self.on_submit(command)
         return self.verdict
 
 
-class Box:
-    """A control machine, and gateways and others on wires that are only lists."""
+class NodeHarness:
+    """A control-plane node on a virtual loop, with fake connections and peers."""
 
     def __init__(self, home: Path, monkeypatch: pytest.MonkeyPatch, seed: int = 1) -> None:
-        monkeypatch.setattr(node, "Replica", Replica)
+        monkeypatch.setattr(node, "Replica", FakeReplica)
         self.loop = VirtualLoop(Network(1))
-        made = settings(dataDirectory=str(home), seedNodes=["10.1.0.11:8200"])
-        self.node = node.Node(made, self.loop, "", VirtualClock(self.loop), Random(seed))
-        self.replica = cast(Replica, self.node.replica)
-        self.peers: list[dict[str, Any]] = []
-        monkeypatch.setattr(self.node.peers, "broadcast", self.tell_peers)
-        self.second = True
-        self.answers_to: int | None = None  # another number than the one asked for
-        self.hear = [f"10.{n}.0.11:7601" for n in (2, 3, 4)]  # who answers of the others
-
-    def tell_peers(self, message: dict[str, Any]) -> list[str]:
-        self.peers.append(message)
-        hear = self.hear if self.second else []
-        for name in hear if "n" in message else ():
-            wire = SimpleNamespace(tag=name)
-            number = message["n"] if self.answers_to is None else self.answers_to
+        node_settings = settings(dataDirectory=str(home), seedNodes=["10.1.0.11:8200"])
+        self.node = node.Node(node_settings, self.loop, "", VirtualClock(self.loop), Random(seed))
+        self.replica = cast(FakeReplica, self.node.replica)
+        self.broadcast_messages: list[dict[str, Any]] = []
+        monkeypatch.setattr(self.node.peers, "broadcast", self.record_broadcast)
+        self.peers_reachable = True
+        self.answered_number: int | None = None  # in place of the number in the message
+        self.confirming_peers = [f"10.{n}.0.11:7601" for n in (2, 3, 4)]
+
+    def record_broadcast(self, message: dict[str, Any]) -> list[str]:
+        self.broadcast_messages.append(message)
+        reached = self.confirming_peers if self.peers_reachable else []
+        for name in reached if "n" in message else ():
+            connection = SimpleNamespace(tag=name)
+            number = message["n"] if self.answered_number is None else self.answered_number
             self.loop.call_later(
-                0.02, self.node.handle_peer_reply, cast(Any, wire), {"k": "got", "n": number}
+                0.02, self.node.handle_peer_reply, cast(Any, connection), {"k": "got", "n": number}
             )
-        return hear
+        return reached
 
-    def wire(self) -> Any:
+    def connection(self) -> Any:
         sent: list[dict[str, Any]] = []
         return SimpleNamespace(tag=None, sent=sent, send=sent.append, end=sent.append)
 
     def call(
-        self, name: str, body: object = None, of: str = "", caller: Any = LOCAL_CALLER
+        self, name: str, body: object = None, subject: str = "", caller: Any = LOCAL_CALLER
     ) -> tuple[int, Any]:
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
-        given = self.node.handle_request("POST", f"/rpc?call={name}&of={of}", data, caller)
-        if isinstance(given, tuple):
-            return given
+        response = self.node.handle_request("POST", f"/rpc?call={name}&of={subject}", data, caller)
+        if isinstance(response, tuple):
+            return response
 
-        async def later(given: Awaitable[Any]) -> Any:
-            return await given
+        async def wait_for(response: Awaitable[Any]) -> Any:
+            return await response
 
-        return cast(tuple[int, Any], self.run(later(given)))
+        return cast(tuple[int, Any], self.run(wait_for(response)))
 
-    def run(self, story: Coroutine[Any, Any, Any]) -> Any:
-        return self.loop.run_until_complete(story)
+    def run(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
+        return self.loop.run_until_complete(coroutine)
 
 
 @pytest.fixture
-def box(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Any:
-    made = Box(tmp_path, monkeypatch)
-    yield made
-    made.loop.close()
+def harness(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Any:
+    node_harness = NodeHarness(tmp_path, monkeypatch)
+    yield node_harness
+    node_harness.loop.close()
 
 
 @pytest.mark.parametrize(
     ("kind", "status"), [(TAKEN, 200), (REPEATED, 200), (CONFLICT, 412), (INVALID, 400), (UNKNOWN, 503)]
 )
-def test_only_what_the_register_took_is_acknowledged(box: Box, kind: str, status: int) -> None:
-    box.replica.verdict = Verdict(kind, version=7)
-    assert box.call("configuration.replace", page())[0] == status
-    assert box.call("evacuation.begin", of="waw-a")[0] == status
-    assert box.replica.commands[-1] == {"do": "evacuate", "zone": "waw-a"}
-
-
-def evacuation(box: Box, name: str, after: float, stand: int) -> tuple[int, dict[str, Any]]:
-    """Answer and command; so many stand when it has been applied, which is after the answer here."""
-    replica = box.replica
-    box.run(asyncio.sleep(after))
-    status = box.call(f"evacuation.{name}", of="waw-a")[0]
-    if replica.stand.get("waw-a", 0) != stand:
-        replica.changed["waw-a"] = replica.changed.get("waw-a", 0) + 1
-    replica.stand["waw-a"] = stand
-    replica.orders = replica.made(replica.orders.index, 0, None)
-    box.node.store_applied(cast(Any, replica.orders))
+def test_only_committed_commands_are_acknowledged(harness: NodeHarness, kind: str, status: int) -> None:
+    harness.replica.verdict = Verdict(kind, version=7)
+    assert harness.call("configuration.replace", page())[0] == status
+    assert harness.call("evacuation.begin", subject="waw-a")[0] == status
+    assert harness.replica.commands[-1] == {"do": "evacuate", "zone": "waw-a"}
+
+
+def send_evacuation_call(
+    harness: NodeHarness, name: str, after: float, active_count: int
+) -> tuple[int, dict[str, Any]]:
+    """Send a call after a delay, then apply this number of active evacuations; status and command."""
+    replica = harness.replica
+    harness.run(asyncio.sleep(after))
+    status = harness.call(f"evacuation.{name}", subject="waw-a")[0]
+    if replica.active_evacuations.get("waw-a", 0) != active_count:
+        replica.evacuation_index["waw-a"] = replica.evacuation_index.get("waw-a", 0) + 1
+    replica.active_evacuations["waw-a"] = active_count
+    replica.orders = replica.build_state(replica.orders.index, 0, None)
+    harness.node.store_applied(cast(Any, replica.orders))
     return status, {key: value for key, value in replica.commands[-1].items() if key != "zone"}
 
 
-def test_an_evacuation_beside_another_is_told_from_one_that_is_sent_again(box: Box) -> None:
-    """EVAC: a second operator's evacuation ended with the first one's; no call comes again after ``ackS``."""
+def test_second_operators_evacuation_is_distinguished_from_a_repeat(harness: NodeHarness) -> None:
+    """EVAC: a second operator's evacuation ended together with the first one's."""
 
     answers: list[int] = []
 
-    def order(name: str, after: float, stand: int) -> dict[str, Any]:
-        status, command = evacuation(box, name, after, stand)
+    def send_call(name: str, after: float, active_count: int) -> dict[str, Any]:
+        status, command = send_evacuation_call(harness, name, after, active_count)
         answers.append(status)
         return command
 
-    assert order("begin", 0.0, 1) == {"do": "evacuate"}
-    assert order("begin", 1.0, 1) == {"do": "evacuate"}, "sent again"
-    assert order("begin", 6.0, 2) == {"do": "evacuate", "stand": 1}, "another one"
-    assert order("begin", 1.0, 2) == {"do": "evacuate"}
-    assert order("finish", 1.0, 1) == {"do": "restore", "stand": 2}
-    assert order("finish", 1.0, 1) == {"do": "restore", "stand": 2}
-    assert answers[-2:] == [200, 503], (
-        "either sent again, or the other's: nothing is done, and nothing promised"
-    )
-    assert order("finish", 6.0, 0) == {"do": "restore", "stand": 1}
+    assert send_call("begin", 0.0, 1) == {"do": "evacuate"}
+    assert send_call("begin", 1.0, 1) == {"do": "evacuate"}, "a repeat"
+    assert send_call("begin", 6.0, 2) == {"do": "evacuate", "stand": 1}, "another evacuation"
+    assert send_call("begin", 1.0, 2) == {"do": "evacuate"}
+    assert send_call("finish", 1.0, 1) == {"do": "restore", "stand": 2}
+    assert send_call("finish", 1.0, 1) == {"do": "restore", "stand": 2}
+    assert answers[-2:] == [200, 503], "a repeat or the second operator's: rejected"
+    assert send_call("finish", 6.0, 0) == {"do": "restore", "stand": 1}
 
 
-def test_a_begin_soon_after_the_last_one_is_a_repeat_however_fast_that_was_answered(box: Box) -> None:
-    """An answer may be lost on its way: a repeat counted as another evacuation stays when the first ends."""
-    assert evacuation(box, "begin", 0.0, 1) == (200, {"do": "evacuate"})
+def test_begin_within_the_repeat_window_is_a_repeat(harness: NodeHarness) -> None:
+    """A repeat after a lost response, counted as another evacuation, would outlive the first one."""
+    assert send_evacuation_call(harness, "begin", 0.0, 1) == (200, {"do": "evacuate"})
     for pause in (0.2, 0.4, 1.0, 2.0):
-        assert evacuation(box, "begin", pause, 1) == (200, {"do": "evacuate"})
-    assert {"k": "moved", "z": {}, "a": {}, "c": {"waw-a": 0.0}} in box.peers, "the others know of it, too"
-    assert evacuation(box, "begin", 4.6, 2) == (200, {"do": "evacuate", "stand": 1}), "a second operator's"
-    assert evacuation(box, "finish", 1.0, 1) == (200, {"do": "restore", "stand": 2})
-    assert evacuation(box, "finish", 0.5, 1)[0] == 503
-    assert evacuation(box, "finish", 4.6, 0) == (200, {"do": "restore", "stand": 1})
+        assert send_evacuation_call(harness, "begin", pause, 1) == (200, {"do": "evacuate"})
+    assert {"k": "moved", "z": {}, "a": {}, "c": {"waw-a": 0.0}} in harness.broadcast_messages, (
+        "sent to the peers"
+    )
+    assert send_evacuation_call(harness, "begin", 4.6, 2) == (200, {"do": "evacuate", "stand": 1}), (
+        "a second operator's evacuation"
+    )
+    assert send_evacuation_call(harness, "finish", 1.0, 1) == (200, {"do": "restore", "stand": 2})
+    assert send_evacuation_call(harness, "finish", 0.5, 1)[0] == 503
+    assert send_evacuation_call(harness, "finish", 4.6, 0) == (200, {"do": "restore", "stand": 1})
 
 
 @pytest.mark.parametrize(
-    ("told", "stands"),
+    ("peer_message", "is_known"),
     [
         ({"z": {"waw-a": [7, True, 9.0]}, "a": {}}, True),
         ({"z": {}, "a": {}, "c": {"waw-a": 1.0}}, False),
         (None, False),
     ],
 )
-def test_one_that_has_begun_anew_hears_of_evacuations_from_the_others(
-    box: Box, told: Any, stands: bool
+def test_restarted_node_learns_evacuation_changes_from_peers(
+    harness: NodeHarness, peer_message: Any, is_known: bool
 ) -> None:
-    """EVAC: a second operator's, 7 s later, was taken for the first one's by a machine killed meanwhile."""
-    box.replica.proven = False  # so it finds them on its disk, whatever their age
-    box.replica.stand["waw-a"], box.replica.changed["waw-a"] = 1, 7
-    box.replica.orders = box.replica.made(9, 0, None)
-    box.node.store_applied(cast(Any, box.replica.orders))
-    box.replica.proven = True
-    wire = box.wire()
-    box.node.peer_connected(wire)
-    assert [message["k"] for message in wire.sent] == ["roster"], "it has seen nothing that it could tell"
-    if told is not None:
-        box.node.handle_message(box.wire(), {"k": "moved", **told})
-    command = evacuation(box, "begin", 0.5, 2 if stands else 1)[1]
-    assert command == {"do": "evacuate"} | ({"stand": 1} if stands else {})
-    if stands:
-        box.node.peer_connected(wire)
-        (moved,) = [message for message in wire.sent if message["k"] == "moved"]
-        place, begun, age = moved["z"]["waw-a"]
-        assert (place, begun) == (8, True) and age < 0.6 and moved["c"]["waw-a"] < 0.6
-
-
-def test_an_evacuation_whose_caller_has_left_is_not_carried_out(box: Box) -> None:
-    """A machine that was frozen emptied a zone long after its operator had taken that back elsewhere."""
-    gone = SimpleNamespace(gone=False)
-    box.replica.meanwhile = lambda: setattr(gone, "gone", True)  # the end arrives while a majority confirms
-    status, _ = box.call("evacuation.begin", of="waw-a", caller=gone)
-    assert (status, box.replica.commands) == (503, [])
-    box.replica.meanwhile, box.replica.reached = lambda: None, False
-    assert box.call("evacuation.begin", of="waw-a")[0] == 503, "what stands can't be told here"
-    assert not box.replica.commands
-
-
-def test_a_change_is_checked_against_the_version_that_it_is_applied_to(box: Box) -> None:
-    """CONFIG: its base was committed after this machine had looked, so that nobody had checked the whole."""
+    """EVAC: after a restart, a second operator's evacuation was taken for a repeat of the first."""
+    harness.replica.proven = False  # found on disk, of unknown age
+    harness.replica.active_evacuations["waw-a"], harness.replica.evacuation_index["waw-a"] = 1, 7
+    harness.replica.orders = harness.replica.build_state(9, 0, None)
+    harness.node.store_applied(cast(Any, harness.replica.orders))
+    harness.replica.proven = True
+    connection = harness.connection()
+    harness.node.peer_connected(connection)
+    assert [message["k"] for message in connection.sent] == ["roster"], "no observed change to send"
+    if peer_message is not None:
+        harness.node.handle_message(harness.connection(), {"k": "moved", **peer_message})
+    command = send_evacuation_call(harness, "begin", 0.5, 2 if is_known else 1)[1]
+    assert command == {"do": "evacuate"} | ({"stand": 1} if is_known else {})
+    if is_known:
+        harness.node.peer_connected(connection)
+        (moved,) = [message for message in connection.sent if message["k"] == "moved"]
+        log_index, is_begin, age = moved["z"]["waw-a"]
+        assert (log_index, is_begin) == (8, True) and age < 0.6 and moved["c"]["waw-a"] < 0.6
+
+
+def test_evacuation_of_a_disconnected_caller_is_not_applied(harness: NodeHarness) -> None:
+    """A paused node applied an evacuation after its operator had reversed it through another node."""
+    caller = SimpleNamespace(gone=False)
+    harness.replica.during_confirm = lambda: setattr(
+        caller, "gone", True
+    )  # disconnects during the quorum read
+    status, _ = harness.call("evacuation.begin", subject="waw-a", caller=caller)
+    assert (status, harness.replica.commands) == (503, [])
+    harness.replica.during_confirm, harness.replica.has_quorum = lambda: None, False
+    assert harness.call("evacuation.begin", subject="waw-a")[0] == 503, (
+        "the active evacuations cannot be confirmed"
+    )
+    assert not harness.replica.commands
+
+
+def test_patch_is_checked_against_the_version_it_is_applied_to(harness: NodeHarness) -> None:
+    """CONFIG: the base was committed after the check, so that the result was never checked."""
     shared = page()["tenants"][1] | {"apiKeys": page()["tenants"][0]["apiKeys"]}
     change = {"version": "00000009", "baseVersion": "00000007", "upsert": {"tenants": [shared]}}
-    box.replica.commit(5, page() | {"version": "00000005"})
-    box.replica.verdict = Verdict(UNCHECKED)
+    harness.replica.commit(5, page() | {"version": "00000005"})
+    harness.replica.verdict = Verdict(UNCHECKED)
 
-    def comes_late(command: dict[str, Any]) -> None:
-        assert command["unchecked"], "its base is not known here"
-        box.replica.commit(7, page())
+    def commit_base(command: dict[str, Any]) -> None:
+        assert command["unchecked"], "the base is not known here"
+        harness.replica.commit(7, page())
 
-    box.replica.submitted = comes_late
-    assert box.call("configuration.modify", change)[0] == 400
-    assert len(box.replica.commands) == 1
+    harness.replica.on_submit = commit_base
+    assert harness.call("configuration.modify", change)[0] == 400
+    assert len(harness.replica.commands) == 1
 
 
-def test_what_is_invalid_never_reaches_the_register(box: Box) -> None:
-    """CONFIG: no acknowledgement for an invalid configuration, whatever is in force."""
+def test_invalid_configuration_is_never_submitted(harness: NodeHarness) -> None:
+    """CONFIG: an invalid configuration must not be acknowledged, whatever the current version."""
     shared = page()
     shared["tenants"][1]["apiKeys"] = ["9anu"]
     for body in (b"{", [1], {"version": "x"}, shared, page() | {"listenerList": 3}):
-        assert box.call("configuration.replace", body)[0] == 400
-    # A change is tried on what it builds on, also where that has not come here yet.
-    box.replica.commit(7, page())
+        assert harness.call("configuration.replace", body)[0] == 400
+    # A patch is checked on its base, also if that is applied here only during the call.
+    harness.replica.commit(7, page())
     change = {"version": "00000009", "baseVersion": "00000007", "upsert": {"tenants": shared["tenants"][1:]}}
-    assert box.call("configuration.modify", change)[0] == 400
-    box.replica.commit(5, page() | {"version": "00000005"})
-    box.replica.meanwhile = lambda: box.replica.commit(7, page())
-    assert box.call("configuration.modify", change)[0] == 400
-    box.replica.reached = False
-    box.replica.commit(5, page() | {"version": "00000005"})
-    box.replica.meanwhile = lambda: None
-    assert box.call("configuration.modify", change)[0] == 503
-    assert box.call("evacuation.begin", of="nowhere")[0] == 400
-    assert not box.replica.commands
-
-
-def test_all_gateways_hear_at_once_that_a_warm_server_has_turned_cold_or_leaves(
-    box: Box, monkeypatch: pytest.MonkeyPatch
+    assert harness.call("configuration.modify", change)[0] == 400
+    harness.replica.commit(5, page() | {"version": "00000005"})
+    harness.replica.during_confirm = lambda: harness.replica.commit(7, page())
+    assert harness.call("configuration.modify", change)[0] == 400
+    harness.replica.has_quorum = False
+    harness.replica.commit(5, page() | {"version": "00000005"})
+    harness.replica.during_confirm = lambda: None
+    assert harness.call("configuration.modify", change)[0] == 503
+    assert harness.call("evacuation.begin", subject="nowhere")[0] == 400
+    assert not harness.replica.commands
+
+
+def test_draining_or_newly_cold_server_is_broadcast_to_all_gateways(
+    harness: NodeHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """FAILBACK, DRAIN: one may follow a control machine that was cut off or lost power a moment ago."""
-    told: list[Any] = []
+    """FAILBACK, DRAIN: a gateway may be subscribed to an unreachable control-plane node."""
+    broadcasts: list[Any] = []
     monkeypatch.setattr(
-        box.node.membership_transport, "cast", lambda message, to: told.append((message["e"], list(to)))
+        harness.node.membership_transport,
+        "cast",
+        lambda message, to: broadcasts.append((message["e"], list(to))),
     )
     meta = {"role": "edge", "zone": "waw-a", "link": "10.1.0.21:7600", "ready": True}
-    alive = box.node.membership_transport.membership.alive
+    alive = harness.node.membership_transport.membership.alive
     alive["g"] = Member("g", "10.1.0.21", 7600, meta, 0, "life")
     body = {"service": "p", "address": "10.9.0.1:80", "zone": "waw-a", "capacitySlots": 2}
     for number, cold in enumerate((3.0, 0.0, 0.0, 2.5, 1.0), 1):
-        box.call("instances.heartbeat", body | {"callSequence": number, "coldRemainingS": cold}, "s1")
-        box.run(asyncio.sleep(1.5))
-    ((entries, to),) = told
+        harness.call("instances.heartbeat", body | {"callSequence": number, "coldRemainingS": cold}, "s1")
+        harness.run(asyncio.sleep(1.5))
+    ((entries, to),) = broadcasts
     assert (entries[0]["i"], entries[0]["q"], to) == ("s1", 4, [("10.1.0.21", 7600)])
     for number in (6, 7):
-        box.call("instances.heartbeat", body | {"callSequence": number, "state": "draining"}, "s1")
-    box.call("instances.deregister", of="s1")
-    assert [entries[0]["t"] for entries, _ in told[1:]] == [1, 2]
-
-
-def test_an_acknowledgement_waits_for_gateways_for_a_while(box: Box) -> None:
-    box.replica.commit(7, page())
-    box.node.publish_committed()
-    wire = box.wire()
-    box.node.inbound_message(wire, {"k": "hello", "name": "g"})
-    box.replica.verdict = Verdict(TAKEN, index=1)
-    begun = box.loop.now
-    box.call("configuration.replace", page())
-    assert box.loop.now - begun == pytest.approx(node.SUBSCRIBER_ACK_TIMEOUT_S, abs=0.02)
-    box.node.inbound_message(wire, {"k": "ack", "n": 1, "index": 1})
-    begun = box.loop.now
-    box.call("configuration.replace", page())
-    assert box.loop.now - begun < 0.01
-
-
-def test_a_configuration_is_read_back_only_with_a_majority(box: Box) -> None:
-    assert box.call("configuration.read")[0] == 503, "there is none yet"
-    box.replica.commit(7, page())
-    assert box.call("configuration.read") == (200, page())
-    box.replica.reached = False
-    assert box.call("configuration.read")[0] == 503
-
-
-def test_a_server_that_leaves_is_acknowledged_once_a_majority_knows(box: Box) -> None:
-    """DRAIN: two machines that are cut off together would acknowledge what the others never hear."""
+        harness.call("instances.heartbeat", body | {"callSequence": number, "state": "draining"}, "s1")
+    harness.call("instances.deregister", subject="s1")
+    assert [entries[0]["t"] for entries, _ in broadcasts[1:]] == [1, 2]
+
+
+def test_acknowledgement_waits_for_subscribers_up_to_a_timeout(harness: NodeHarness) -> None:
+    harness.replica.commit(7, page())
+    harness.node.publish_committed()
+    connection = harness.connection()
+    harness.node.inbound_message(connection, {"k": "hello", "name": "g"})
+    harness.replica.verdict = Verdict(TAKEN, index=1)
+    started_at = harness.loop.now
+    harness.call("configuration.replace", page())
+    assert harness.loop.now - started_at == pytest.approx(node.SUBSCRIBER_ACK_TIMEOUT_S, abs=0.02)
+    harness.node.inbound_message(connection, {"k": "ack", "n": 1, "index": 1})
+    started_at = harness.loop.now
+    harness.call("configuration.replace", page())
+    assert harness.loop.now - started_at < 0.01
+
+
+def test_configuration_read_requires_a_quorum(harness: NodeHarness) -> None:
+    assert harness.call("configuration.read")[0] == 503, "no configuration yet"
+    harness.replica.commit(7, page())
+    assert harness.call("configuration.read") == (200, page())
+    harness.replica.has_quorum = False
+    assert harness.call("configuration.read")[0] == 503
+
+
+def test_leaving_server_is_acknowledged_once_a_majority_has_it(harness: NodeHarness) -> None:
+    """DRAIN: two nodes partitioned off together acknowledged a state that no other node had."""
     beat = {"service": "p", "address": "h:1", "zone": "waw-a", "state": "available", "callSequence": 1}
-    box.second = False
-    assert box.call("instances.heartbeat", beat, "s1") == (200, {})
-    assert box.call("instances.heartbeat", {**beat, "address": "?"}, "s1")[0] == 400
-    leaves = {**beat, "state": "draining", "callSequence": 2}
-    assert box.call("instances.heartbeat", leaves, "s1")[0] == 503
-    assert box.call("instances.deregister", of="s1")[0] == 503
-    box.second, hear = True, box.hear
-    for few in ([hear[0]], [hear[0], hear[0], "10.9.0.11:7601"]):
-        box.hear = few
-        assert box.call("instances.heartbeat", leaves, "s1")[0] == 503
-    box.hear = hear[:2]
-    assert box.call("instances.heartbeat", leaves, "s1")[0] == 200
-    box.hear = hear
-    assert box.call("instances.deregister", of="s1")[0] == 200
-    assert [entry["t"] for message in box.peers for entry in message["e"]][-1] == 2
-
-
-def test_that_a_server_is_cold_is_acknowledged_once_a_majority_knows(box: Box) -> None:
-    """FAILBACK: found by the emulator, as a control machine that was cut off was the only one told."""
+    harness.peers_reachable = False
+    assert harness.call("instances.heartbeat", beat, "s1") == (200, {})
+    assert harness.call("instances.heartbeat", {**beat, "address": "?"}, "s1")[0] == 400
+    draining = {**beat, "state": "draining", "callSequence": 2}
+    assert harness.call("instances.heartbeat", draining, "s1")[0] == 503
+    assert harness.call("instances.deregister", subject="s1")[0] == 503
+    harness.peers_reachable, confirming_peers = True, harness.confirming_peers
+    for too_few in ([confirming_peers[0]], [confirming_peers[0], confirming_peers[0], "10.9.0.11:7601"]):
+        harness.confirming_peers = too_few
+        assert harness.call("instances.heartbeat", draining, "s1")[0] == 503
+    harness.confirming_peers = confirming_peers[:2]
+    assert harness.call("instances.heartbeat", draining, "s1")[0] == 200
+    harness.confirming_peers = confirming_peers
+    assert harness.call("instances.deregister", subject="s1")[0] == 200
+    assert [entry["t"] for message in harness.broadcast_messages for entry in message["e"]][-1] == 2
+
+
+def test_cold_server_is_acknowledged_once_a_majority_has_it(harness: NodeHarness) -> None:
+    """FAILBACK: only a node that was partitioned off knew that a server was cold."""
     beat = {"service": "p", "address": "h:1", "zone": "waw-a", "state": "available", "callSequence": 1}
-    assert box.call("instances.heartbeat", beat, "s1") == (200, {})
-    assert box.call("instances.heartbeat", beat | {"callSequence": 2}, "s1") == (200, {})
-    box.second = False
+    assert harness.call("instances.heartbeat", beat, "s1") == (200, {})
+    assert harness.call("instances.heartbeat", beat | {"callSequence": 2}, "s1") == (200, {})
+    harness.peers_reachable = False
     cold = beat | {"callSequence": 3, "coldRemainingS": 2.5}
-    assert box.call("instances.heartbeat", cold, "s1")[0] == 503
-    box.node.report_heartbeats(box.loop.now)
-    assert "b" not in box.peers[-1], "a word on an earlier beat must not go out with this one's number"
-    box.second = True
-    assert box.call("instances.heartbeat", cold | {"callSequence": 4, "coldRemainingS": 1.6}, "s1")[0] == 200
-    assert box.peers[-1]["e"][0]["c"] == 1.6
+    assert harness.call("instances.heartbeat", cold, "s1")[0] == 503
+    harness.node.report_heartbeats(harness.loop.now)
+    assert "b" not in harness.broadcast_messages[-1], (
+        "a report with this sequence number would hide the change"
+    )
+    harness.peers_reachable = True
+    assert (
+        harness.call("instances.heartbeat", cold | {"callSequence": 4, "coldRemainingS": 1.6}, "s1")[0] == 200
+    )
+    assert harness.broadcast_messages[-1]["e"][0]["c"] == 1.6
 
 
-def test_a_proof_is_never_older_than_its_question(box: Box) -> None:
-    """CONFIG: who asks while a proof is under way gets it with its age, as it holds as of its beginning."""
-    wire = box.wire()
-    box.replica.commit(7, page())
-    begun = box.node.clock.now()
+def test_proof_for_a_request_during_a_round_carries_its_age(harness: NodeHarness) -> None:
+    """CONFIG: a proof holds as of the start of its round, not of a later request."""
+    connection = harness.connection()
+    harness.replica.commit(7, page())
+    started_at = harness.node.clock.now()
 
     def commit() -> None:
-        box.replica.meanwhile = lambda: None
-        box.node.inbound_message(wire, {"k": "prove", "t": 2})
+        harness.replica.during_confirm = lambda: None
+        harness.node.inbound_message(connection, {"k": "prove", "t": 2})
 
-    def asks() -> None:
-        asked.append(box.node.clock.now())
+    def request_during_round() -> None:
+        requested_at.append(harness.node.clock.now())
         commit()
 
-    asked: list[float] = []
-    box.replica.meanwhile = asks
-    box.node.inbound_message(wire, {"k": "prove", "t": 1})
-    box.run(asyncio.sleep(2.0))
-    first, second = wire.sent
+    requested_at: list[float] = []
+    harness.replica.during_confirm = request_during_round
+    harness.node.inbound_message(connection, {"k": "prove", "t": 1})
+    harness.run(asyncio.sleep(2.0))
+    first, second = connection.sent
     assert first == {"k": "proven", "t": 1, "index": 1}
     assert second.items() >= {"k": "proven", "t": 2, "index": 1}.items()
-    assert asked[0] - second["age"] <= begun, "not from after the round began"
-    assert box.replica.confirms == 1, "one round serves both"
-    box.replica.reached = False
-    box.node.inbound_message(wire, {"k": "prove", "t": 3})
-    box.run(asyncio.sleep(2.0))
-    assert wire.sent[-1] == {"k": "proven", "t": 3}, "nothing is proven without a majority"
+    assert requested_at[0] - second["age"] <= started_at, "not newer than the start of the round"
+    assert harness.replica.confirm_count == 1, "the requests share a round"
+    harness.replica.has_quorum = False
+    harness.node.inbound_message(connection, {"k": "prove", "t": 3})
+    harness.run(asyncio.sleep(2.0))
+    assert connection.sent[-1] == {"k": "proven", "t": 3}, "no proof without a quorum"
 
 
-def test_clients_are_told_of_near_gateways_that_are_ready() -> None:
+def test_resolution_prefers_near_gateways_that_are_ready() -> None:
     def gateway(name: str, zone: str, region: str, ready: bool = True) -> Member:
         meta = {"role": "edge", "zone": zone, "region": region, "ready": ready, "front": name}
         return Member(name, "h", 1, meta, 0, "one")
 
-    some = [
+    members = [
         gateway("a1", "a", "r"),
         gateway("a2", "a", "r", False),
         gateway("b1", "b", "r"),
         gateway("c1", "c", "q"),
     ]
-    assert select_gateways(some, (), "a", "r", Random(1)) == ["a1", "b1"]
-    assert select_gateways(some, ("a1",), "a", "r", Random(1)) == ["b1"]
-    assert select_gateways(some, ("a1", "b1", "c1"), "c", "q", Random(1)) == ["c1"], (
-        "better one suspected than none"
+    assert select_gateways(members, (), "a", "r", Random(1)) == ["a1", "b1"]
+    assert select_gateways(members, ("a1",), "a", "r", Random(1)) == ["b1"]
+    assert select_gateways(members, ("a1", "b1", "c1"), "c", "q", Random(1)) == ["c1"], (
+        "a suspected gateway is better than none"
     )
-    assert set(select_gateways(some, (), "d", "p", Random(1))) == {"a1", "b1", "c1"}
-    many = [gateway(f"g{i}", "a", "r") for i in range(84)]
-    assert len(set(select_gateways(many, (), "a", "r", Random(1)))) == 64
+    assert set(select_gateways(members, (), "d", "p", Random(1))) == {"a1", "b1", "c1"}
+    many_members = [gateway(f"g{i}", "a", "r") for i in range(84)]
+    assert len(set(select_gateways(many_members, (), "a", "r", Random(1)))) == 64
     assert parse_call("POST", "/rpc?call=evacuation.begin&of=a%2Db").subject == "a-b"
     assert parse_call("GET", "/rpc?call=evacuation.begin").name == "GET /rpc"
 
 
-def test_a_word_to_the_former_life_of_a_control_machine_counts_for_nothing(
+def test_confirmation_for_a_previous_instance_is_ignored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """DRAIN: it may come late, by way of a gateway, to a life whose own word no majority has heard."""
+    """DRAIN: a late relayed confirmation was counted for a message of the restarted process."""
     statuses = []
-    late = None
-    for life in (1, 2):
-        home = tmp_path / str(life)
+    previous_number = None
+    for instance in (1, 2):
+        home = tmp_path / str(instance)
         home.mkdir()
-        box = Box(home, monkeypatch, life)
-        box.answers_to = late
+        harness = NodeHarness(home, monkeypatch, instance)
+        harness.answered_number = previous_number
         beat = {"service": "a", "address": "10.9.0.1:80", "zone": "waw-a", "capacitySlots": 4}
-        box.call("instances.heartbeat", beat | {"state": "available", "callSequence": 1}, "s1")
-        leaves = beat | {"state": "draining", "callSequence": 2}
-        statuses.append(box.call("instances.heartbeat", leaves, "s1")[0])
-        late = next(told["n"] for told in reversed(box.peers) if "n" in told)
-        box.loop.close()
+        harness.call("instances.heartbeat", beat | {"state": "available", "callSequence": 1}, "s1")
+        draining = beat | {"state": "draining", "callSequence": 2}
+        statuses.append(harness.call("instances.heartbeat", draining, "s1")[0])
+        previous_number = next(
+            message["n"] for message in reversed(harness.broadcast_messages) if "n" in message
+        )
+        harness.loop.close()
     assert statuses == [200, 503]
 
 
-def test_the_register_is_begun_before_anybody_can_ask(box: Box, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A gateway that asked for a proof in between ended the proofs of that machine for good."""
+def test_store_starts_before_the_ports_open(harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A proof request before the start of the store stopped the proof rounds for good."""
 
-    async def listen(post: object) -> None:
-        box.replica.begun.append("port")
+    async def fail_to_listen(transport: object) -> None:
+        harness.replica.start_order.append("port")
         raise OSError("far enough")
 
-    monkeypatch.setattr(box.node, "listen_internal", listen)
+    monkeypatch.setattr(harness.node, "listen_internal", fail_to_listen)
     with pytest.raises(OSError, match="far enough"):
-        box.run(box.node.start())
-    assert box.replica.begun == ["register", "port"]
+        harness.run(harness.node.start())
+    assert harness.replica.start_order == ["register", "port"]
 
 
-def test_proofs_go_on_after_one_that_failed(box: Box) -> None:
-    box.loop.set_exception_handler(lambda loop, context: None)
-    box.replica.fails = True
-    first = box.wire()
-    box.node.handle_proof_request(first, 1)
-    box.run(asyncio.sleep(1.0))
+def test_proof_rounds_continue_after_a_failure(harness: NodeHarness) -> None:
+    harness.loop.set_exception_handler(lambda loop, context: None)
+    harness.replica.raises_error = True
+    first = harness.connection()
+    harness.node.handle_proof_request(first, 1)
+    harness.run(asyncio.sleep(1.0))
     assert first.sent == [{"k": "proven", "t": 1}]
-    box.replica.fails = False
-    second = box.wire()
-    box.node.handle_proof_request(second, 2)
-    box.run(asyncio.sleep(1.0))
-    assert [told.get("index") for told in second.sent] == [0]
+    harness.replica.raises_error = False
+    second = harness.connection()
+    harness.node.handle_proof_request(second, 2)
+    harness.run(asyncio.sleep(1.0))
+    assert [message.get("index") for message in second.sent] == [0]
--- a/tests/distribution/test_published_state.py
+++ b/tests/distribution/test_published_state.py
@@ -1,4 +1,4 @@
-"""Numbered changes: who has missed one asks for the whole, and nobody who follows ever goes back."""
+"""Published state: numbered changes, gaps, and followers that never go back."""
 
 from __future__ import annotations
 
@@ -23,96 +23,96 @@
 from tests.configuration.drawn import page
 
 
-def board() -> PublishedState:
+def make_state() -> PublishedState:
     return PublishedState(Registry(1.5), diff_documents=diff)  # type: ignore[arg-type]
 
 
-def follower() -> Follower:
-    return Follower(board(), apply_patch)  # type: ignore[arg-type]
+def make_follower() -> Follower:
+    return Follower(make_state(), apply_patch)  # type: ignore[arg-type]
 
 
-def order(index: int, version: int, evacuated: str = "") -> CommittedState:
-    """Each version has a key of its own."""
+def make_committed(index: int, version: int, evacuated: str = "") -> CommittedState:
+    """Committed state with a document that has its own API key per version."""
     doc = page() | {"version": f"{version:08x}", "baseVersion": f"{version - 1:08x}"}
     doc["tenants"][1]["apiKeys"] = [f"k{version}"]
     return CommittedState(index, version, doc, frozenset(evacuated.split()))
 
 
-def pipe(source: PublishedState, packs: bool = False) -> list[Message]:
-    """What a reader that joins now is sent."""
+def subscribe(source: PublishedState, supports_compression: bool = False) -> list[Message]:
+    """The list that receives the messages of a new subscriber."""
     sent: list[Message] = []
-    source.add_subscriber(Subscriber("g", sent.append, supports_compression=packs), 0.0)
+    source.add_subscriber(Subscriber("g", sent.append, supports_compression=supports_compression), 0.0)
     return sent
 
 
-def test_changes_travel_as_patches_and_each_number_once() -> None:
-    source, gateway = board(), follower()
-    sent = pipe(source)
-    assert not sent, "there is nothing to tell yet"
-    source.update_committed(order(1, 1), 0.0)
-    source.update_committed(order(2, 2), 0.0)
+def test_changes_are_sent_as_patches_and_applied_in_sequence() -> None:
+    source, gateway = make_state(), make_follower()
+    sent = subscribe(source)
+    assert not sent, "no committed state yet"
+    source.update_committed(make_committed(1, 1), 0.0)
+    source.update_committed(make_committed(2, 2), 0.0)
     source.update_committed(CommittedState(3, 2, source.committed.document, frozenset({"a"})), 0.0)
     assert [message["k"] for message in sent] == ["whole", "orders", "orders"]
-    assert "patch" in sent[1] and "doc" not in sent[2], "what is known isn't told again"
+    assert "patch" in sent[1] and "doc" not in sent[2], "the document is not sent again"
     assert [gateway.apply(message, 0.0)[0] for message in sent] == [True] * 3
     assert gateway.published_state.committed == source.committed
-    assert not source.update_committed(order(2, 9), 0.0), "an older word is no news"
+    assert not source.update_committed(make_committed(2, 9), 0.0), "older state is ignored"
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_whatever_is_lost_or_told_by_whom_a_follower_gets_there_and_never_back(seed: int) -> None:
-    """Two sources, one of them behind, and connections that lose messages or change at any time."""
+def test_follower_converges_and_never_goes_back_despite_losses_and_source_changes(seed: int) -> None:
+    """With two sources, one of them behind, lost messages and reconnects at any time."""
     print(f"seed {seed}")
-    draw = Random(seed)
-    words = [order(i, (i + 2) // 2, draw.choice(["", "a", "a b"])) for i in range(1, 30)]
-    sources = [board(), board()]
-    gateway, seen = follower(), 0
-    sent = pipe(sources[0])
-    for i, word in enumerate(words):
-        sources[0].update_committed(word, 0.0)
-        if i > 5:
-            sources[1].update_committed(words[i - 5], 0.0)
-        if draw.random() < 0.3:
+    rng = Random(seed)
+    states = [make_committed(i, (i + 2) // 2, rng.choice(["", "a", "a b"])) for i in range(1, 30)]
+    sources = [make_state(), make_state()]
+    gateway, applied_index = make_follower(), 0
+    sent = subscribe(sources[0])
+    for position, state in enumerate(states):
+        sources[0].update_committed(state, 0.0)
+        if position > 5:
+            sources[1].update_committed(states[position - 5], 0.0)
+        if rng.random() < 0.3:
             gateway.reset_sequence()
-            sent = pipe(draw.choice(sources))
+            sent = subscribe(rng.choice(sources))
         while sent:
             message = sent.pop(0)
-            if draw.random() < 0.1:
+            if rng.random() < 0.1:
                 continue
             try:
                 gateway.apply(message, 0.0)
             except GapError:
                 gateway.reset_sequence()
-            assert gateway.published_state.committed.index >= seen, "CONFIG: it has gone back"
-            seen = gateway.published_state.committed.index
-            assert not seen or gateway.published_state.committed == words[seen - 1]
+            assert gateway.published_state.committed.index >= applied_index, "CONFIG: the follower went back"
+            applied_index = gateway.published_state.committed.index
+            assert not applied_index or gateway.published_state.committed == states[applied_index - 1]
     gateway.reset_sequence()
-    for message in pipe(sources[0]):
+    for message in subscribe(sources[0]):
         gateway.apply(message, 0.0)
-    assert gateway.published_state.committed == words[-1]
+    assert gateway.published_state.committed == states[-1]
 
 
-def test_a_gap_and_a_patch_of_another_version_ask_for_the_whole() -> None:
-    gateway = follower()
-    gateway.published_state.update_committed(order(1, 1), 0.0)
+def test_gap_or_patch_with_another_base_raises_gap_error() -> None:
+    gateway = make_follower()
+    gateway.published_state.update_committed(make_committed(1, 1), 0.0)
     with pytest.raises(GapError, match="change 3 after -1"):
         gateway.apply({"k": "servers", "n": 3, "e": []}, 0.0)
-    source = board()
-    sent = pipe(source)
+    source = make_state()
+    sent = subscribe(source)
     for index in (2, 3, 4):
-        source.update_committed(order(index, index), 0.0)
+        source.update_committed(make_committed(index, index), 0.0)
     gateway.apply(sent[0], 0.0)
     with pytest.raises(GapError, match=r"change \d after"):
         gateway.apply(sent[2], 0.0)
     gateway.reset_sequence()
     gateway.apply(sent[0], 0.0)
-    gateway.published_state.update_committed(order(9, 9), 0.0)
+    gateway.published_state.update_committed(make_committed(9, 9), 0.0)
     with pytest.raises(GapError, match="patch for version"):
         gateway.apply({**sent[1], "index": 10}, 0.0)
 
 
-def test_a_server_that_the_source_does_not_know_has_ended_after_a_while() -> None:
-    source, gateway = board(), follower()
+def test_server_missing_from_the_snapshot_expires() -> None:
+    source, gateway = make_state(), make_follower()
     body: Any = {"service": "p", "address": "h:1", "zone": "a"}
     for ident, registry in (
         ("s1", source.registry),
@@ -120,60 +120,60 @@
         ("s2", gateway.published_state.registry),
     ):
         registry.update(parse_heartbeat(ident, body, 0.0), 0.0)
-    source.update_committed(order(1, 1), 0.0)
-    gateway.apply(pipe(source)[0], 0.0)
+    source.update_committed(make_committed(1, 1), 0.0)
+    gateway.apply(subscribe(source)[0], 0.0)
     assert not gateway.expire_missing(7.0, 8.0)
     (ended,) = gateway.expire_missing(9.0, 8.0)
     assert (ended.instance_id, ended.state) == ("s2", State.GONE)
 
 
-def test_what_is_overheard_counts_for_known_servers_and_hides_no_later_news() -> None:
-    source, gateway = board(), follower()
+def test_broadcast_applies_to_known_servers_only() -> None:
+    source, gateway = make_state(), make_follower()
     body: Any = {"service": "p", "address": "h:1", "zone": "a", "callSequence": 1}
     source.registry.update(parse_heartbeat("s1", body, 0.0), 0.0)
-    source.update_committed(order(1, 1), 0.0)
-    gateway.apply(pipe(source)[0], 0.0)
-    cold, _ = source.registry.update(
+    source.update_committed(make_committed(1, 1), 0.0)
+    gateway.apply(subscribe(source)[0], 0.0)
+    cold_entry, _ = source.registry.update(
         parse_heartbeat("s1", body | {"callSequence": 2, "coldRemainingS": 3}, 1.0), 1.0
     )
-    (news,) = gateway.apply_broadcast([cold.to_message(1.0)], 1.0)
-    assert news.cold_until == pytest.approx(4.0, abs=0.01)
-    assert not gateway.apply_broadcast([cold.to_message(1.0)], 1.1)
+    (changed,) = gateway.apply_broadcast([cold_entry.to_message(1.0)], 1.0)
+    assert changed.cold_until == pytest.approx(4.0, abs=0.01)
+    assert not gateway.apply_broadcast([cold_entry.to_message(1.0)], 1.1)
     source.registry.update(parse_heartbeat("s2", body, 1.0), 1.0)
     assert not gateway.apply_broadcast([source.registry.entries["s2"].to_message(1.0)], 1.0)
     assert "s2" not in gateway.published_state.registry.entries
 
 
-def test_a_control_machine_that_has_started_again_knows_nobody_and_nobody_ends_for_that() -> None:
-    """RECOVER: found by the emulator, as the whole core lost power and the gateways did not."""
-    source, gateway = board(), follower()
+def test_servers_survive_a_restarted_source() -> None:
+    """RECOVER: all control-plane nodes lost power, and gateways dropped servers they still knew."""
+    source, gateway = make_state(), make_follower()
     body: Any = {"service": "p", "address": "h:1", "zone": "a", "callSequence": 1}
     gateway.published_state.registry.update(parse_heartbeat("s1", body, 0.0), 0.0)
-    source.update_committed(order(1, 1), 0.0)
-    told = pipe(source)
-    gateway.apply(told[0], 0.0)
+    source.update_committed(make_committed(1, 1), 0.0)
+    messages = subscribe(source)
+    gateway.apply(messages[0], 0.0)
     entry, _ = source.registry.update(parse_heartbeat("s1", body | {"callSequence": 2}, 1.0), 1.0)
     source.publish_entries([entry], 1.0)
-    assert gateway.apply(told[1], 1.0) == (False, []), "here it is no news"
+    assert gateway.apply(messages[1], 1.0) == (False, []), "no change here"
     assert not gateway.expire_missing(20.0, 8.0)
     assert gateway.published_state.registry.entries["s1"].state is State.READY
 
 
-def test_an_acknowledgement_waits_for_those_who_have_not_the_orders() -> None:
-    source = board()
-    readers = [Subscriber(name, lambda message: None) for name in "ab"]
-    for reader in readers:
-        source.add_subscriber(reader, 0.0)
-    source.update_committed(order(4, 1), 0.0)
-    source.record_acknowledgement(readers[0], 1, 4)
+def test_count_behind_counts_subscribers_without_the_index() -> None:
+    source = make_state()
+    subscribers = [Subscriber(name, lambda message: None) for name in "ab"]
+    for subscriber in subscribers:
+        source.add_subscriber(subscriber, 0.0)
+    source.update_committed(make_committed(4, 1), 0.0)
+    source.record_acknowledgement(subscribers[0], 1, 4)
     assert source.count_behind(4) == 1
-    source.record_acknowledgement(readers[1], 1, 3)
+    source.record_acknowledgement(subscribers[1], 1, 3)
     assert source.count_behind(4) == 1
-    source.remove_subscriber(readers[1])
-    assert source.count_behind(4) == 0, "who is cut off is left to its lease"
+    source.remove_subscriber(subscribers[1])
+    assert source.count_behind(4) == 0, "disconnected subscribers are not waited for"
 
 
-def test_a_lease_counts_from_the_question_and_an_older_proof_shortens_nothing() -> None:
+def test_lease_starts_at_the_request_and_older_proofs_do_not_shorten_it() -> None:
     lease = Lease(4.5)
     assert lease.expires_at == -math.inf
     lease.renew(10.0)
@@ -181,28 +181,34 @@
     assert lease.expires_at == 14.5
 
 
-def test_who_comes_back_is_told_only_what_changed_and_large_documents_travel_deflated() -> None:
-    big = [{"host": "h", "ruleSet": [large_rule(n) for n in range(60)]}]
-    source = board()
-    docs = {v: document(v, big, {"idleTimeoutS": 10 + v}) for v in (1, 2, 3)}
-    for version, doc in docs.items():
+def test_reconnecting_subscriber_gets_a_patch_and_large_documents_are_compressed() -> None:
+    listeners = [{"host": "h", "ruleSet": [large_rule(n) for n in range(60)]}]
+    source = make_state()
+    documents = {
+        version: document(version, listeners, {"idleTimeoutS": 10 + version}) for version in (1, 2, 3)
+    }
+    for version, doc in documents.items():
         source.update_committed(CommittedState(version, version, doc), 0.0)
     sizes = []
-    for known in (0, 2, 3):
-        told: list[Message] = []
-        source.add_subscriber(Subscriber("r", told.append, version=known), 0.0)
-        mine = board()
-        if known:
-            mine.update_committed(CommittedState(known, known, docs[known]), 0.0)
-        Follower(mine, cast(Any, apply_patch)).apply(msgspec.json.decode(msgspec.json.encode(told[0])), 0.0)
-        assert mine.committed.document is not None
-        assert mine.committed.document["limits"] == {"idleTimeoutS": 13}
-        sizes.append(len(msgspec.json.encode(told[0])))
-    assert sizes[0] < len(msgspec.json.encode(docs[3])) / 4, "deflated"
+    for known_version in (0, 2, 3):
+        messages: list[Message] = []
+        source.add_subscriber(Subscriber("r", messages.append, version=known_version), 0.0)
+        local_state = make_state()
+        if known_version:
+            local_state.update_committed(
+                CommittedState(known_version, known_version, documents[known_version]), 0.0
+            )
+        Follower(local_state, cast(Any, apply_patch)).apply(
+            msgspec.json.decode(msgspec.json.encode(messages[0])), 0.0
+        )
+        assert local_state.committed.document is not None
+        assert local_state.committed.document["limits"] == {"idleTimeoutS": 13}
+        sizes.append(len(msgspec.json.encode(messages[0])))
+    assert sizes[0] < len(msgspec.json.encode(documents[3])) / 4, "compressed"
     assert sizes[1] < 400 and sizes[2] < 200
-    spoilt = {"k": "whole", "n": 1, "index": 9, "version": 9, "evac": [], "e": [], "docz": "eJwDAA=="}
+    malformed = {"k": "whole", "n": 1, "index": 9, "version": 9, "evac": [], "e": [], "docz": "eJwDAA=="}
     with pytest.raises(ValueError, match="doc can't be read"):
-        follower().apply(spoilt, 0.0)
+        make_follower().apply(malformed, 0.0)
 
 
 def large_rule(number: int) -> dict[str, Any]:
@@ -220,38 +226,40 @@
     }  # fmt: skip
 
 
-def test_many_servers_travel_deflated_to_who_can_read_that() -> None:
-    for packs in (True, False):
-        source, gateway = board(), follower()
+def test_servers_of_a_snapshot_are_compressed_if_supported() -> None:
+    for supports_compression in (True, False):
+        source, gateway = make_state(), make_follower()
         body: Any = {"service": "p", "address": "h:1", "zone": "a"}
         for number in range(60):
             source.registry.update(parse_heartbeat(f"s{number}", body, 0.0), 0.0)
-        source.update_committed(order(1, 1), 0.0)
-        reader = pipe(source, packs)
-        (whole,) = [message for message in reader if message["k"] == "whole"]
-        assert ("ez" in whole, "e" in whole) == (packs, not packs)
+        source.update_committed(make_committed(1, 1), 0.0)
+        messages = subscribe(source, supports_compression)
+        (whole,) = [message for message in messages if message["k"] == "whole"]
+        assert ("ez" in whole, "e" in whole) == (supports_compression, not supports_compression)
         gateway.apply(whole, 0.0)
         assert len(gateway.published_state.registry.entries) == 60 and not gateway.missing_since
         with pytest.raises(ValueError):
             gateway.apply({**whole, "ez": "junk"}, 0.0)
 
 
-def test_news_of_many_servers_travels_deflated_to_who_can_read_that() -> None:
+def test_server_changes_are_compressed_if_supported() -> None:
     body: Any = {"service": "p", "address": "h:1", "zone": "a"}
-    source, packing, plain = board(), follower(), follower()
-    source.update_committed(order(1, 1), 0.0)
-    readers = pipe(source, packs=True), pipe(source)
-    new = [source.registry.update(parse_heartbeat(f"s{number}", body, 0.0), 0.0)[0] for number in range(60)]
-    source.publish_entries(new, 0.0)
-    for reader, gateway, field in zip(readers, (packing, plain), ("ez", "e"), strict=True):
-        assert field in reader[-1] and reader[-1]["n"] == source.sequence_number
-        for message in reader:
+    source, compressing, plain = make_state(), make_follower(), make_follower()
+    source.update_committed(make_committed(1, 1), 0.0)
+    received = subscribe(source, supports_compression=True), subscribe(source)
+    entries = [
+        source.registry.update(parse_heartbeat(f"s{number}", body, 0.0), 0.0)[0] for number in range(60)
+    ]
+    source.publish_entries(entries, 0.0)
+    for messages, gateway, field in zip(received, (compressing, plain), ("ez", "e"), strict=True):
+        assert field in messages[-1] and messages[-1]["n"] == source.sequence_number
+        for message in messages:
             gateway.apply(message, 0.0)
         assert len(gateway.published_state.registry.entries) == 60
 
 
-def test_news_that_nobody_follows_is_numbered_all_the_same() -> None:
-    source = board()
+def test_changes_without_subscribers_are_numbered() -> None:
+    source = make_state()
     entry, _ = source.registry.update(
         parse_heartbeat("s1", cast(Any, {"service": "p", "address": "h:1", "zone": "a"}), 0.0), 0.0
     )
@@ -261,19 +269,19 @@
     assert source.sequence_number == before + 1
 
 
-def test_readers_who_come_back_together_share_what_is_packed_for_them() -> None:
-    packs: list[int] = []
+def test_reconnecting_subscribers_share_encoded_updates() -> None:
+    encoded_versions: list[int] = []
 
-    class Counting(PublishedState):
+    class CountingState(PublishedState):
         def encode_document_update(self, version: int, doc: Any) -> Message:
-            packs.append(version)
+            encoded_versions.append(version)
             return super().encode_document_update(version, doc)
 
-    source = Counting(Registry(1.5), diff_documents=diff)  # type: ignore[arg-type]
-    source.update_committed(order(1, 1), 0.0)
-    source.update_committed(order(2, 2), 0.0)
+    source = CountingState(Registry(1.5), diff_documents=diff)  # type: ignore[arg-type]
+    source.update_committed(make_committed(1, 1), 0.0)
+    source.update_committed(make_committed(2, 2), 0.0)
     for version in (0, 0, 1, 1, 1, 77, 2):
         source.add_subscriber(Subscriber("g", lambda message: None, version=version), 0.0)
-    assert packs == [0, 1], "a version that is not kept gets the whole, the newest nothing"
-    source.update_committed(order(3, 3), 0.0)
-    assert packs == [0, 1, 2], "for those who follow"
+    assert encoded_versions == [0, 1], "an unknown version gets the document, the newest nothing"
+    source.update_committed(make_committed(3, 3), 0.0)
+    assert encoded_versions == [0, 1, 2], "the update for the subscribers"
