--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -211,8 +211,8 @@
             supports_compression = str(connection.tag) in self.peers.topology.forwarding_nodes
             connection.send(servers_message(self.registry.snapshot(now), supports_compression))
         # A restarted peer knows neither when evacuations changed nor which calls were answered.
-        if evacuations := self.evacuations.to_message(now):
-            connection.send(evacuations)
+        if evacuation_message := self.evacuations.to_message(now):
+            connection.send(evacuation_message)
 
     def handle_peer_reply(self, connection: MessageConnection, message: Message) -> None:
         """A message of a peer on a connection opened by this node."""
@@ -361,7 +361,8 @@
         heartbeats, self.unreported_heartbeats = self.unreported_heartbeats, {}
         if heartbeats:
             summaries = [
-                [e.instance_id, e.sequence, round(now - e.last_heartbeat_at, 2)] for e in heartbeats.values()
+                [entry.instance_id, entry.sequence, round(now - entry.last_heartbeat_at, 2)]
+                for entry in heartbeats.values()
             ]
             self.peers.fan_out({"k": "beats", "b": summaries})
 
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -100,10 +100,10 @@
         "peers_connected": node.peers.connected_count,
         "members": members_view(node),
         "gone": sorted(node.membership_transport.membership.gone),
-        "servers": [server_view(e, settings.zones, now) for e in node.registry.entries.values()],
+        "servers": [server_view(entry, settings.zones, now) for entry in node.registry.entries.values()],
         "evidence": {
-            ident: evidence(node.ledger.evidence(ident, now))
-            for ident in sorted({*node.ledger.first, *node.ledger.second})
+            instance_id: evidence(node.ledger.evidence(instance_id, now))
+            for instance_id in sorted({*node.ledger.first, *node.ledger.second})
         },
         "history": history_view(node)[:5],
     }
