--- a/latchspoke/controlplane/evacuations.py
+++ b/latchspoke/controlplane/evacuations.py
@@ -1,11 +1,10 @@
-"""Which calls about evacuations repeat an earlier call, and which are a second operator's. Pure.
-
-``evacuation.begin`` and ``evacuation.finish`` carry nothing but the zone: a call that is sent again after a
-lost answer, and the call of another operator, are the same bytes. No rule can tell them apart in every case.
-What is known: a caller sends again at short pauses, and never later than ``ackS`` after its first sending. A
-begin that comes soon after the last one, whether or not that one's caller has its answer, is therefore taken
-for a repeat; one that comes later is another evacuation, which its own operator takes back. A finish that
-comes soon after another, while one more evacuation stands, may be either: nothing is done, nothing promised.
+"""Distinguishes repeated evacuation calls from those of a second operator. No I/O.
+
+``evacuation.begin`` and ``evacuation.finish`` carry only the zone, so a retry after a lost response looks the
+same as another operator's call. A caller retries at short intervals, and no later than ``ackS`` after its
+first attempt. A begin shortly after the last one is therefore taken for a retry, and a later one for another
+evacuation, which has a finish of its own. A finish shortly after another, while one more evacuation is
+active, is ambiguous and is rejected.
 """
 
 from __future__ import annotations
@@ -19,81 +18,93 @@
 
 from latchspoke.configstore.orders import Orders
 
-REPEAT_PART = 0.75  # of ``ackS``; callers' pauses, with one or two machines that say nothing, take no longer
+REPEAT_WINDOW_FRACTION = 0.75  # of ``ackS``; covers a retry interval with one or two unresponsive nodes
 
 
-class Kind(Enum):
-    """What a call is taken for."""
+class CallKind(Enum):
+    """The classification of a call."""
 
-    FIRST = "first"  # nothing stands
+    FIRST = "first"  # no evacuation of the zone is active
     REPEAT = "repeat"
     ANOTHER = "another"
     UNCLEAR = "unclear"
 
 
-class Change(msgspec.Struct, frozen=True):
-    """The last change of a zone's evacuations."""
+class EvacuationChange(msgspec.Struct, frozen=True):
+    """The last change of a zone's number of active evacuations."""
 
-    place: int  # in the log
-    begun: bool  # one more stands since; else one less
-    at: float  # s, on this machine's clock
-    seen: bool  # as it came; what stood at the start of a process may be of any age
+    log_index: int
+    is_begin: bool  # the number increased
+    changed_at: float  # s, by the clock of this process
+    observed: bool  # at the time of its commit; otherwise its age is unknown
 
 
-class EvacuationCalls:
-    """What one control machine knows of changes and calls, by zone; others tell theirs."""
+class EvacuationCallTracker:
+    """The changes and answered calls known to a control-plane node, by zone; peers exchange them."""
 
     def __init__(self, started_at: float) -> None:
         self.started_at = started_at
-        self.standing: dict[str, int] = {}  # as last applied here
-        self.changes: dict[str, Change] = {}
-        self.begins: dict[str, float] = {}  # when a begin was last acknowledged
+        self.active_counts: dict[str, int] = {}  # as last applied
+        self.changes: dict[str, EvacuationChange] = {}
+        self.begin_acknowledged_at: dict[str, float] = {}
 
-    def applied(self, orders: Orders, now: float, seen: bool) -> None:
-        """The store has applied orders. ``seen``: at about the time at which they were committed."""
+    def record_applied(self, orders: Orders, now: float, observed: bool) -> None:
+        """The store has applied commands. ``observed``: at about the time of their commit."""
         for zone in orders.zones:
-            standing = orders.standing(zone)
-            before = self.standing.get(zone, 0)
-            if standing == before:
+            active = orders.standing(zone)
+            previous = self.active_counts.get(zone, 0)
+            if active == previous:
                 continue
-            known, place = self.changes.get(zone), orders.zones[zone][0]
-            if known is None or known.place < place:
-                self.changes[zone] = Change(place, standing > before, now, seen)
-            self.standing[zone] = standing
+            known, log_index = self.changes.get(zone), orders.zones[zone][0]
+            if known is None or known.log_index < log_index:
+                self.changes[zone] = EvacuationChange(log_index, active > previous, now, observed)
+            self.active_counts[zone] = active
 
-    def acknowledged(self, zone: str, now: float) -> None:
-        """A begin was answered with success at ``now``."""
-        self.begins[zone] = max(self.begins.get(zone, -math.inf), now)
+    def record_acknowledged_begin(self, zone: str, now: float) -> None:
+        """A begin was acknowledged at ``now``."""
+        self.begin_acknowledged_at[zone] = max(self.begin_acknowledged_at.get(zone, -math.inf), now)
 
-    def judge(self, zone: str, begins: bool, orders: Orders, ack_s: float, now: float) -> Kind:
-        """What a call that comes now is taken for. ``ack_s``: the longest time over which one is repeated."""
+    def classify(self, zone: str, is_begin: bool, orders: Orders, ack_s: float, now: float) -> CallKind:
+        """Classify a call that arrives now. ``ack_s``: the longest time over which a call is repeated."""
         if not orders.standing(zone):
-            return Kind.FIRST
-        place = orders.zones[zone][0]
+            return CallKind.FIRST
+        log_index = orders.zones[zone][0]
         change = self.changes.get(zone)
-        if change is None or change.place != place or not change.seen:
-            # What stood already when this process began may have been ordered a moment before.
-            change = Change(place, begins, self.started_at, False)
-        if change.begun != begins:
-            return Kind.ANOTHER
-        last = max(change.at, self.begins.get(zone, -math.inf)) if begins else change.at
-        if now - last >= REPEAT_PART * ack_s or now - change.at >= ack_s:
-            return Kind.ANOTHER
-        return Kind.REPEAT if begins else Kind.UNCLEAR
-
-    def wire(self, now: float) -> dict[str, Any] | None:
-        """For another control machine, which may have begun anew; None if there is nothing to tell."""
-        seen = {z: [c.place, c.begun, round(now - c.at, 3)] for z, c in self.changes.items() if c.seen}
-        if not seen and not self.begins:
+        if change is None or change.log_index != log_index or not change.observed:
+            # The change precedes this process; it may be recent.
+            change = EvacuationChange(log_index, is_begin, self.started_at, False)
+        if change.is_begin != is_begin:
+            return CallKind.ANOTHER
+        last_activity_at = (
+            max(change.changed_at, self.begin_acknowledged_at.get(zone, -math.inf))
+            if is_begin
+            else change.changed_at
+        )
+        if now - last_activity_at >= REPEAT_WINDOW_FRACTION * ack_s or now - change.changed_at >= ack_s:
+            return CallKind.ANOTHER
+        return CallKind.REPEAT if is_begin else CallKind.UNCLEAR
+
+    def to_message(self, now: float) -> dict[str, Any] | None:
+        """The message for a peer that may have restarted; None if there is nothing to send."""
+        observed = {
+            zone: [change.log_index, change.is_begin, round(now - change.changed_at, 3)]
+            for zone, change in self.changes.items()
+            if change.observed
+        }
+        if not observed and not self.begin_acknowledged_at:
             return None
-        ages = {zone: round(now - at, 3) for zone, at in self.begins.items()}
-        return {"k": "moved", "z": seen, "a": {}, "c": ages}
+        ages = {zone: round(now - at, 3) for zone, at in self.begin_acknowledged_at.items()}
+        return {"k": "moved", "z": observed, "a": {}, "c": ages}
 
-    def learn(self, message: Mapping[str, Any], now: float) -> None:
-        """What ``wire`` wrote elsewhere. Raises KeyError, TypeError, ValueError."""
-        for zone, (place, begun, age) in message["z"].items():
+    def merge(self, message: Mapping[str, Any], now: float) -> None:
+        """Merge a message of ``to_message``. Raises KeyError, TypeError, ValueError."""
+        for zone, (log_index, is_begin, age) in message["z"].items():
             known = self.changes.get(zone)
-            if known is None or known.place < place or (known.place == place and not known.seen):
-                self.changes[zone] = Change(place, begun, now - age, True)
+            if (
+                known is None
+                or known.log_index < log_index
+                or (known.log_index == log_index and not known.observed)
+            ):
+                self.changes[zone] = EvacuationChange(log_index, is_begin, now - age, True)
         for zone, age in message.get("c", {}).items():
-            self.acknowledged(zone, now - float(age))
+            self.record_acknowledged_begin(zone, now - float(age))
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -1,6 +1,6 @@
-"""What a control machine shows of itself and of the fleet: ``GET /status``, ``/metrics``, ``/history``.
+"""Views of a control-plane node and the fleet: ``GET /status``, ``/metrics``, ``/history``.
 
-Keys of tenants are no part of it, nor is the configuration.
+They contain neither the configuration nor API keys; only the export does.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 STATES = {State.READY: "ready", State.DRAINING: "draining", State.GONE: "gone"}
 
 
-def server(entry: Entry, zones: dict[str, str], now: float) -> dict[str, Any]:
-    """One life, as its beats tell."""
+def server_view(entry: Entry, zones: dict[str, str], now: float) -> dict[str, Any]:
+    """One server instance, as its heartbeats report it."""
     avoided = {
         "gone": entry.state is State.GONE,
         "draining": entry.state is State.DRAINING,
@@ -26,7 +26,7 @@
         "cold": entry.cold_until > now,
     }
     return {
-        "id": entry.ident,
+        "id": entry.instance_id,
         "service": entry.service,
         "address": entry.address,
         "zone": entry.zone,
@@ -36,29 +36,31 @@
         "avoided": [code for code, holds in avoided.items() if holds],
         "silent": entry.silent,
         "cold_s": round(max(entry.cold_until - now, 0.0), 3),
-        "beat_s_ago": round(max(now - entry.heard_at, 0.0), 3),
+        "beat_s_ago": round(max(now - entry.last_heartbeat_at, 0.0), 3),
         "version": entry.version,
     }
 
 
-def history(node: Node) -> list[dict[str, Any]]:
-    """The versions that the register remembers, the newest first; a digest names what the operator sent."""
-    kept = node.replica.orders
+def history_view(node: Node) -> list[dict[str, Any]]:
+    """The configuration versions in the replicated store, newest first, with the digests of the requests."""
+    stored = node.replica.orders
     return [
-        {"version": f"{version:08x}", "digest": digest, "current": version == kept.version}
-        for version, digest in reversed(kept.history.items())
+        {"version": f"{version:08x}", "digest": digest, "current": version == stored.version}
+        for version, digest in reversed(stored.history.items())
     ]
 
 
-def members(node: Node) -> list[dict[str, Any]]:
-    """Gateways and control machines that the membership knows to live, with what each has acknowledged."""
-    membership, index = node.membership_transport.membership, node.published_state.orders.index
-    read = {reader.name: reader.index for reader in node.published_state.readers}
-    found = []
+def members_view(node: Node) -> list[dict[str, Any]]:
+    """The live gateways and control-plane nodes, with the index that each subscriber has acknowledged."""
+    membership, current_index = node.membership_transport.membership, node.published_state.committed.index
+    acknowledged_index = {
+        subscriber.name: subscriber.acknowledged_index for subscriber in node.published_state.subscribers
+    }
+    views = []
     for name, member in sorted(membership.alive.items()):
         meta = member.meta
-        door = meta.get("door")
-        seen = {
+        status_port = meta.get("door")
+        view = {
             "name": name,
             "role": meta.get("role"),
             "zone": meta.get("zone"),
@@ -67,18 +69,22 @@
             "ready": bool(meta.get("ready")),
             "suspected": name in membership.suspects,
             "front": meta.get("front"),
-            "status": f"{member.host}:{door}" if door else None,
+            "status": f"{member.host}:{status_port}" if status_port else None,
         }
-        if name in read:
-            # Only those that follow this machine have told it what they know.
-            seen |= {"follows_here": True, "index": read[name], "behind": read[name] < index}
-        found.append(seen)
-    return found
-
-
-def status(node: Node) -> dict[str, Any]:
-    """The whole view."""
-    now, settings, kept = node.clock.now(), node.settings, node.replica.orders
+        if name in acknowledged_index:
+            # Known only for the gateways subscribed to this node.
+            view |= {
+                "follows_here": True,
+                "index": acknowledged_index[name],
+                "behind": acknowledged_index[name] < current_index,
+            }
+        views.append(view)
+    return views
+
+
+def status_view(node: Node) -> dict[str, Any]:
+    """The status of the node and the fleet."""
+    now, settings, stored = node.clock.now(), node.settings, node.replica.orders
     return {
         "name": settings.name,
         "role": "core",
@@ -86,48 +92,52 @@
         "region": settings.region,
         "life": node.instance_id,
         "stopping": node.stopping,
-        "version": f"{kept.version:08x}",
-        "index": kept.index,
-        "told_index": node.published_state.orders.index,
-        "evacuated": sorted(kept.evacuated),
+        "version": f"{stored.version:08x}",
+        "index": stored.index,
+        "told_index": node.published_state.committed.index,
+        "evacuated": sorted(stored.evacuated),
         "register": node.replica.status(),
-        "peers_connected": node.peers.connected,
-        "members": members(node),
+        "peers_connected": node.peers.connected_count,
+        "members": members_view(node),
         "gone": sorted(node.membership_transport.membership.removed),
-        "servers": [server(e, settings.regions_by_zone, now) for e in node.registry.entries.values()],
+        "servers": [
+            server_view(entry, settings.regions_by_zone, now) for entry in node.registry.entries.values()
+        ],
         "evidence": {
-            ident: evidence_view(node.ledger.evidence(ident, now))
-            for ident in sorted({*node.ledger.direct, *node.ledger.relayed})
+            instance_id: evidence_view(node.ledger.evidence(instance_id, now))
+            for instance_id in sorted({*node.ledger.direct, *node.ledger.relayed})
         },
-        "history": history(node)[:5],
+        "history": history_view(node)[:5],
     }
 
 
-def metrics(seen: dict[str, Any]) -> str:
-    """The text format of a view."""
-    register = seen["register"]
-    people = MetricFamily("latchspoke_members", "Live machines that the membership knows, by role and state.")
+def render_metrics(view: dict[str, Any]) -> str:
+    """A status view in the text format of metrics."""
+    register = view["register"]
+    member_family = MetricFamily(
+        "latchspoke_members", "Live machines that the membership knows, by role and state."
+    )
     counts: dict[tuple[str, str], int] = {}
-    for member in seen["members"]:
+    for member in view["members"]:
         state = "suspected" if member["suspected"] else "ready" if member["ready"] else "not_ready"
         key = str(member["role"]), state
         counts[key] = counts.get(key, 0) + 1
     for (role, state), count in sorted(counts.items()):
-        people.add(count, role=role, state=state)
-    servers = MetricFamily("latchspoke_servers", "Servers by service and state, as their beats tell.")
+        member_family.add(count, role=role, state=state)
+    server_family = MetricFamily("latchspoke_servers", "Servers by service and state, as their beats tell.")
     states: dict[tuple[str, str], int] = {}
-    for each in seen["servers"]:
-        key = each["service"], "silent" if each["silent"] else each["state"]
+    for server in view["servers"]:
+        key = server["service"], "silent" if server["silent"] else server["state"]
         states[key] = states.get(key, 0) + 1
     for (service, state), count in sorted(states.items()):
-        servers.add(count, service=service, state=state)
-    following = [member for member in seen["members"] if member.get("follows_here")]
+        server_family.add(count, service=service, state=state)
+    following = [member for member in view["members"] if member.get("follows_here")]
     return render(
         [
             MetricFamily("latchspoke_config_version", "The configuration in force.").add(
-                int(seen["version"], 16)
+                int(view["version"], 16)
             ),
-            MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(seen["index"]),
+            MetricFamily("latchspoke_config_index", "Place of the operator's last word.").add(view["index"]),
             MetricFamily("latchspoke_register_leads", "1 on the machine that leads the register.").add(
                 register["role"] == "leader"
             ),
@@ -146,31 +156,31 @@
                 sum(bool(member["behind"]) for member in following)
             ),
             MetricFamily("latchspoke_members_gone", "Machines that the membership holds to be gone.").add(
-                len(seen["gone"])
+                len(view["gone"])
             ),
-            people,
-            servers,
+            member_family,
+            server_family,
         ]
     )
 
 
-def copy(node: Node) -> bytes:
-    """The operator's word, as ``store restore`` reads it. It has the tenants' keys in it."""
+def export_state(node: Node) -> bytes:
+    """The committed state for ``store restore``. Contains the tenants' API keys."""
     from latchspoke.configstore import copies
 
     register = node.replica.register
     return copies.write(copies.take(register.orders, register.applied, node.settings.name))
 
 
-def answer(node: Node, what: str) -> Any:
-    """What is asked on the control address beside the protocol's calls."""
+def render_view(node: Node, what: str) -> Any:
+    """The view with this name. Raises ValueError."""
     match what:
         case "status":
-            return status(node)
+            return status_view(node)
         case "metrics":
-            return metrics(status(node))
+            return render_metrics(status_view(node))
         case "history":
-            return {"versions": history(node)}
+            return {"versions": history_view(node)}
         case "copy":
-            return copy(node)
+            return export_state(node)
     raise ValueError(what)
--- a/latchspoke/reach/endpoint.py
+++ b/latchspoke/reach/endpoint.py
@@ -74,7 +74,7 @@
         rows.append(row)
     return {
         "name": settings.name, "zone": settings.zone, "region": settings.region, "life": node.instance_id,
-        "ready": node.ready, "version": f"{node.published_state.orders.version:08x}",
+        "ready": node.ready, "version": f"{node.published_state.committed.version:08x}",
         "covers_s": round(covered_s, 2),
         "servers": rows,
         "changes": [
--- a/tests/outliers/test_wiring.py
+++ b/tests/outliers/test_wiring.py
@@ -67,8 +67,8 @@
         (report,) = gateways[number].subscription.connection.sent  # type: ignore[union-attr]
         assert report == {"k": "hot", "w": [["b1", 3.0, 3.0]]}
         control_node.inbound_message(wires[number], report)
-        control_node.telling = False
-        control_node.tell_evidence(control_node.clock.now())
+        control_node.evidence_scheduled = False
+        control_node.send_evidence(control_node.clock.now())
     (update,) = [message for message in wires[2].sent if message["k"] == "hot"]
     gateways[2].subscription.handle_message(RecordingWire(), update)
     assert gateways[2].balancer.outlier_shares == {} or set(gateways[2].balancer.outlier_shares) == {"b1"}
@@ -78,7 +78,7 @@
     query = json.dumps({"host": "a.example", "path": "/read/1", "tenant": "mill"}).encode()
     page = pages.explained(gateways[2].handle_query("POST", "/explain", query)[1])
     assert "by edge-0, edge-1" in page
-    control_status: Any = control_node.control("GET", "/status", b"")
+    control_status: Any = control_node.handle_request("GET", "/status", b"")
     assert control_status[1]["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
     # A gateway that connects later is sent the evidence at once.
     late_wire = RecordingWire()
