--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -99,7 +99,7 @@
         self.replica = Replica(
             self.own_name, founders, s.initial_start, Path(s.data_directory),
             self.send_store_message,  # type: ignore[arg-type]
-            apply_patch,
+            apply_patch,  # type: ignore[arg-type]
             self.store_applied, self.clock.now, lambda event, fields: log(event, **fields),
             catch_up=s.bound("catchUpS", CATCH_UP),
         )  # fmt: skip
