--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -68,7 +68,7 @@
     beat = min(setup.length / 4, 1.0)
     time = 8 * way + beat + 3 * ACT
     time += 2 * beat if kind == "hand-over" else whole
-    return time + (4 * setup.timing.election if "leader" in kind else 0.0)
+    return time + (4 * setup.timing.election_timeout if "leader" in kind else 0.0)
 
 
 def gaps(trials: int) -> Table:
--- a/latchspoke/agent/ledger.py
+++ b/latchspoke/agent/ledger.py
@@ -142,8 +142,8 @@
                 self.put("vow", output.hard_state)
             if output.snapshot is not None:
                 self.replace(output.snapshot)
-            if output.first:
-                self.db.execute("DELETE FROM entries WHERE place >= ?", (output.first,))
+            if output.first_index:
+                self.db.execute("DELETE FROM entries WHERE place >= ?", (output.first_index,))
                 rows = ((e.index, b := msgspec.msgpack.encode(e), zlib.crc32(b)) for e in output.entries)
                 self.db.executemany("INSERT INTO entries VALUES (?, ?, ?)", rows)
 
--- a/latchspoke/agent/members.py
+++ b/latchspoke/agent/members.py
@@ -105,7 +105,7 @@
 
     def hand_over(self, now: float) -> None:
         with contextlib.suppress(NotLeaderError):
-            self.office.member.hand_over(now)
+            self.office.member.transfer_leadership(now)
 
     # What comes.
 
@@ -195,7 +195,7 @@
         if add and self.known[add] not in old.all:
             learners += (self.known[add],)
         try:
-            member.change(Members(voters, learners, former), now)
+            member.change_members(Members(voters, learners, former), now)
         except (ChangeError, NotLeaderError) as e:
             return str(e)
         return ""
@@ -204,8 +204,8 @@
         member = self.office.member
         return MemberStatus(
             member.identity, member.role.value, member.term, member.leader, member.members.voters,
-            member.members.learners, member.commit, member.log.last, member.mute, self.disk,
-            dict(sorted(self.counters.items())),
+            member.members.learners, member.commit_index, member.log.last_index, member.boot_unverified,
+            self.disk, dict(sorted(self.counters.items())),
         )  # fmt: skip
 
     # What is done.
@@ -242,9 +242,9 @@
 
     async def turn(self) -> None:
         while (output := self.office.take()) is not None:
-            if output.to_store:
+            if output.must_store:
                 await self.store(output)
-            for note in output.notes:
+            for note in output.events:
                 self.tell(note.code, note.detail)
             for message in output.messages:
                 self.links.send(name_of(message.target), Said(records.encode(message)))
@@ -295,7 +295,7 @@
     def welcome(self, now: float) -> None:
         """Whom the settings name is taken in as soon as it is heard, unless a person has taken it out."""
         member = self.office.member
-        if not self.office.leads or member.log.members_index() > member.commit:
+        if not self.office.leads or member.log.members_index() > member.commit_index:
             return
         members = member.members
         names = {name_of(identity) for identity in members.all} | set(members.former)
--- a/latchspoke/configstore/drills.py
+++ b/latchspoke/configstore/drills.py
@@ -120,9 +120,11 @@
         if not self.wiped:
             return True
         identity = self.world.disks[self.wiped].identity
-        leaders = [r for r in self.world.up.values() if r.leads and r.member.settled]
-        return any(identity in r.member.members.voters and r.member.log.members_index() <= r.member.commit
-                   for r in leaders)  # fmt: skip
+        leaders = [r for r in self.world.up.values() if r.leads and r.member.committed_in_term]
+        return any(
+            identity in r.member.members.voters and r.member.log.members_index() <= r.member.commit_index
+            for r in leaders
+        )
 
     # Operators.
 
--- a/latchspoke/configstore/guards.py
+++ b/latchspoke/configstore/guards.py
@@ -36,7 +36,7 @@
 
 
 SAVE, CONFIGURE, EMPTY, ON_ASK = Disk.save, Orders.configure, World.empty, Register.on_ask
-START, CARRY_OUT, PROVE, CAMPAIGN = World.start, Register.carry_out, Register.prove, Member.campaign
+START, CARRY_OUT, PROVE, CAMPAIGN = World.start, Register.carry_out, Register.prove, Member.start_election
 INIT, MEMBER, STORED = Register.__init__, Member.__init__, Register.stored
 
 
@@ -80,7 +80,7 @@
 
 
 def no_turn(register: Register, name: str, number: int, patient: bool = False) -> None:
-    index = register.member.commit if register.leads else -1
+    index = register.member.commit_index if register.leads else -1
     register.reply(name, Proof(number, index))
 
 
@@ -91,7 +91,7 @@
 
 
 def forget_entries(disk: Disk, output: Output) -> None:
-    output.first = 0
+    output.first_index = 0
     SAVE(disk, output)
 
 
@@ -104,11 +104,13 @@
 
 
 def commit(member: Member, now: float, less: int, own: bool) -> None:
-    matches = {name: peer.match for name, peer in member.peers.items()} | {member.identity: member.log.last}
+    matches = {name: peer.match_index for name, peer in member.peers.items()} | {
+        member.identity: member.log.last_index
+    }
     found = sorted((matches.get(name, 0) for name in member.members.voters), reverse=True)
     index = found[max(member.members.majority - less, 0)] if found else 0
-    if index > member.commit and (not own or member.log.term(index) == member.term):
-        member.commit = index
+    if index > member.commit_index and (not own or member.log.term_at(index) == member.term):
+        member.commit_index = index
         member.confirm_reads()
         member.broadcast(now)
 
@@ -176,7 +178,7 @@
     if wanted is None:
         return None
     return msgspec.structs.replace(
-        wanted, voters=wanted.voters + wanted.guests[-1:], guests=wanted.guests[:-1]
+        wanted, voters=wanted.voters + wanted.non_voters[-1:], non_voters=wanted.non_voters[:-1]
     )
 
 
@@ -197,25 +199,27 @@
 
 
 def unsettled_reads(member: Member) -> None:
-    for turn in sorted(member.turns):
-        heard = {name for name, peer in member.peers.items() if peer.turn >= turn}
-        if not member.members.quorum(heard | {member.identity}):
+    for turn in sorted(member.reads_by_round):
+        heard = {name for name, peer in member.peers.items() if peer.acked_round >= turn}
+        if not member.members.has_quorum(heard | {member.identity}):
             break
-        member.output.confirmed += [(read.ident, read.index) for read in member.turns.pop(turn)]
+        member.output.confirmed_reads += [
+            (read.read_id, read.read_index) for read in member.reads_by_round.pop(turn)
+        ]
 
 
 def reads_what_it_knows(member: Member, ident: int, now: float, patient: bool = False) -> None:
-    elected, member.elected_index = member.elected_index, 0
+    elected, member.term_start_index = member.term_start_index, 0
     READ(member, ident, now, patient)
-    member.elected_index = elected
+    member.term_start_index = elected
 
 
-READ = Member.read
+READ = Member.request_read
 
 
 def all_is_committed(member: Member, message: Any, now: float) -> None:
     ON_APPEND(member, message, now)
-    member.commit = max(member.commit, min(message.commit, member.log.last))
+    member.commit_index = max(member.commit_index, min(message.commit, member.log.last_index))
 
 
 ON_APPEND = Member.on_append
@@ -223,12 +227,12 @@
 
 def an_old_disk_votes(member: Member, *given: Any, **named: Any) -> None:
     MEMBER(member, *given, **named)
-    member.mute = False
+    member.boot_unverified = False
 
 
 def starts_alike(member: Member, message: Any, now: float) -> None:
     """What a sender's earlier start has said counts as well."""
-    member.boots.pop(message.source, None)
+    member.known_boots.pop(message.source, None)
     RECEIVE(member, message, now)
 
 
@@ -285,13 +289,13 @@
     "guest": Guard(((voters, "admit", newcomers_vote),)),
     "caught-up": Guard(((Register, "caught_up", promoted_at_once),), "", "majority: of what it has stored"),
     "identity": Guard(((World, "empty", same_identity),)),
-    "majority": Guard(((Member, "advance", less_than_a_majority),)),
-    "own-term": Guard(((Member, "advance", any_term),), "old_entries"),
+    "majority": Guard(((Member, "advance_commit_index", less_than_a_majority),)),
+    "own-term": Guard(((Member, "advance_commit_index", any_term),), "old_entries"),
     "restored": Guard(((Register, "restore", old_state),)),
     "whole-log": Guard(((Member, "on_vote_request", any_log),)),
     "one-vote": Guard(((Member, "on_vote_request", two_votes),)),
     "settled-reads": Guard(((Member, "confirm_reads", unsettled_reads),), "handed_over", "read-index"),
-    "read-index": Guard(((Member, "read", reads_what_it_knows),)),
+    "read-index": Guard(((Member, "request_read", reads_what_it_knows),)),
     "leader-commit": Guard(((Member, "on_append", all_is_committed),)),
     "old-disk": Guard(((Member, "__init__", an_old_disk_votes),), "old_copy"),
     "boots": Guard(((Member, "receive", starts_alike),), "old_copy"),
--- a/latchspoke/configstore/messages.py
+++ b/latchspoke/configstore/messages.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from latchspoke.configstore.orders import Command, Verdict
-from latchspoke.consensus.records import Wire
+from latchspoke.consensus.records import AnyMessage
 
 QUESTION_FIELD = "n"
 IDENTITY_FIELD = "who"
@@ -19,7 +19,7 @@
 class Raft(msgspec.Struct, frozen=True, tag_field="k", tag="raft"):
     """A message of the replicated log."""
 
-    message: Wire = msgspec.field(name="m")
+    message: AnyMessage = msgspec.field(name="m")
 
 
 class Ask(msgspec.Struct, frozen=True, tag_field="k", tag="ask"):
--- a/latchspoke/configstore/register.py
+++ b/latchspoke/configstore/register.py
@@ -35,9 +35,15 @@
     next_members,
 )
 from latchspoke.consensus.member import ChangeError, Member, NotLeaderError, Output, Role, Timing
-from latchspoke.consensus.records import Entry, Kind, Members, Snapshot, Stored, Wire, name_of
-
-TIMING = Timing(beat=0.15, election=0.6, first=0.1, hasten=True, observer=0.3)
+from latchspoke.consensus.records import AnyMessage, Entry, Kind, Members, Snapshot, Stored, name_of
+
+TIMING = Timing(
+    heartbeat_interval=0.15,
+    election_timeout=0.6,
+    startup_timeout=0.1,
+    eager_commit=True,
+    non_voter_interval=0.3,
+)
 AGAIN = 0.3  # s after which a question without an answer is asked anew
 PAUSE = 0.05  # s after a refusal before the next try
 KNOCK = 0.3  # s between knocks of one that is not taken in
@@ -179,7 +185,7 @@
 
     def due(self) -> float:
         """When ``tick`` is next wanted."""
-        times = [self.member.due()]
+        times = [self.member.next_tick_at()]
         times += [call.until for call in self.calls.values()]
         times += self.tickets.values()
         if self.leader:
@@ -247,9 +253,9 @@
         Whether there was a lead to hand over, and somebody to take it.
         """
         self.now, self.leaving = now, True
-        for identity in self.member.others():
+        for identity in self.member.other_members():
             self.outbox.append((name_of(identity), Leaves(self.member.identity, self.member.boot)))
-        return self.leads and bool(self.member.hand_over(now))
+        return self.leads and bool(self.member.transfer_leadership(now))
 
     def give_up(self) -> None:
         """The disk refuses: nothing is known of what waits here."""
@@ -295,10 +301,10 @@
 
     def take(self) -> Output | None:
         """None where there is nothing to do."""
-        output = self.member.take()
+        output = self.member.take_output()
         idle = not (
-            output.to_store or output.messages or output.restore or output.committed or output.confirmed
-            or output.refused or output.notes
+            output.must_store or output.messages or output.restore or output.committed
+            or output.confirmed_reads or output.failed_reads or output.events
         )  # fmt: skip
         return None if idle else output
 
@@ -312,9 +318,9 @@
             self.restore(output.restore)
         for entry in output.committed:
             self.carry_out(entry)
-        for ident, index in output.confirmed:
+        for ident, index in output.confirmed_reads:
             self.say_proof(ident, index)
-        for ident in output.refused:
+        for ident in output.failed_reads:
             self.say_proof(ident, -1)
         if not self.leads:
             while self.placed:
@@ -332,7 +338,7 @@
         if covered < COMPACT_ENTRIES and (not covered or self.bytes < COMPACT_BYTES):
             return None
         held = covered < HELD_ENTRIES and self.bytes < HELD_BYTES
-        if held and self.member.transferring(self.now):
+        if held and self.member.is_sending_snapshot(self.now):
             return None
         snapshot = self.member.compact(self.applied, self.orders.dump())
         self.bytes = sum(len(entry.body) for entry in self.member.log.entries)
@@ -486,7 +492,7 @@
         ident = self.number
         self.reads[ident] = name, number
         try:
-            self.member.read(ident, self.now, patient)
+            self.member.request_read(ident, self.now, patient)
         except NotLeaderError:
             self.say_proof(ident, -1)
 
@@ -520,7 +526,7 @@
         """Another process names the leader."""
         self.hint = who
 
-    def on_raft(self, said: Wire) -> None:
+    def on_raft(self, said: AnyMessage) -> None:
         """A message of the replicated log has come."""
         self.member.receive(said, self.now)
         self.contacts.started(said.source, said.boot)
@@ -534,15 +540,15 @@
     def steward(self) -> None:
         """The leader's word on who takes part, one change at a time."""
         member = self.member
-        if not member.settled:
+        if not member.committed_in_term:
             return
         self.look()
-        if member.log.members_index() > member.commit:
+        if member.log.members_index() > member.commit_index:
             return
         wanted = next_members(self.view(), self.newcomers())
         if wanted is not None:
             with contextlib.suppress(ChangeError):
-                member.change(wanted, self.now)
+                member.change_members(wanted, self.now)
 
     def look(self) -> None:
         """What this leader has heard of the others up to now."""
@@ -550,10 +556,12 @@
         if self.led_term != member.term:
             self.led_term = member.term
             self.contacts.begin(now)
-        answering = {identity for identity, peer in member.peers.items() if member.fresh(peer, now)}
-        self.contacts.look(now, member.members.quorum(answering | {member.identity}))
+        answering = {
+            identity for identity, peer in member.peers.items() if member.responded_recently(peer, now)
+        }
+        self.contacts.look(now, member.members.has_quorum(answering | {member.identity}))
         for identity, peer in member.peers.items():
-            self.contacts.hear(identity, peer.heard_at)
+            self.contacts.hear(identity, peer.last_heard_at)
 
     def newcomers(self) -> list[Newcomer]:
         """Those who have asked lately and are no members yet."""
@@ -566,11 +574,11 @@
     def view(self) -> View:
         """What decides on the members, as this leader knows it."""
         member, contacts, now = self.member, self.contacts, self.now
-        others = member.others()
+        others = member.other_members()
         return View(
             me=member.identity,
             members=member.members,
-            ready=frozenset(guest for guest in member.members.guests if self.caught_up(guest, now)),
+            ready=frozenset(guest for guest in member.members.non_voters if self.caught_up(guest, now)),
             lost=frozenset(identity for identity in others if contacts.lost(identity, now)),
             forgotten=frozenset(identity for identity in others if contacts.silence(identity, now) >= FORGET),
             places=self.places,
@@ -579,4 +587,8 @@
     def caught_up(self, identity: str, now: float) -> bool:
         """Whether a member answers and has all that is committed."""
         peer = self.member.peers.get(identity)
-        return peer is not None and self.member.fresh(peer, now) and peer.match >= self.member.commit
+        return (
+            peer is not None
+            and self.member.responded_recently(peer, now)
+            and peer.match_index >= self.member.commit_index
+        )
--- a/latchspoke/configstore/replica.py
+++ b/latchspoke/configstore/replica.py
@@ -191,12 +191,12 @@
             "leader": member.leader,
             "voters": list(member.members.voters),
             "learners": list(member.members.learners),
-            "guests": list(member.members.guests),
-            "commit": member.commit,
+            "guests": list(member.members.non_voters),
+            "commit": member.commit_index,
             "applied": register.applied,
-            "first": member.log.first,
-            "last": member.log.last,
-            "mute": member.mute,
+            "first": member.log.first_index,
+            "last": member.log.last_index,
+            "mute": member.boot_unverified,
             "proven": register.proven,
             "version": self.orders.version,
             "evacuated": sorted(self.orders.evacuated),
@@ -273,10 +273,10 @@
             if output is None:
                 self.post()
                 return True
-            if output.to_store and not self.store(output):
+            if output.must_store and not self.store(output):
                 return False
             register.stored(output, self.clock())
-            for note in output.notes:
+            for note in output.events:
                 self.log(note.code, {"member": register.member.identity, "detail": note.detail})
             self.post()
             snapshot = register.compacted()
--- a/latchspoke/configstore/scenes.py
+++ b/latchspoke/configstore/scenes.py
@@ -29,7 +29,7 @@
 
 def leading(play: Play) -> str:
     """The leader's name, or ''."""
-    leaders = [r for r in play.world.up.values() if r.leads and r.member.settled]
+    leaders = [r for r in play.world.up.values() if r.leads and r.member.committed_in_term]
     return max(leaders, key=lambda r: r.member.term).me if leaders else ""
 
 
@@ -161,7 +161,7 @@
             play.send(leader, play.change(play.newest), tries=4)
         world.run(0.045)
     with cut(play, [heir], [leader], 0.0):
-        world.up[heir].member.campaign(world.now)
+        world.up[heir].member.start_election(world.now)
         world.turn(heir)
         world.run(0.15)
         play.send(rest[0], play.change(play.newest))
@@ -176,7 +176,7 @@
     if not leader or len(world.up) < 5:
         return
     friend, *rest = others(play, leader)
-    with mock.patch.object(member, "BATCH_MOST", 1):
+    with mock.patch.object(member, "BATCH_MAX_ENTRIES", 1):
         with cut(play, [leader, friend], rest, 0.0), cut(play, rest, [leader, friend], 0.0):
             play.send(leader, play.change(play.newest), tries=4)
             world.run(0.12)
@@ -187,10 +187,10 @@
         world.start(leader)
         second = until(play, [leader, friend])
         if second:
-            entry = world.up[second].member.elected_index
+            entry = world.up[second].member.term_start_index
             for _ in range(60):
                 world.run(0.004)
-                if not world.up[second].leads or world.up[second].member.commit >= entry - 1:
+                if not world.up[second].leads or world.up[second].member.commit_index >= entry - 1:
                     break
             killed_unheard(play, second)
         if rival:
--- a/latchspoke/configstore/simulation.py
+++ b/latchspoke/configstore/simulation.py
@@ -51,8 +51,8 @@
         self.hard_state = output.hard_state or self.hard_state
         if output.snapshot is not None:
             self.compact(output.snapshot)
-        if output.first:
-            self.entries = {i: e for i, e in self.entries.items() if i < output.first}
+        if output.first_index:
+            self.entries = {i: e for i, e in self.entries.items() if i < output.first_index}
             self.entries.update({e.index: e for e in output.entries})
 
     def compact(self, snapshot: Snapshot) -> None:
@@ -154,7 +154,7 @@
         while True:
             output = register.take()
             if output is not None:
-                if output.to_store:
+                if output.must_store:
                     self.disks[name].save(output)
                 self.check(register, output)
                 register.stored(output, self.now)
@@ -200,7 +200,7 @@
 
     def settled(self, names: list[str] | None = None) -> bool:
         """A leader, and all these up to date with it."""
-        leaders = [r for r in self.up.values() if r.leads and r.member.settled]
+        leaders = [r for r in self.up.values() if r.leads and r.member.committed_in_term]
         return bool(leaders) and all(
             self.up[n].applied == leaders[0].applied for n in names or self.names if n in self.up
         )
--- a/latchspoke/configstore/voters.py
+++ b/latchspoke/configstore/voters.py
@@ -125,7 +125,7 @@
 
     def guests(self) -> list[str]:
         """Guests that may vote at once."""
-        return [guest for guest in self.members.guests if guest in self.ready and guest not in self.lost]
+        return [guest for guest in self.members.non_voters if guest in self.ready and guest not in self.lost]
 
 
 def next_members(view: View, newcomers: Iterable[Newcomer]) -> Members | None:
@@ -149,7 +149,7 @@
         rest = without(members, former)
         if len(set(rest.voters) ^ set(old.voters)) > 1:
             continue
-        members = msgspec.structs.replace(rest, guests=(*rest.guests, newcomer.identity))
+        members = msgspec.structs.replace(rest, non_voters=(*rest.non_voters, newcomer.identity))
     return members if members != old else None
 
 
@@ -188,7 +188,7 @@
     rest = without(view.members, (voter,))
     if voter in view.lost:
         return rest
-    return msgspec.structs.replace(rest, guests=(*rest.guests, voter))
+    return msgspec.structs.replace(rest, non_voters=(*rest.non_voters, voter))
 
 
 def crowds(view: View) -> tuple[Counter[str], Counter[str]]:
@@ -245,6 +245,6 @@
     """The same membership but for these identities."""
     voters, learners, guests = (
         tuple(identity for identity in group if identity not in those)
-        for group in (members.voters, members.learners, members.guests)
+        for group in (members.voters, members.learners, members.non_voters)
     )
     return Members(voters, learners, members.former, guests)
--- a/latchspoke/consensus/member.py
+++ b/latchspoke/consensus/member.py
@@ -20,6 +20,7 @@
 
 from latchspoke.consensus.log import Log, members_entry
 from latchspoke.consensus.records import (
+    AnyMessage,
     Append,
     AppendReply,
     BootQuery,
@@ -37,21 +38,24 @@
     TimeoutNow,
     VoteReply,
     VoteRequest,
-    Wire,
 )
-from latchspoke.consensus.transfer import Incoming, Outgoing
+from latchspoke.consensus.transfer import IncomingSnapshot, OutgoingSnapshot
 
-EARLY = 5.0  # elections; for so long after a start without a leader trials are made anew after ``first``
-EARLY_STEP = 0.4  # of ``first``, between two who stand: 40 ms, twice the longest way that is known
-HELLO_EVERY = 0.5  # elections; a member that has just started asks again for later starts of it
-FROM_LEADER = (Append, Install, InstallPart)  # what only a leader sends
-BATCH_MOST = 256  # entries of one message
-BATCH_BYTES = 1_000_000  # of their bodies; a single entry may be larger
+STARTUP_PERIOD_ELECTIONS = (
+    5.0  # elections; for so long after a start without a leader trials are made anew after ``first``
+)
+STARTUP_STAGGER = 0.4  # of ``first``, between two who stand: 40 ms, twice the longest way that is known
+BOOT_QUERY_INTERVAL_ELECTIONS = (
+    0.5  # elections; a member that has just started asks again for later starts of it
+)
+LEADER_MESSAGES = (Append, Install, InstallPart)  # what only a leader sends
+BATCH_MAX_ENTRIES = 256  # entries of one message
+BATCH_MAX_BYTES = 1_000_000  # of their bodies; a single entry may be larger
 
 
 class Role(Enum):
     FOLLOWER = "follower"
-    TRIAL = "trial"  # asks whether it would be elected; nobody's term has moved
+    PRE_CANDIDATE = "trial"  # asks whether it would be elected; nobody's term has moved
     CANDIDATE = "candidate"
     LEADER = "leader"
     HALTED = "halted"  # its disk is older than what others have heard of it
@@ -72,14 +76,14 @@
 class Timing(msgspec.Struct, frozen=True):
     """In seconds. A follower stands after ``election`` to twice that without a leader."""
 
-    beat: float = 0.1
-    election: float = 1.0
-    first: float = 0.0  # in place of ``election`` right after a start; 0: no other
-    hasten: bool = False  # tell the others at once what is committed, rather than with the next beat
-    observer: float = 0.0  # between heartbeats to those who don't vote; 0: as to the others
+    heartbeat_interval: float = 0.1
+    election_timeout: float = 1.0
+    startup_timeout: float = 0.0  # in place of ``election`` right after a start; 0: no other
+    eager_commit: bool = False  # tell the others at once what is committed, rather than with the next beat
+    non_voter_interval: float = 0.0  # between heartbeats to those who don't vote; 0: as to the others
 
 
-class Note(msgspec.Struct, frozen=True):
+class MemberEvent(msgspec.Struct, frozen=True):
     """For the log of the operators."""
 
     code: str
@@ -91,77 +95,81 @@
 
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None  # came from the leader: replaces all entries up to its index
-    first: int = 0  # if above 0: the entries stored from here on are replaced by these
+    first_index: int = 0  # if above 0: the entries stored from here on are replaced by these
     entries: tuple[Entry, ...] = ()
-    messages: list[Wire] = msgspec.field(default_factory=list)
+    messages: list[AnyMessage] = msgspec.field(default_factory=list)
     restore: Snapshot | None = None  # the state machines begin anew from this
     committed: tuple[Entry, ...] = ()
-    confirmed: list[tuple[int, int]] = msgspec.field(
+    confirmed_reads: list[tuple[int, int]] = msgspec.field(
         default_factory=list
     )  # reads, and the index they must see
-    refused: list[int] = msgspec.field(default_factory=list)  # reads that can't be answered here any more
-    notes: list[Note] = msgspec.field(default_factory=list)
+    failed_reads: list[int] = msgspec.field(
+        default_factory=list
+    )  # reads that can't be answered here any more
+    events: list[MemberEvent] = msgspec.field(default_factory=list)
 
     @property
-    def to_store(self) -> bool:
-        return self.hard_state is not None or self.snapshot is not None or self.first > 0
+    def must_store(self) -> bool:
+        return self.hard_state is not None or self.snapshot is not None or self.first_index > 0
 
 
 class Peer(msgspec.Struct):
     """What a leader knows of another member."""
 
-    next: int
-    heard_at: float
-    match: int = 0
-    turn: int = 0
+    next_index: int
+    last_heard_at: float
+    match_index: int = 0
+    acked_round: int = 0
     boot: int = 0
-    installing_until: float = 0.0
-    outgoing: Outgoing | None = None  # a snapshot on its way to it
+    snapshot_retry_at: float = 0.0
+    outgoing_snapshot: OutgoingSnapshot | None = None  # a snapshot on its way to it
     sent_at: float = -math.inf
-    told_commit: int = 0  # the commit index that it was last sent
+    sent_commit_index: int = 0  # the commit index that it was last sent
 
 
-class Read(msgspec.Struct):
-    ident: int
-    index: int
+class PendingRead(msgspec.Struct):
+    read_id: int
+    read_index: int
 
 
 class Member:
     """See the module. Not for several threads."""
 
     def __init__(
-        self, stored: Stored, timing: Timing, draw: random.Random, now: float, applied: int = 0
+        self, stored: Stored, timing: Timing, rng: random.Random, now: float, applied_index: int = 0
     ) -> None:
         """``applied``: the state machines already hold all up to here (at least the snapshot)."""
-        self.identity, self.boot, self.timing, self.draw = stored.identity, stored.boot, timing, draw
+        self.identity, self.boot, self.timing, self.rng = stored.identity, stored.boot, timing, rng
         self.hard_state = stored.hard_state
         self.log = Log(stored.snapshot, stored.entries)
-        self.commit = self.applied = max(stored.snapshot.index, applied)
+        self.commit_index = self.applied_index = max(stored.snapshot.index, applied_index)
         self.role, self.leader = Role.FOLLOWER, ""
-        self.leader_at = -math.inf  # when the leader was last heard
+        self.leader_heard_at = -math.inf  # when the leader was last heard
         self.peers: dict[str, Peer] = {}
-        self.votes: set[str] = set()
-        self.boots: dict[str, int] = {}
+        self.votes_received: set[str] = set()
+        self.known_boots: dict[str, int] = {}
         # A store that has been started before may be an old copy: it asks before it votes.
-        self.mute = stored.boot > 1
-        self.greeted: set[str] = set()
-        self.hello_at = now
+        self.boot_unverified = stored.boot > 1
+        self.boot_confirmed_by: set[str] = set()
+        self.boot_query_at = now
         self.elected_at = 0.0
-        self.elected_index = 0  # where the first entry of this leader's term stands
-        self.turn = 0
-        self.beat_at = 0.0
-        self.asked: list[Read] = []  # reads for the next turn
-        self.patient: list[Read] = []  # those for which no turn is begun early
-        self.turns: dict[int, list[Read]] = {}  # reads by the turn that confirms them
-        self.incoming: Incoming | None = None  # a snapshot on its way from the leader
+        self.term_start_index = 0  # where the first entry of this leader's term stands
+        self.round_number = 0
+        self.heartbeat_at = 0.0
+        self.pending_reads: list[PendingRead] = []  # reads for the next turn
+        self.deferred_reads: list[PendingRead] = []  # those for which no turn is begun early
+        self.reads_by_round: dict[int, list[PendingRead]] = {}  # reads by the turn that confirms them
+        self.incoming_snapshot: IncomingSnapshot | None = None  # a snapshot on its way from the leader
         self.output = Output()
-        self.unstored = 0
+        self.first_unstored = 0
         self.saved_hard_state = self.hard_state
         if stored.snapshot.index:
             self.output.restore = stored.snapshot
-        self.wait(now)
-        self.early_until = now + EARLY * timing.election if timing.first else now
-        self.stand_early(now)
+        self.reset_election_timer(now)
+        self.startup_until = (
+            now + STARTUP_PERIOD_ELECTIONS * timing.election_timeout if timing.startup_timeout else now
+        )
+        self.schedule_startup_election(now)
 
     # What others ask.
 
@@ -174,523 +182,562 @@
         return self.hard_state.term
 
     @property
-    def votes_itself(self) -> bool:
+    def is_voter(self) -> bool:
         return self.identity in self.members.voters
 
     @property
-    def settled(self) -> bool:
+    def committed_in_term(self) -> bool:
         """Whether this is a leader that knows all that was ever committed."""
-        return self.role is Role.LEADER and self.commit >= self.elected_index
+        return self.role is Role.LEADER and self.commit_index >= self.term_start_index
 
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         """When ``tick`` is next wanted."""
         if self.role is Role.HALTED:
             return math.inf
-        times = [self.beat_at if self.role is Role.LEADER else self.election_at]
-        if self.mute:
-            times.append(self.hello_at)
+        times = [self.heartbeat_at if self.role is Role.LEADER else self.election_at]
+        if self.boot_unverified:
+            times.append(self.boot_query_at)
         return min(times)
 
     def propose(self, body: bytes, now: float) -> Entry:
         """Raises NotLeaderError. Committed when this very entry comes out; lost if another has its place."""
-        return self.add(Kind.DATA, body, now)
+        return self.append_command(Kind.DATA, body, now)
 
-    def change(self, members: Members, now: float) -> Entry:
+    def change_members(self, members: Members, now: float) -> Entry:
         """One voter more or one less. Raises NotLeaderError, ChangeError."""
-        self.must_lead()
-        if not self.settled:
+        self.require_leader()
+        if not self.committed_in_term:
             raise ChangeError("this leader has not yet committed an entry of its term")
-        if self.log.members_index() > self.commit:
+        if self.log.members_index() > self.commit_index:
             raise ChangeError("a change of the members is under way")
         if len(set(members.voters) ^ set(self.members.voters)) > 1:
             raise ChangeError("one voter can be added or removed at a time")
         if not members.voters:
             raise ChangeError("nobody would be left to vote")
-        index = self.log.last + 1
+        index = self.log.last_index + 1
         entry = members_entry(index, self.term, members)
-        self.add_entry(entry, now)
+        self.append_entry(entry, now)
         return entry
 
-    def read(self, ident: int, now: float, patient: bool = False) -> None:
+    def request_read(self, read_id: int, now: float, deferrable: bool = False) -> None:
         """Comes back in ``confirmed`` with the index that the answer must show, or in ``refused``.
 
         A patient one goes with the next round that is made anyway, within ``timing.beat``.
         """
-        self.must_lead()
-        (self.patient if patient else self.asked).append(Read(ident, max(self.commit, self.elected_index)))
-        if not patient and not self.turns:
+        self.require_leader()
+        (self.deferred_reads if deferrable else self.pending_reads).append(
+            PendingRead(read_id, max(self.commit_index, self.term_start_index))
+        )
+        if not deferrable and not self.reads_by_round:
             self.broadcast(now)
 
-    def hand_over(self, now: float) -> str:
+    def transfer_leadership(self, now: float) -> str:
         """Let the member whose log is most complete take over; who that is, or '' if nobody can."""
-        self.must_lead()
-        fresh = {n: p for n, p in self.peers.items() if n in self.members.voters and self.fresh(p, now)}
-        name = max(fresh, key=lambda name: (fresh[name].match, name), default="")
+        self.require_leader()
+        candidates = {
+            n: p
+            for n, p in self.peers.items()
+            if n in self.members.voters and self.responded_recently(p, now)
+        }
+        name = max(candidates, key=lambda name: (candidates[name].match_index, name), default="")
         if name:
-            self.say(TimeoutNow, name)
-            self.note("hands-over", name)
+            self.send_message(TimeoutNow, name)
+            self.record_event("hands-over", name)
         return name
 
     def compact(self, index: int, body: bytes) -> Snapshot:
         """The state machines hold all up to ``index``, which has been applied, as ``body``."""
-        term = self.log.term(index)
-        assert term is not None and index <= self.applied
+        term = self.log.term_at(index)
+        assert term is not None and index <= self.applied_index
         snapshot = Snapshot(index, term, self.log.members_at(index), body)
         self.log.compact(snapshot)
         return snapshot
 
-    def take(self) -> Output:
+    def take_output(self) -> Output:
         """All that has come up since the last call."""
         output, self.output = self.output, Output()
         if self.hard_state != self.saved_hard_state:
             output.hard_state = self.saved_hard_state = self.hard_state
-        if self.unstored:
-            output.first, self.unstored = self.unstored, 0
-            output.entries = self.log.between(output.first, self.log.last)
-        if self.commit > self.applied:
-            output.committed = self.log.between(self.applied + 1, self.commit)
-            self.applied = self.commit
+        if self.first_unstored:
+            output.first_index, self.first_unstored = self.first_unstored, 0
+            output.entries = self.log.entries_between(output.first_index, self.log.last_index)
+        if self.commit_index > self.applied_index:
+            output.committed = self.log.entries_between(self.applied_index + 1, self.commit_index)
+            self.applied_index = self.commit_index
         return output
 
     # Time.
 
     def tick(self, now: float) -> None:
-        if self.mute and now >= self.hello_at and self.role is not Role.HALTED:
-            self.greet(now)
+        if self.boot_unverified and now >= self.boot_query_at and self.role is not Role.HALTED:
+            self.query_boots(now)
         if self.role is Role.LEADER:
-            heard = {name for name, peer in self.peers.items() if self.fresh(peer, now)}
-            if not self.members.quorum(heard | {self.identity}):
-                self.note("lost-majority")
-                self.follow("", now)
-            elif now >= self.beat_at:
+            responsive = {name for name, peer in self.peers.items() if self.responded_recently(peer, now)}
+            if not self.members.has_quorum(responsive | {self.identity}):
+                self.record_event("lost-majority")
+                self.become_follower("", now)
+            elif now >= self.heartbeat_at:
                 self.broadcast(now)
         elif self.role is not Role.HALTED and now >= self.election_at:
-            self.stand(now)
+            self.start_pre_vote(now)
 
-    def wait(self, now: float) -> None:
-        self.election_at = now + self.timing.election * (1 + self.draw.random())
+    def reset_election_timer(self, now: float) -> None:
+        self.election_at = now + self.timing.election_timeout * (1 + self.rng.random())
 
-    def stand_early(self, now: float, waits: float = 1.0) -> None:
+    def schedule_startup_election(self, now: float, timeouts: float = 1.0) -> None:
         """Where all were killed at once nobody leads, and where somebody does, no trial is granted.
 
         Others may start a little later, so that a first trial fails. All stand in an order that they know, as
         those who stand within one way of each other share the votes.
         """
-        if self.leader_at == -math.inf and now < self.early_until:
-            place = sum(name < self.identity for name in self.members.voters)
-            spread = EARLY_STEP * (place + self.draw.random())
-            self.election_at = now + waits * self.timing.first * (1 + spread)
+        if self.leader_heard_at == -math.inf and now < self.startup_until:
+            rank = sum(name < self.identity for name in self.members.voters)
+            stagger = STARTUP_STAGGER * (rank + self.rng.random())
+            self.election_at = now + timeouts * self.timing.startup_timeout * (1 + stagger)
 
-    def fresh(self, peer: Peer, now: float) -> bool:
-        return now - peer.heard_at < self.timing.election
+    def responded_recently(self, peer: Peer, now: float) -> bool:
+        return now - peer.last_heard_at < self.timing.election_timeout
 
-    def greet(self, now: float) -> None:
-        self.hello_at = now + HELLO_EVERY * self.timing.election
-        for name in self.others():
-            self.say(BootQuery, name)
-        self.heed_greetings()
+    def query_boots(self, now: float) -> None:
+        self.boot_query_at = now + BOOT_QUERY_INTERVAL_ELECTIONS * self.timing.election_timeout
+        for name in self.other_members():
+            self.send_message(BootQuery, name)
+        self.check_boot_confirmed()
 
-    def heed_greetings(self) -> None:
-        if self.mute and self.members.quorum(self.greeted | {self.identity}):
-            self.mute = False
+    def check_boot_confirmed(self) -> None:
+        if self.boot_unverified and self.members.has_quorum(self.boot_confirmed_by | {self.identity}):
+            self.boot_unverified = False
 
     # Elections.
 
-    def stand(self, now: float) -> None:
+    def start_pre_vote(self, now: float) -> None:
         """First ask whether it would be elected: one that was cut off must not drive up the terms."""
-        self.wait(now)
-        self.stand_early(now)
+        self.reset_election_timer(now)
+        self.schedule_startup_election(now)
         self.leader = ""
-        if not self.votes_itself or self.mute:
+        if not self.is_voter or self.boot_unverified:
             self.role = Role.FOLLOWER
             return
-        self.role, self.votes = Role.TRIAL, {self.identity}
-        for name in self.voters_else():
-            self.request_vote(name, trial=True)
+        self.role, self.votes_received = Role.PRE_CANDIDATE, {self.identity}
+        for name in self.other_voters():
+            self.request_vote(name, pre_vote=True)
         self.count_votes(now)
 
-    def campaign(self, now: float) -> None:
-        self.role, self.votes = Role.CANDIDATE, {self.identity}
+    def start_election(self, now: float) -> None:
+        self.role, self.votes_received = Role.CANDIDATE, {self.identity}
         self.hard_state = HardState(self.term + 1, self.identity)
-        self.wait(now)
-        self.stand_early(now, 2.0)  # the votes come from as far as the trial's
-        self.note("stands", f"term {self.term}")
-        for name in self.voters_else():
-            self.request_vote(name, trial=False)
+        self.reset_election_timer(now)
+        self.schedule_startup_election(now, 2.0)  # the votes come from as far as the trial's
+        self.record_event("stands", f"term {self.term}")
+        for name in self.other_voters():
+            self.request_vote(name, pre_vote=False)
         self.count_votes(now)
 
-    def request_vote(self, name: str, trial: bool) -> None:
-        last = self.log.last, self.log.last_term
+    def request_vote(self, name: str, pre_vote: bool) -> None:
+        last_entry = self.log.last_index, self.log.last_term
         self.output.messages.append(
-            VoteRequest(self.identity, name, self.boot, self.term + trial, last[0], last[1], trial)
+            VoteRequest(
+                self.identity, name, self.boot, self.term + pre_vote, last_entry[0], last_entry[1], pre_vote
+            )
         )
 
     def count_votes(self, now: float) -> None:
-        if not self.members.quorum(self.votes):
+        if not self.members.has_quorum(self.votes_received):
             return
-        if self.role is Role.TRIAL:
-            self.campaign(now)
+        if self.role is Role.PRE_CANDIDATE:
+            self.start_election(now)
         elif self.role is Role.CANDIDATE:
-            self.lead(now)
+            self.become_leader(now)
 
-    def lead(self, now: float) -> None:
+    def become_leader(self, now: float) -> None:
         self.role, self.leader, self.elected_at = Role.LEADER, self.identity, now
-        self.peers = {name: Peer(self.log.last + 1, now) for name in self.others()}
-        self.asked, self.patient, self.turns = [], [], {}
-        self.note("leads", f"term {self.term}")
-        self.elected_index = self.log.last + 1
+        self.peers = {name: Peer(self.log.last_index + 1, now) for name in self.other_members()}
+        self.pending_reads, self.deferred_reads, self.reads_by_round = [], [], {}
+        self.record_event("leads", f"term {self.term}")
+        self.term_start_index = self.log.last_index + 1
         # Entries of former terms are committed with this one, and never by their count alone.
-        self.add_entry(Entry(self.elected_index, self.term), now)
+        self.append_entry(Entry(self.term_start_index, self.term), now)
 
     def on_vote_request(self, message: VoteRequest, now: float) -> None:
-        whole = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last)
-        if message.trial:
-            granted = whole and message.term > self.term and not self.mute
+        log_up_to_date = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
+        if message.pre_vote:
+            granted = log_up_to_date and message.term > self.term and not self.boot_unverified
             term = message.term if granted else self.term
             self.output.messages.append(
                 VoteReply(self.identity, message.source, self.boot, term, granted, True)
             )
             return
-        free = self.hard_state.vote in ("", message.source)
-        granted = message.term == self.term and free and whole and not self.mute
+        vote_available = self.hard_state.vote in ("", message.source)
+        granted = message.term == self.term and vote_available and log_up_to_date and not self.boot_unverified
         if granted:
             self.hard_state = HardState(self.term, message.source)
-            self.wait(now)
+            self.reset_election_timer(now)
         self.output.messages.append(
             VoteReply(self.identity, message.source, self.boot, self.term, granted, False)
         )
 
     def on_vote_reply(self, message: VoteReply, now: float) -> None:
-        wanted = Role.TRIAL if message.trial else Role.CANDIDATE
-        term = self.term + message.trial
-        if message.granted and self.role is wanted and message.term == term:
-            self.votes.add(message.source)
+        expected_role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
+        term = self.term + message.pre_vote
+        if message.granted and self.role is expected_role and message.term == term:
+            self.votes_received.add(message.source)
             self.count_votes(now)
 
     def on_timeout_now(self, message: TimeoutNow, now: float) -> None:
-        if self.votes_itself and not self.mute and message.term == self.term:
+        if self.is_voter and not self.boot_unverified and message.term == self.term:
             # The leader itself has asked for it, so nobody who hears it need stand by that leader.
-            self.campaign(now)
+            self.start_election(now)
 
-    def follow(self, leader: str, now: float, term: int | None = None) -> None:
+    def become_follower(self, leader: str, now: float, term: int | None = None) -> None:
         """Step back, and up to this term if it is a later one."""
         if term is not None and term > self.term:
             self.hard_state = HardState(term)
         if self.role is Role.LEADER:
-            self.note("steps-back", f"term {self.term}")
-            reads = [read for turn in self.turns.values() for read in turn] + self.asked + self.patient
-            self.output.refused += [read.ident for read in reads]
-            self.asked, self.patient, self.turns, self.peers = [], [], {}, {}
+            self.record_event("steps-back", f"term {self.term}")
+            reads = (
+                [read for round_reads in self.reads_by_round.values() for read in round_reads]
+                + self.pending_reads
+                + self.deferred_reads
+            )
+            self.output.failed_reads += [read.read_id for read in reads]
+            self.pending_reads, self.deferred_reads, self.reads_by_round, self.peers = [], [], {}, {}
         if leader and leader != self.leader:
-            self.note("follows", f"{leader}, term {self.term}")
+            self.record_event("follows", f"{leader}, term {self.term}")
         self.role, self.leader = Role.FOLLOWER, leader
-        self.wait(now)
+        self.reset_election_timer(now)
 
     # Messages.
 
-    def receive(self, message: Wire, now: float) -> None:
+    def receive(self, message: AnyMessage, now: float) -> None:
         """Whatever is not for this identity, or from a sender's earlier start, is dropped."""
         if message.target != self.identity or self.role is Role.HALTED:
             return
-        known = self.boots.get(message.source, 0)
-        if message.boot < known:
-            self.reply_boot(message.source, known)
+        known_boot = self.known_boots.get(message.source, 0)
+        if message.boot < known_boot:
+            self.reply_boot(message.source, known_boot)
             return
-        self.boots[message.source] = message.boot
+        self.known_boots[message.source] = message.boot
         if isinstance(message, BootQuery):
             self.reply_boot(message.source, message.boot)
             return
         if isinstance(message, BootReply):
             self.on_boot_reply(message)
             return
-        if isinstance(message, VoteRequest) and self.stands_by(message, now):
+        if isinstance(message, VoteRequest) and self.ignores_candidate(message, now):
             return
-        prospective = isinstance(message, VoteRequest | VoteReply) and message.trial
-        if message.term > self.term and not (prospective and getattr(message, "granted", True)):
-            leads = message.source if isinstance(message, FROM_LEADER) else ""
-            self.follow(leads, now, message.term)
+        pre_vote = isinstance(message, VoteRequest | VoteReply) and message.pre_vote
+        if message.term > self.term and not (pre_vote and getattr(message, "granted", True)):
+            leader = message.source if isinstance(message, LEADER_MESSAGES) else ""
+            self.become_follower(leader, now, message.term)
         if message.term < self.term:
-            self.on_old_term(message)
+            self.reply_to_stale_term(message)
             return
         HANDLERS[type(message)](self, message, now)
 
-    def stands_by(self, message: VoteRequest, now: float) -> bool:
+    def ignores_candidate(self, message: VoteRequest, now: float) -> bool:
         """Whether a leader is at work, so that no other is wanted: removed or cut-off members ask often."""
-        if self.leader in ("", message.source) or (not message.trial and message.term == self.term + 1):
+        if self.leader in ("", message.source) or (not message.pre_vote and message.term == self.term + 1):
             # Whoever stands at the very next term has passed a trial, or the leader itself has asked it to.
             return False
-        return self.role is Role.LEADER or now - self.leader_at < self.timing.election
+        return self.role is Role.LEADER or now - self.leader_heard_at < self.timing.election_timeout
 
-    def on_old_term(self, message: Message) -> None:
+    def reply_to_stale_term(self, message: Message) -> None:
         """A leader or candidate of an earlier term is told of this one."""
-        if isinstance(message, FROM_LEADER):
-            self.say(AppendReply, message.source)
+        if isinstance(message, LEADER_MESSAGES):
+            self.send_message(AppendReply, message.source)
         elif isinstance(message, VoteRequest):
-            self.say(VoteReply, message.source, trial=message.trial)
+            self.send_message(VoteReply, message.source, pre_vote=message.pre_vote)
 
-    def reply_boot(self, name: str, latest: int) -> None:
-        self.say(BootReply, name, latest=latest)
+    def reply_boot(self, target: str, latest_boot: int) -> None:
+        self.send_message(BootReply, target, latest=latest_boot)
 
     def on_boot_reply(self, message: BootReply) -> None:
         if message.latest > self.boot:
             self.role, self.leader = Role.HALTED, ""
-            self.note("old-disk", f"start {self.boot}; {message.source} has heard of start {message.latest}")
+            self.record_event(
+                "old-disk", f"start {self.boot}; {message.source} has heard of start {message.latest}"
+            )
             return
-        self.greeted.add(message.source)
-        self.heed_greetings()
+        self.boot_confirmed_by.add(message.source)
+        self.check_boot_confirmed()
 
     def on_append(self, message: Append, now: float) -> None:
-        self.hear_leader(message.source, now)
-        before = message.before_index
-        if before < self.log.snapshot.index:
+        self.record_leader_contact(message.source, now)
+        before_index = message.before_index
+        if before_index < self.log.snapshot.index:
             # All that is committed is the same everywhere, so up to there the logs agree.
-            self.confirm(message.source, self.commit, message.turn)
+            self.acknowledge(message.source, self.commit_index, message.round_number)
             return
-        if self.log.term(before) != message.before_term:
-            self.say(AppendReply, message.source, index=self.hint(before), turn=message.turn)
+        if self.log.term_at(before_index) != message.before_term:
+            self.send_message(
+                AppendReply,
+                message.source,
+                index=self.conflict_hint(before_index),
+                round_number=message.round_number,
+            )
             return
         for entry in message.entries:
-            term = self.log.term(entry.index)
+            term = self.log.term_at(entry.index)
             if term == entry.term:
                 continue
             if term is not None:
-                assert entry.index > self.commit, "a committed entry can't be replaced"
-                self.log.cut(entry.index)
+                assert entry.index > self.commit_index, "a committed entry can't be replaced"
+                self.log.truncate_from(entry.index)
             self.log.append(entry)
-            self.to_store(entry.index)
-        last = before + len(message.entries)
-        self.commit = max(self.commit, min(message.commit, last))
-        self.confirm(message.source, last, message.turn)
+            self.mark_unstored(entry.index)
+        last_index = before_index + len(message.entries)
+        self.commit_index = max(self.commit_index, min(message.commit, last_index))
+        self.acknowledge(message.source, last_index, message.round_number)
 
-    def hint(self, before: int) -> int:
+    def conflict_hint(self, before_index: int) -> int:
         """Where the leader should try next: before all entries of the term that doesn't fit."""
-        if before > self.log.last:
-            return self.log.last
-        term, index = self.log.term(before), before - 1
-        while index > self.commit and self.log.term(index) == term:
+        if before_index > self.log.last_index:
+            return self.log.last_index
+        term, index = self.log.term_at(before_index), before_index - 1
+        while index > self.commit_index and self.log.term_at(index) == term:
             index -= 1
         return index
 
     def on_install(self, message: Install, now: float) -> None:
-        self.hear_leader(message.source, now)
-        self.install(message.snapshot)
-        self.confirm(message.source, self.commit, message.turn)
+        self.record_leader_contact(message.source, now)
+        self.install_snapshot(message.snapshot)
+        self.acknowledge(message.source, self.commit_index, message.round_number)
 
     def on_install_part(self, message: InstallPart, now: float) -> None:
-        self.hear_leader(message.source, now)
-        if message.index > self.commit:
-            if self.incoming is None or not self.incoming.continues(message):
-                self.incoming = Incoming(message.source, message.term, message.index)
-            snapshot = self.incoming.take(message)
+        self.record_leader_contact(message.source, now)
+        if message.index > self.commit_index:
+            if self.incoming_snapshot is None or not self.incoming_snapshot.accepts(message):
+                self.incoming_snapshot = IncomingSnapshot(message.source, message.term, message.index)
+            snapshot = self.incoming_snapshot.append_part(message)
             if snapshot is None:
-                held = len(self.incoming.body)
-                self.say(InstallProgress, message.source, index=message.index, offset=held, turn=message.turn)
+                received_bytes = len(self.incoming_snapshot.body)
+                self.send_message(
+                    InstallProgress,
+                    message.source,
+                    index=message.index,
+                    offset=received_bytes,
+                    round_number=message.round_number,
+                )
                 return
-            self.install(snapshot)
-        self.incoming = None
-        self.confirm(message.source, self.commit, message.turn)
+            self.install_snapshot(snapshot)
+        self.incoming_snapshot = None
+        self.acknowledge(message.source, self.commit_index, message.round_number)
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install_snapshot(self, snapshot: Snapshot) -> None:
         """Begin anew from it, unless all of it is known to be committed here."""
-        if snapshot.index <= self.commit:
+        if snapshot.index <= self.commit_index:
             return
         self.log.compact(snapshot)
-        self.commit = self.applied = snapshot.index
+        self.commit_index = self.applied_index = snapshot.index
         self.output.snapshot = self.output.restore = snapshot
-        self.to_store(self.log.first)
-        self.note("snapshot", f"up to {snapshot.index}")
+        self.mark_unstored(self.log.first_index)
+        self.record_event("snapshot", f"up to {snapshot.index}")
 
-    def hear_leader(self, leader: str, now: float) -> None:
+    def record_leader_contact(self, leader: str, now: float) -> None:
         if self.leader != leader or self.role is not Role.FOLLOWER:
-            self.follow(leader, now)
-        self.leader_at = now
-        self.wait(now)
+            self.become_follower(leader, now)
+        self.leader_heard_at = now
+        self.reset_election_timer(now)
 
-    def confirm(self, leader: str, index: int, turn: int) -> None:
-        self.say(AppendReply, leader, ok=True, index=index, turn=turn)
+    def acknowledge(self, leader: str, index: int, round_number: int) -> None:
+        self.send_message(AppendReply, leader, ok=True, index=index, round_number=round_number)
 
     # The leader's part.
 
-    def must_lead(self) -> None:
+    def require_leader(self) -> None:
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
 
-    def add(self, kind: Kind, body: bytes, now: float) -> Entry:
-        self.must_lead()
-        entry = Entry(self.log.last + 1, self.term, kind, body)
-        self.add_entry(entry, now)
+    def append_command(self, kind: Kind, body: bytes, now: float) -> Entry:
+        self.require_leader()
+        entry = Entry(self.log.last_index + 1, self.term, kind, body)
+        self.append_entry(entry, now)
         return entry
 
-    def add_entry(self, entry: Entry, now: float) -> None:
+    def append_entry(self, entry: Entry, now: float) -> None:
         self.log.append(entry)
-        self.to_store(entry.index)
+        self.mark_unstored(entry.index)
         if entry.kind is Kind.MEMBERS:
-            known = self.peers
-            self.peers = {n: known.get(n) or Peer(entry.index, now) for n in self.others()}
+            old_peers = self.peers
+            self.peers = {n: old_peers.get(n) or Peer(entry.index, now) for n in self.other_members()}
         self.broadcast(now)
-        self.advance(now)
+        self.advance_commit_index(now)
 
     def broadcast(self, now: float) -> None:
         """A turn: to every peer what it lacks, or a heartbeat."""
-        self.turn += 1
-        self.beat_at = now + self.timing.beat
-        if self.asked or self.patient:
-            self.turns[self.turn], self.asked, self.patient = self.asked + self.patient, [], []
+        self.round_number += 1
+        self.heartbeat_at = now + self.timing.heartbeat_interval
+        if self.pending_reads or self.deferred_reads:
+            self.reads_by_round[self.round_number], self.pending_reads, self.deferred_reads = (
+                self.pending_reads + self.deferred_reads,
+                [],
+                [],
+            )
         for name, peer in self.peers.items():
-            if not self.needs_none(name, peer, now):
-                self.send(name, peer, now)
+            if not self.can_skip_peer(name, peer, now):
+                self.send_entries(name, peer, now)
         self.confirm_reads()
 
-    def needs_none(self, name: str, peer: Peer, now: float) -> bool:
+    def can_skip_peer(self, name: str, peer: Peer, now: float) -> bool:
         """Whether this round has nothing for a member that doesn't vote and was sent something lately."""
-        if name in self.members.voters or now - peer.sent_at >= self.timing.observer:
+        if name in self.members.voters or now - peer.sent_at >= self.timing.non_voter_interval:
             return False
-        return peer.next > self.log.last and peer.told_commit >= self.commit
+        return peer.next_index > self.log.last_index and peer.sent_commit_index >= self.commit_index
 
-    def send(self, name: str, peer: Peer, now: float) -> None:
+    def send_entries(self, name: str, peer: Peer, now: float) -> None:
         peer.sent_at = now
-        if peer.next < self.log.first:
-            if now >= peer.installing_until:
-                peer.installing_until = now + self.timing.election
+        if peer.next_index < self.log.first_index:
+            if now >= peer.snapshot_retry_at:
+                peer.snapshot_retry_at = now + self.timing.election_timeout
                 self.send_snapshot(name, peer)
                 return
             # Meanwhile it is told at least that this leader lives; it can't fit, and says so.
-            self.say_append(name, self.log.snapshot.index, (), 0)
+            self.send_append(name, self.log.snapshot.index, (), 0)
             return
-        entries = batch(self.log.between(peer.next, self.log.last, BATCH_MOST))
-        self.say_append(name, peer.next - 1, entries, self.commit)
-        peer.next += len(entries)
-        peer.told_commit = self.commit
+        entries = limit_batch(
+            self.log.entries_between(peer.next_index, self.log.last_index, BATCH_MAX_ENTRIES)
+        )
+        self.send_append(name, peer.next_index - 1, entries, self.commit_index)
+        peer.next_index += len(entries)
+        peer.sent_commit_index = self.commit_index
 
     def send_snapshot(self, name: str, peer: Peer) -> None:
         """The next part. A transfer that has begun is finished before a newer snapshot is sent."""
-        if peer.outgoing is None or not peer.outgoing.offset:
-            peer.outgoing = Outgoing(self.log.snapshot)
-        outgoing, snapshot = peer.outgoing, peer.outgoing.snapshot
-        if outgoing.whole:
-            self.say(Install, name, snapshot=snapshot, turn=self.turn)
+        if peer.outgoing_snapshot is None or not peer.outgoing_snapshot.offset:
+            peer.outgoing_snapshot = OutgoingSnapshot(self.log.snapshot)
+        outgoing, snapshot = peer.outgoing_snapshot, peer.outgoing_snapshot.snapshot
+        if outgoing.fits_one_message:
+            self.send_message(Install, name, snapshot=snapshot, round_number=self.round_number)
             return
-        self.say(
+        self.send_message(
             InstallPart, name, index=snapshot.index, snapshot_term=snapshot.term, members=snapshot.members,
-            offset=outgoing.offset, total=len(snapshot.body), body=outgoing.part(), turn=self.turn,
+            offset=outgoing.offset, total=len(snapshot.body), body=outgoing.next_part(),
+            round_number=self.round_number,
         )  # fmt: skip
 
-    def transferring(self, now: float) -> bool:
+    def is_sending_snapshot(self, now: float) -> bool:
         """Whether a snapshot is on its way to a member that answers: a newer one would be sent after it."""
-        return any(peer.outgoing is not None and self.fresh(peer, now) for peer in self.peers.values())
+        return any(
+            peer.outgoing_snapshot is not None and self.responded_recently(peer, now)
+            for peer in self.peers.values()
+        )
 
-    def say_append(self, name: str, before: int, entries: tuple[Entry, ...], commit: int) -> None:
-        term = self.log.term(before)
+    def send_append(
+        self, name: str, before_index: int, entries: tuple[Entry, ...], commit_index: int
+    ) -> None:
+        term = self.log.term_at(before_index)
         assert term is not None
-        self.say(
-            Append, name, before_index=before, before_term=term, entries=entries, commit=commit,
-            turn=self.turn,
+        self.send_message(
+            Append, name, before_index=before_index, before_term=term, entries=entries, commit=commit_index,
+            round_number=self.round_number,
         )  # fmt: skip
 
-    def answering(self, message: AppendReply | InstallProgress, now: float) -> Peer | None:
+    def record_response(self, message: AppendReply | InstallProgress, now: float) -> Peer | None:
         """The follower that answers this leader; None if this is no leader, or the sender no member."""
         peer = self.peers.get(message.source)
         if self.role is not Role.LEADER or peer is None:
             return None
         if peer.boot != message.boot:
             # What it had before its start counts again once it says so.
-            peer.boot, peer.match = message.boot, 0
-        peer.heard_at = now
-        peer.turn = max(peer.turn, message.turn)
+            peer.boot, peer.match_index = message.boot, 0
+        peer.last_heard_at = now
+        peer.acked_round = max(peer.acked_round, message.round_number)
         self.confirm_reads()
         return peer
 
     def on_install_progress(self, message: InstallProgress, now: float) -> None:
-        peer = self.answering(message, now)
-        if peer is None or peer.outgoing is None:
+        peer = self.record_response(message, now)
+        if peer is None or peer.outgoing_snapshot is None:
             return
-        if peer.outgoing.acknowledge(message.index, message.offset):
-            peer.installing_until = 0.0
-            self.send(message.source, peer, now)
+        if peer.outgoing_snapshot.acknowledge(message.index, message.offset):
+            peer.snapshot_retry_at = 0.0
+            self.send_entries(message.source, peer, now)
 
     def on_append_reply(self, message: AppendReply, now: float) -> None:
-        peer = self.answering(message, now)
+        peer = self.record_response(message, now)
         if peer is None:
             return
         if not message.ok:
-            peer.next = max(min(peer.next, message.index + 1), peer.match + 1)
-            if now >= peer.installing_until:
-                self.send(message.source, peer, now)
+            peer.next_index = max(min(peer.next_index, message.index + 1), peer.match_index + 1)
+            if now >= peer.snapshot_retry_at:
+                self.send_entries(message.source, peer, now)
             return
-        peer.match = max(peer.match, message.index)
-        peer.next = max(peer.next, peer.match + 1)
-        if peer.outgoing is not None and peer.match >= peer.outgoing.snapshot.index:
-            peer.outgoing, peer.installing_until = None, 0.0
-        self.advance(now)
-        if self.role is Role.LEADER and peer.next <= self.log.last:
-            self.send(message.source, peer, now)
-        if self.asked and not self.turns:
+        peer.match_index = max(peer.match_index, message.index)
+        peer.next_index = max(peer.next_index, peer.match_index + 1)
+        if peer.outgoing_snapshot is not None and peer.match_index >= peer.outgoing_snapshot.snapshot.index:
+            peer.outgoing_snapshot, peer.snapshot_retry_at = None, 0.0
+        self.advance_commit_index(now)
+        if self.role is Role.LEADER and peer.next_index <= self.log.last_index:
+            self.send_entries(message.source, peer, now)
+        if self.pending_reads and not self.reads_by_round:
             self.broadcast(now)
-        self.promote(message.source, peer, now)
+        self.promote_learner(message.source, peer, now)
 
-    def advance(self, now: float) -> None:
+    def advance_commit_index(self, now: float) -> None:
         """Commit what a majority has, if an entry of this very term is the last of it."""
-        matches = {name: peer.match for name, peer in self.peers.items()}
-        matches[self.identity] = self.log.last
-        found = sorted((matches.get(name, 0) for name in self.members.voters), reverse=True)
-        index = found[self.members.majority - 1] if found else 0
-        if index > self.commit and self.log.term(index) == self.term:
-            self.commit = index
+        match_indexes = {name: peer.match_index for name, peer in self.peers.items()}
+        match_indexes[self.identity] = self.log.last_index
+        descending = sorted((match_indexes.get(name, 0) for name in self.members.voters), reverse=True)
+        index = descending[self.members.majority - 1] if descending else 0
+        if index > self.commit_index and self.log.term_at(index) == self.term:
+            self.commit_index = index
             self.confirm_reads()
-            if not self.votes_itself and self.log.members_index() <= index:
+            if not self.is_voter and self.log.members_index() <= index:
                 # Removed, and all that decided it is committed: the others elect one of theirs.
-                self.note("removed")
+                self.record_event("removed")
                 self.broadcast(now)
-                self.follow("", now)
-            elif self.timing.hasten:
+                self.become_follower("", now)
+            elif self.timing.eager_commit:
                 self.broadcast(now)
 
     def confirm_reads(self) -> None:
         """Reads whose turn a majority has answered, once this leader knows all that was committed."""
-        if not self.settled:
+        if not self.committed_in_term:
             return
-        for turn in sorted(self.turns):
-            heard = {name for name, peer in self.peers.items() if peer.turn >= turn}
-            if not self.members.quorum(heard | {self.identity}):
+        for round_number in sorted(self.reads_by_round):
+            acked = {name for name, peer in self.peers.items() if peer.acked_round >= round_number}
+            if not self.members.has_quorum(acked | {self.identity}):
                 break
-            self.output.confirmed += [(read.ident, read.index) for read in self.turns.pop(turn)]
+            self.output.confirmed_reads += [
+                (read.read_id, read.read_index) for read in self.reads_by_round.pop(round_number)
+            ]
 
-    def promote(self, name: str, peer: Peer, now: float) -> None:
+    def promote_learner(self, name: str, peer: Peer, now: float) -> None:
         """A learner that has caught up votes from now on."""
         members = self.members
-        if name not in members.learners or peer.match < self.commit or not self.settled:
+        if name not in members.learners or peer.match_index < self.commit_index or not self.committed_in_term:
             return
-        if self.log.members_index() <= self.commit:
+        if self.log.members_index() <= self.commit_index:
             learners = tuple(n for n in members.learners if n != name)
-            self.note("promoted", name)
+            self.record_event("promoted", name)
             voters = (*members.voters, name)
-            self.change(Members(voters, learners, members.former, members.guests), now)
+            self.change_members(Members(voters, learners, members.former, members.non_voters), now)
 
     # Small parts.
 
-    def others(self) -> list[str]:
+    def other_members(self) -> list[str]:
         return [name for name in self.members.all if name != self.identity]
 
-    def voters_else(self) -> list[str]:
+    def other_voters(self) -> list[str]:
         return [name for name in self.members.voters if name != self.identity]
 
-    def say(self, kind: Callable[..., Wire], target: str, **fields: object) -> None:
-        self.output.messages.append(kind(self.identity, target, self.boot, self.term, **fields))
+    def send_message(self, message_type: Callable[..., AnyMessage], target: str, **fields: object) -> None:
+        self.output.messages.append(message_type(self.identity, target, self.boot, self.term, **fields))
 
-    def to_store(self, index: int) -> None:
-        self.unstored = min(self.unstored or index, index)
+    def mark_unstored(self, index: int) -> None:
+        self.first_unstored = min(self.first_unstored or index, index)
 
-    def note(self, code: str, detail: str = "") -> None:
-        self.output.notes.append(Note(code, detail))
+    def record_event(self, code: str, detail: str = "") -> None:
+        self.output.events.append(MemberEvent(code, detail))
 
 
-def batch(entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
+def limit_batch(entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
     """The first of these, as many as one message may hold."""
     size = 0
-    for place, entry in enumerate(entries):
+    for position, entry in enumerate(entries):
         size += len(entry.body)
-        if size > BATCH_BYTES:
-            return entries[: max(place, 1)]
+        if size > BATCH_MAX_BYTES:
+            return entries[: max(position, 1)]
     return entries
 
 
--- a/latchspoke/consensus/records.py
+++ b/latchspoke/consensus/records.py
@@ -42,19 +42,19 @@
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
     former: tuple[str, ...] = ()
-    guests: tuple[str, ...] = ()
+    non_voters: tuple[str, ...] = msgspec.field(name="guests", default=())
 
     @property
     def all(self) -> tuple[str, ...]:
-        return self.voters + self.learners + self.guests
+        return self.voters + self.learners + self.non_voters
 
     @property
     def majority(self) -> int:
         return len(self.voters) // 2 + 1
 
-    def quorum(self, those: set[str]) -> bool:
+    def has_quorum(self, identities: set[str]) -> bool:
         """Whether a majority of the voters is among these."""
-        return bool(self.voters) and sum(voter in those for voter in self.voters) >= self.majority
+        return bool(self.voters) and sum(voter in identities for voter in self.voters) >= self.majority
 
 
 class Snapshot(msgspec.Struct, frozen=True):
@@ -97,12 +97,12 @@
 
     last_index: int = 0
     last_term: int = 0
-    trial: bool = False
+    pre_vote: bool = msgspec.field(name="trial", default=False)
 
 
 class VoteReply(Message, frozen=True, tag="give-vote"):
     granted: bool = False
-    trial: bool = False
+    pre_vote: bool = msgspec.field(name="trial", default=False)
 
 
 class Append(Message, frozen=True, tag="append"):
@@ -112,14 +112,14 @@
     before_term: int = 0
     entries: tuple[Entry, ...] = ()
     commit: int = 0
-    turn: int = 0
+    round_number: int = msgspec.field(name="turn", default=0)
 
 
 class Install(Message, frozen=True, tag="install"):
     """A snapshot for a member whose next entries are no longer in the leader's log."""
 
     snapshot: Snapshot = Snapshot()
-    turn: int = 0
+    round_number: int = msgspec.field(name="turn", default=0)
 
 
 class InstallPart(Message, frozen=True, tag="install-part"):
@@ -131,7 +131,7 @@
     offset: int = 0
     total: int = 0
     body: bytes = b""
-    turn: int = 0
+    round_number: int = msgspec.field(name="turn", default=0)
 
 
 class InstallProgress(Message, frozen=True, tag="install-progress"):
@@ -139,7 +139,7 @@
 
     index: int = 0
     offset: int = 0
-    turn: int = 0
+    round_number: int = msgspec.field(name="turn", default=0)
 
 
 class AppendReply(Message, frozen=True, tag="appended"):
@@ -147,7 +147,7 @@
 
     ok: bool = False
     index: int = 0
-    turn: int = 0
+    round_number: int = msgspec.field(name="turn", default=0)
 
 
 class BootQuery(Message, frozen=True, tag="hello"):
@@ -164,7 +164,7 @@
     """The leader leaves: this member, whose log is whole, is to stand at once."""
 
 
-Wire = (
+AnyMessage = (
     VoteRequest
     | VoteReply
     | Append
@@ -177,14 +177,14 @@
     | TimeoutNow
 )
 ENCODER = msgspec.msgpack.Encoder()
-DECODER: msgspec.msgpack.Decoder[Wire] = msgspec.msgpack.Decoder(Wire)
+DECODER: msgspec.msgpack.Decoder[AnyMessage] = msgspec.msgpack.Decoder(AnyMessage)
 
 
-def encode(message: Wire) -> bytes:
+def encode(message: AnyMessage) -> bytes:
     return ENCODER.encode(message)
 
 
-def decode(data: bytes) -> Wire:
+def decode(data: bytes) -> AnyMessage:
     """Raises RecordsError."""
     try:
         return DECODER.decode(data)
--- a/latchspoke/consensus/transfer.py
+++ b/latchspoke/consensus/transfer.py
@@ -14,18 +14,18 @@
 PART_BYTES = 256 * 1024  # of a snapshot's body; smaller snapshots go whole
 
 
-class Outgoing(msgspec.Struct):
+class OutgoingSnapshot(msgspec.Struct):
     """The leader's side of one transfer. The snapshot stays the same, even if the log gets a newer one."""
 
     snapshot: Snapshot
     offset: int = 0  # bytes that the other side has acknowledged
 
     @property
-    def whole(self) -> bool:
+    def fits_one_message(self) -> bool:
         """Whether it fits into one message."""
         return len(self.snapshot.body) <= PART_BYTES
 
-    def part(self) -> bytes:
+    def next_part(self) -> bytes:
         """The bytes to be sent next."""
         return self.snapshot.body[self.offset : self.offset + PART_BYTES]
 
@@ -37,7 +37,7 @@
         return True
 
 
-class Incoming(msgspec.Struct):
+class IncomingSnapshot(msgspec.Struct):
     """The follower's side of one transfer, from one leader in one term."""
 
     source: str
@@ -45,11 +45,11 @@
     index: int
     body: bytearray = msgspec.field(default_factory=bytearray)
 
-    def continues(self, part: InstallPart) -> bool:
+    def accepts(self, part: InstallPart) -> bool:
         """Whether this part belongs to the transfer."""
         return (self.source, self.term, self.index) == (part.source, part.term, part.index)
 
-    def take(self, part: InstallPart) -> Snapshot | None:
+    def append_part(self, part: InstallPart) -> Snapshot | None:
         """Append a part that follows; the snapshot once all of it is here."""
         if part.offset == len(self.body):
             self.body += part.body
--- a/latchspoke/ctl/stores.py
+++ b/latchspoke/ctl/stores.py
@@ -126,7 +126,8 @@
         "file": str(path), "kind": "store", "layout": LAYOUT, "bytes": size(path),
         "identity": stored.identity, "starts": stored.boot - 1, "term": stored.hard_state.term,
         "snapshot": stored.snapshot.index, "entries": len(stored.entries), "last": applied,
-        "voters": list(members.voters), "learners": list(members.learners), "guests": list(members.guests),
+        "voters": list(members.voters), "learners": list(members.learners),
+        "guests": list(members.non_voters),
         "version": f"{orders.version:08x}", "index": orders.index, "history": len(orders.history),
         "evacuated": sorted(orders.evacuated),
     }  # fmt: skip
--- a/latchspoke/duties/findings.py
+++ b/latchspoke/duties/findings.py
@@ -64,7 +64,7 @@
         self.state = Findings(now_open, tuple(past[-PAST_KEPT:]), report.at)
         return ""
 
-    def look(self, question: bytes) -> bytes:
+    def query(self, question: bytes) -> bytes:
         return self.dump()
 
     def dump(self) -> bytes:
--- a/latchspoke/duties/machine.py
+++ b/latchspoke/duties/machine.py
@@ -116,7 +116,7 @@
         past = (*state.past, tenure)[-PAST_KEPT:]
         return msgspec.structs.replace(state, tenure=tenure, past=past)
 
-    def look(self, question: bytes) -> bytes:
+    def query(self, question: bytes) -> bytes:
         """All of them."""
         return self.dump()
 
--- a/latchspoke/duties/office.py
+++ b/latchspoke/duties/office.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from latchspoke.consensus.machines import Machines
 from latchspoke.consensus.member import Member, NotLeaderError, Output
 from latchspoke.consensus.records import Entry, Snapshot
+from latchspoke.consensus.state_machines import StateMachines
 from latchspoke.duties.desk import Desk
 from latchspoke.duties.findings import NAME as FINDINGS
 from latchspoke.duties.findings import FindingsMachine
@@ -99,7 +99,7 @@
         self.duties = DutiesMachine()
         self.findings = FindingsMachine(self.duties)
         self.rules = RulesMachine()
-        self.machines = Machines({NAME: self.duties, FINDINGS: self.findings, RULES: self.rules})
+        self.machines = StateMachines({NAME: self.duties, FINDINGS: self.findings, RULES: self.rules})
         self.rules_desk = RulesDesk(self.rules, drift)
         self.desk = Desk(self.duties, drift)
         self.desk_term = -1
@@ -142,10 +142,10 @@
 
     def take(self) -> Output | None:
         """None where there is nothing to do."""
-        output = self.member.take()
+        output = self.member.take_output()
         empty = not (
-            output.to_store or output.messages or output.restore or output.committed or output.confirmed
-            or output.refused or output.notes
+            output.must_store or output.messages or output.restore or output.committed
+            or output.confirmed_reads or output.failed_reads or output.events
         )  # fmt: skip
         return None if empty else output
 
@@ -155,9 +155,9 @@
             self.machines.load(output.restore.index, output.restore.body)
         for entry in output.committed:
             self.carry_out(entry, now)
-        for ident, index in output.confirmed:
+        for ident, index in output.confirmed_reads:
             self.questions[ident].index = index
-        for ident in output.refused:
+        for ident in output.failed_reads:
             question = self.questions.pop(ident)
             self.answers.append((question.asker, Refused(self.member.leader)))
         self.take_office()
@@ -165,8 +165,8 @@
 
     def compacted(self, after: int = COMPACT_AFTER) -> Snapshot | None:
         """A snapshot to store in the place of the entries it covers, if it is time."""
-        applied = self.machines.applied
-        if self.machines.lacking or applied - self.member.log.snapshot.index < after:
+        applied = self.machines.applied_index
+        if self.machines.has_unknown_machine or applied - self.member.log.snapshot.index < after:
             return None
         return self.member.compact(applied, self.machines.dump())
 
@@ -175,12 +175,12 @@
     @property
     def leads(self) -> bool:
         """Whether this is the leader, and knows all that was ever committed."""
-        return self.member.settled and self.desk_term == self.member.term
+        return self.member.committed_in_term and self.desk_term == self.member.term
 
     def take_office(self) -> None:
         """A leader's desk is its own from the election on, once it has applied all that came before."""
         member = self.member
-        if member.settled and self.machines.applied >= member.elected_index:
+        if member.committed_in_term and self.machines.applied_index >= member.term_start_index:
             if self.desk_term != member.term:
                 self.desk_term = member.term
                 self.desk.lead(member.elected_at)
@@ -191,7 +191,7 @@
     def ask(self, question: Question, now: float) -> None:
         self.number += 1
         try:
-            self.member.read(self.number, now)
+            self.member.request_read(self.number, now)
         except NotLeaderError as e:
             self.answers.append((question.asker, Refused(e.leader)))
             return
@@ -202,7 +202,7 @@
         self.add(None, put_duty(command), command, now)
 
     def add(self, asker: int | None, put: Put, command: Command | Activate | None, now: float) -> None:
-        entry = self.member.propose(Machines.command(put.machine, put.body, put.ident), now)
+        entry = self.member.propose(StateMachines.encode_command(put.machine, put.body, put.ident), now)
         self.proposed[entry.index] = entry.term, asker, command
 
     def carry_out(self, entry: Entry, now: float) -> None:
@@ -219,7 +219,7 @@
     def reply(self, now: float) -> None:
         """Questions that a majority has confirmed, and whose entries are applied."""
         for ident, question in list(self.questions.items()):
-            if not 0 <= question.index <= self.machines.applied:
+            if not 0 <= question.index <= self.machines.applied_index:
                 continue
             what = question.what
             if isinstance(what, Look):
@@ -238,4 +238,4 @@
         if look.machine == HOLDERS:
             return Shown(index, msgspec.msgpack.encode(self.rules_desk.status(now)))
         machine = self.machines.machines.get(look.machine)
-        return Refused("") if machine is None else Shown(index, machine.look(look.question))
+        return Refused("") if machine is None else Shown(index, machine.query(look.question))
--- a/latchspoke/lab/schedules/changes.py
+++ b/latchspoke/lab/schedules/changes.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from latchspoke.consensus.machines import Machines, Result
 from latchspoke.consensus.member import Member
-from latchspoke.consensus.records import VoteRequest, Wire
+from latchspoke.consensus.records import AnyMessage, VoteRequest
+from latchspoke.consensus.state_machines import CommandResult, StateMachines
 from latchspoke.duties.desk import Desk
 from latchspoke.duties.holder import Holder, Right
 from latchspoke.duties.machine import DutiesMachine
@@ -103,15 +103,15 @@
     return not right.stopping
 
 
-@change(Machines, "remember")
-def command_done_again(machines: Machines, ident: str, result: Result) -> None:
+@change(StateMachines, "record_result")
+def command_done_again(machines: StateMachines, ident: str, result: CommandResult) -> None:
     """Asked again, as its answer was lost, it is carried out again."""
 
 
-@change(Member, "read")
+@change(Member, "request_read")
 def read_without_a_majority(member: Member, ident: int, now: float) -> None:
-    member.must_lead()
-    member.output.confirmed.append((ident, max(member.commit, member.elected_index)))
+    member.require_leader()
+    member.output.confirmed_reads.append((ident, max(member.commit_index, member.term_start_index)))
 
 
 @change(Host, "wipe")
@@ -132,7 +132,7 @@
 
 
 @change(Member, "receive")
-def vote_for_a_shorter_log(member: Member, message: Wire, now: float) -> None:
+def vote_for_a_shorter_log(member: Member, message: AnyMessage, now: float) -> None:
     if isinstance(message, VoteRequest):
         message = msgspec.structs.replace(message, last_index=1 << 40, last_term=1 << 40)
     RECEIVE(member, message, now)
--- a/latchspoke/lab/schedules/check.py
+++ b/latchspoke/lab/schedules/check.py
@@ -111,7 +111,7 @@
     for act in record.acts:
         last[act.duty] = max(last[act.duty], act.at)
     # An operator who heard nothing asks again, so that a removal may come after what was to follow it.
-    newest = max(world.hosts.values(), key=lambda host: host.office.machines.applied)
+    newest = max(world.hosts.values(), key=lambda host: host.office.machines.applied_index)
     names = [name for name, state in newest.office.duties.duties.items() if state.rule is not None]
     longest = max((done - last[name] for name in names), default=0.0)
     idle = [
--- a/latchspoke/lab/schedules/faults.py
+++ b/latchspoke/lab/schedules/faults.py
@@ -177,7 +177,7 @@
 
 def hand_over(office: Office, now: float) -> None:
     try:
-        office.member.hand_over(now)
+        office.member.transfer_leadership(now)
     except NotLeaderError:
         return
 
@@ -195,7 +195,7 @@
 def replace(world: World, host: Host, old: str, tries: int) -> None:
     identity = host.disk.identity
     for other in world.hosts.values():
-        if other.alive and other.office.member.settled and not other.paused:
+        if other.alive and other.office.member.committed_in_term and not other.paused:
             members = other.office.member.members
             if old in members.voters:
                 wanted = Members(tuple(n for n in members.voters if n != old), members.learners)
@@ -210,7 +210,7 @@
 
 def alter(members: Members, office: Office, now: float) -> None:
     try:
-        office.member.change(members, now)
+        office.member.change_members(members, now)
     except (NotLeaderError, ChangeError):
         return
 
--- a/latchspoke/lab/schedules/rules.py
+++ b/latchspoke/lab/schedules/rules.py
@@ -87,7 +87,7 @@
 
 def idle(world: World, done: float) -> list[str]:
     """With all mended, every gateway acts by right on the newest version."""
-    newest = max(world.hosts.values(), key=lambda host: host.office.machines.applied).office.rules
+    newest = max(world.hosts.values(), key=lambda host: host.office.machines.applied_index).office.rules
     wrong = []
     last: dict[tuple[str, str], RuleAct] = {}
     for act in world.record.rule_acts:
--- a/latchspoke/lab/schedules/world.py
+++ b/latchspoke/lab/schedules/world.py
@@ -17,9 +17,9 @@
 import msgspec
 
 from latchspoke.consensus import records
-from latchspoke.consensus.machines import Command as Logged
 from latchspoke.consensus.member import Member, Output, Role, Timing
 from latchspoke.consensus.records import Entry, HardState, Kind, Members, Snapshot, Stored, name_of
+from latchspoke.consensus.state_machines import Command as Logged
 from latchspoke.duties.holder import Holder
 from latchspoke.duties.machine import NAME as DUTIES
 from latchspoke.duties.office import Done, Look, Office, Refused, Reply, Shown, put_duty
@@ -143,8 +143,8 @@
         self.hard_state = output.hard_state or self.hard_state
         if output.snapshot is not None:
             self.compact(output.snapshot)
-        if output.first:
-            kept = tuple(entry for entry in self.entries if entry.index < output.first)
+        if output.first_index:
+            kept = tuple(entry for entry in self.entries if entry.index < output.first_index)
             self.entries = kept + output.entries
 
     def compact(self, snapshot: Snapshot) -> None:
@@ -272,9 +272,9 @@
             self.speak()
             self.later(self.world.draw.uniform(0, STEP), self.next)
             return
-        for note in output.notes:
+        for note in output.events:
             self.world.record.elections += note.code == "leads"
-        if output.to_store:
+        if output.must_store:
             self.later(self.world.draw.uniform(0, STORE), lambda: self.store(output))
         else:
             self.carry_out(output)
@@ -542,7 +542,7 @@
             other = record.applied.setdefault(entry.index, entry)
             if other != entry:
                 record.wrong(f"{self.now:.3f} {host.name}: entry {entry.index} is not what another applied")
-        applied = host.office.machines.applied
+        applied = host.office.machines.applied_index
         if output.committed or output.restore is not None:
             dump = host.office.machines.dump()
             if record.dumps.setdefault(applied, dump) != dump:
--- a/latchspoke/revisions/machine.py
+++ b/latchspoke/revisions/machine.py
@@ -167,7 +167,7 @@
 
     # What is shown.
 
-    def look(self, question: bytes) -> bytes:
+    def query(self, question: bytes) -> bytes:
         """Of all documents; or the content of one, if it is asked for."""
         if not question:
             return msgspec.msgpack.encode({name: self.summary(s) for name, s in self.states.items()})
--- a/tests/configstore/test_store.py
+++ b/tests/configstore/test_store.py
@@ -57,10 +57,10 @@
         for _ in range(400):
             now += 0.05
             register.tick(now)
-            if register.leads and register.member.settled and not asked:
+            if register.leads and register.member.committed_in_term and not asked:
                 asked = register.submit(command, 2.0, now)
             while (output := register.take()) is not None:
-                if output.to_store:
+                if output.must_store:
                     kept.save(output)
                 register.stored(output, now)
                 if (snapshot := register.compacted()) is not None:
@@ -138,7 +138,7 @@
     path = folder / "register.db"
     made, _ = opened(folder)
     entries = tuple(Entry(n, 1, Kind.DATA, b"precious" * 200) for n in (2, 3, 4))
-    made.save(Output(hard_state=HardState(1, ME), first=2, entries=entries))
+    made.save(Output(hard_state=HardState(1, ME), first_index=2, entries=entries))
     made.close()
     shutil.copyfile(path, path.with_suffix(".older"))
     for _ in range(2):
--- a/tests/configstore/test_voters.py
+++ b/tests/configstore/test_voters.py
@@ -58,7 +58,7 @@
 def test_of_a_large_core_seven_vote_that_survive_the_loss_of_any_region(size: int) -> None:
     world = started(size)
     assert len(world.voters()) == VOTERS_MOST and max(regions(world).values()) <= 3
-    entries = world.leader().member.log.last
+    entries = world.leader().member.log.last_index
     assert entries <= 16, f"newcomers come in together: {entries} entries"
 
 
@@ -95,7 +95,7 @@
 
 def step(seen: View, *newcomers: str) -> tuple[str, str] | None:
     wanted = next_members(seen, [Newcomer(identity) for identity in newcomers])
-    return (" ".join(wanted.voters), " ".join(wanted.guests)) if wanted else None
+    return (" ".join(wanted.voters), " ".join(wanted.non_voters)) if wanted else None
 
 
 @pytest.mark.parametrize(
@@ -136,10 +136,10 @@
     for spread in ("aaaaaaa", "aaaaabb", "aaaabbb", "aabbbcc"):
         members = Members(tuple(f"{region}{n}" for n, region in enumerate(spread)))
         guests = tuple(f"{region}{n}" for region in "abc" for n in (7, 8, 9))
-        members = Members(members.voters, guests=guests)
+        members = Members(members.voters, non_voters=guests)
         at = {name: Place(name, name[0]) for name in members.all}
         for _ in range(12):
-            free = frozenset(members.guests)
+            free = frozenset(members.non_voters)
             wanted = next_members(View("a0", members, free, frozenset(), frozenset(), at), [])
             if wanted is None:
                 break
--- a/tests/configstore/test_worst_days.py
+++ b/tests/configstore/test_worst_days.py
@@ -34,7 +34,9 @@
 
 def votes(world: World, identity: str) -> bool:
     """Whether a settled leader counts it among the voters."""
-    leaders = [register for register in world.up.values() if register.leads and register.member.settled]
+    leaders = [
+        register for register in world.up.values() if register.leads and register.member.committed_in_term
+    ]
     return any(identity in register.member.members.voters for register in leaders)
 
 
@@ -291,7 +293,7 @@
     for _ in range(60):
         world.run(0.1)
         if world.up[away].leads:
-            assert world.up[away].member.log.last >= version, "elected with an old log"
+            assert world.up[away].member.log.last_index >= version, "elected with an old log"
         seen.append(world.up[away].orders.version)
     assert all(one <= other for one, other in pairwise(seen))
     assert world.proof(away) is not None and world.up[away].orders.version == version
--- a/tests/consensus/test_member.py
+++ b/tests/consensus/test_member.py
@@ -8,7 +8,7 @@
 import pytest
 
 from latchspoke.consensus import records
-from latchspoke.consensus.member import ChangeError, Member, NotLeaderError, Output, Role, Timing, batch
+from latchspoke.consensus.member import ChangeError, Member, NotLeaderError, Output, Role, Timing, limit_batch
 from latchspoke.consensus.records import (
     Append,
     BootReply,
@@ -21,7 +21,7 @@
     VoteRequest,
 )
 
-TIMING = Timing(beat=0.1, election=1.0)
+TIMING = Timing(heartbeat_interval=0.1, election_timeout=1.0)
 
 
 class Group:
@@ -47,7 +47,7 @@
         while said:
             said = False
             for name, member in self.members.items():
-                output = member.take()
+                output = member.take_output()
                 self.keep(name, output)
                 for message in output.messages:
                     said = True
@@ -57,7 +57,10 @@
 
     def keep(self, name: str, output: Output) -> None:
         old = self.stored[name]
-        entries = tuple(e for e in old.entries if not output.first or e.index < output.first) + output.entries
+        entries = (
+            tuple(e for e in old.entries if not output.first_index or e.index < output.first_index)
+            + output.entries
+        )
         self.stored[name] = Stored(name, old.boot, output.hard_state or old.hard_state, old.snapshot, entries)
         self.applied[name] += output.committed
         self.outputs[name] = output
@@ -85,7 +88,7 @@
 
 def test_who_starts_before_the_others_asks_again_soon() -> None:
     """A majority that comes up 0.4 s after the first has a leader within two of its short waits."""
-    group = Group(3, Timing(beat=0.1, election=1.0, first=0.1))
+    group = Group(3, Timing(heartbeat_interval=0.1, election_timeout=1.0, startup_timeout=0.1))
     group.apart = set(group.names)
     group.run(0.4)
     group.apart = set()
@@ -139,7 +142,7 @@
 def test_a_leader_without_a_majority_steps_back_and_its_reads_are_refused(group: Group) -> None:
     leader = group.leader()
     group.apart = {leader.identity}
-    leader.read(7, group.now)
+    leader.request_read(7, group.now)
     group.run(1.2)
     assert leader.role is not Role.LEADER
     group.run(3.0)
@@ -150,14 +153,16 @@
     leader = group.leader()
     leader.propose(b"x", group.now)
     group.settle()
-    leader.read(1, group.now)
-    assert leader.output.confirmed == []
-    messages = leader.take().messages
+    leader.request_read(1, group.now)
+    assert leader.output.confirmed_reads == []
+    messages = leader.take_output().messages
     for message in messages:
         group.members[message.target].receive(message, group.now)
-    answer = next(m for m in group.members[messages[0].target].take().messages if m.target == leader.identity)
+    answer = next(
+        m for m in group.members[messages[0].target].take_output().messages if m.target == leader.identity
+    )
     leader.receive(answer, group.now)
-    assert leader.output.confirmed == [(1, leader.commit)]
+    assert leader.output.confirmed_reads == [(1, leader.commit_index)]
 
 
 def test_an_entry_of_no_majority_is_replaced_by_the_next_leaders(group: Group) -> None:
@@ -177,23 +182,23 @@
     leader = group.leader()
     group.apart = {name for name in group.names if name != leader.identity}
     leader.propose(b"earlier", group.now)
-    entry = leader.log.last
+    entry = leader.log.last_index
     group.settle()
     stored = group.stored[leader.identity]
     group.stored[leader.identity] = Stored(
         stored.identity, stored.boot, HardState(5), stored.snapshot, stored.entries
     )
     member = group.restart(leader.identity)
-    member.mute = False
-    member.campaign(group.now)
+    member.boot_unverified = False
+    member.start_election(group.now)
     other, third = group.apart
     member.receive(records.VoteReply(other, member.identity, 1, 6, True), group.now)
     assert member.role is Role.LEADER
     for name in (other, third):
         member.receive(records.AppendReply(name, member.identity, 1, 6, True, entry, 1), group.now)
-    assert member.commit < entry
+    assert member.commit_index < entry
     member.receive(records.AppendReply(other, member.identity, 1, 6, True, entry + 1, 1), group.now)
-    assert member.commit == entry + 1
+    assert member.commit_index == entry + 1
 
 
 def test_a_vote_is_stored_and_not_given_twice_in_a_term_over_a_restart(group: Group) -> None:
@@ -203,13 +208,13 @@
     group.now += 5.0
     ask = VoteRequest(third, other, 1, leader.term + 1, 99, 99)
     group.members[other].receive(ask, group.now)
-    output = group.members[other].take()
+    output = group.members[other].take_output()
     assert output.hard_state == HardState(leader.term + 1, third)
     group.keep(other, output)
     member = group.restart(other)
-    member.mute = False
+    member.boot_unverified = False
     member.receive(VoteRequest(leader.identity, other, 1, leader.term + 1, 99, 99), group.now)
-    assert [m.granted for m in member.take().messages if isinstance(m, records.VoteReply)] == [False]
+    assert [m.granted for m in member.take_output().messages if isinstance(m, records.VoteReply)] == [False]
 
 
 def test_a_restarted_member_votes_only_once_a_majority_knows_no_later_start(group: Group) -> None:
@@ -218,10 +223,10 @@
     group.apart = set(others)
     member = group.restart(others[0])
     group.run(4.0)
-    assert member.mute and member.role is Role.FOLLOWER
+    assert member.boot_unverified and member.role is Role.FOLLOWER
     group.apart = set()
     group.run(2.0)
-    assert not member.mute
+    assert not member.boot_unverified
 
 
 def test_an_old_copy_of_a_disk_is_found_out(group: Group) -> None:
@@ -235,27 +240,27 @@
     member = group.restart(other)
     group.run(1.0)
     assert member.role is Role.HALTED
-    assert member.due() == float("inf")
+    assert member.next_tick_at() == float("inf")
 
 
 def test_one_that_knows_of_a_later_start_says_so(group: Group) -> None:
     leader = group.leader()
     other = next(name for name in group.names if name != leader.identity)
     leader.receive(VoteRequest(other, leader.identity, 5, 0), group.now)
-    leader.take()
+    leader.take_output()
     leader.receive(VoteRequest(other, leader.identity, 4, 0), group.now)
-    assert [m.latest for m in leader.take().messages if isinstance(m, BootReply)] == [5]
+    assert [m.latest for m in leader.take_output().messages if isinstance(m, BootReply)] == [5]
 
 
 def test_members_are_changed_one_by_one(group: Group) -> None:
     leader = group.leader()
     first, second = [name for name in group.names if name != leader.identity]
     with pytest.raises(ChangeError, match="one voter"):
-        leader.change(Members((leader.identity,)), group.now)
+        leader.change_members(Members((leader.identity,)), group.now)
     group.apart = {second}
-    leader.change(Members((leader.identity, first)), group.now)
+    leader.change_members(Members((leader.identity, first)), group.now)
     with pytest.raises(ChangeError, match="under way"):
-        leader.change(Members((leader.identity, first, "x#1")), group.now)
+        leader.change_members(Members((leader.identity, first, "x#1")), group.now)
     group.run(1.0)
     assert leader.members.voters == (leader.identity, first)
     group.apart = set()
@@ -268,13 +273,13 @@
     for n in range(20):
         leader.propose(b"%d" % n, group.now)
     group.run(0.5)
-    index = leader.applied
+    index = leader.applied_index
     leader.compact(index, b"state")
     name = "m9#9"
     group.names.append(name)
     group.stored[name], group.applied[name] = Stored(name, 1), []
     group.members[name] = group.made(name)
-    leader.change(Members(leader.members.voters, (name,)), group.now)
+    leader.change_members(Members(leader.members.voters, (name,)), group.now)
     group.run(2.0)
     assert name in leader.members.voters
     assert group.members[name].log.snapshot.index == index
@@ -283,10 +288,10 @@
 
 def test_a_leader_that_leaves_hands_over_at_once(group: Group) -> None:
     leader, before = group.leader(), group.now
-    leader.hand_over(group.now)
+    leader.transfer_leadership(group.now)
     group.run(0.2)
     assert group.leader() is not leader
-    assert group.now - before < TIMING.election
+    assert group.now - before < TIMING.election_timeout
 
 
 def test_damaged_messages_are_refused_with_one_line() -> None:
@@ -303,7 +308,7 @@
 def test_a_message_holds_no_more_than_its_bytes_and_the_rest_follows(
     group: Group, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("latchspoke.consensus.member.BATCH_BYTES", 10)
+    monkeypatch.setattr("latchspoke.consensus.member.BATCH_MAX_BYTES", 10)
     leader = group.leader()
     other = next(name for name in group.names if name != leader.identity)
     group.apart = {other}
@@ -314,5 +319,9 @@
     group.run(1.0)
     assert bodies(group.applied[other]) == [b"123456"] * 5
     assert [
-        len(entries) for entries in (batch(leader.log.between(2, 6)), batch(leader.log.between(2, 2)))
+        len(entries)
+        for entries in (
+            limit_batch(leader.log.entries_between(2, 6)),
+            limit_batch(leader.log.entries_between(2, 2)),
+        )
     ] == [1, 1]
