--- a/latchspoke/configstore/orders.py
+++ b/latchspoke/configstore/config_state.py
@@ -25,9 +25,9 @@
 
 Document = dict[str, Any]
 Command = dict[str, Any]
-Patch = Callable[[Document, Document], Document]
+ApplyPatch = Callable[[Document, Document], Document]
 
-KEPT = 500  # versions and refusals that are remembered
+HISTORY_LIMIT = 500  # versions and refusals that are remembered
 
 TAKEN, REPEATED, CONFLICT, INVALID, UNKNOWN = "taken", "repeated", "conflict", "invalid", "unknown"
 UNCHECKED = "unchecked"  # the sender checks the change against its base, and submits it again
@@ -48,7 +48,7 @@
         return self.kind in (TAKEN, REPEATED)
 
 
-class Refusal(Exception):  # noqa: N818 - an outcome
+class CommandRefused(Exception):  # noqa: N818 - an outcome
     """Inside ``apply``: the command changes nothing."""
 
     def __init__(self, kind: str, reason: str) -> None:
@@ -67,14 +67,14 @@
     zones: dict[str, tuple[int, int | bool]] = {}
 
 
-IMAGE: msgspec.json.Decoder[Image] = msgspec.json.Decoder(Image)
+IMAGE_DECODER: msgspec.json.Decoder[Image] = msgspec.json.Decoder(Image)
 
 
 @dataclass(slots=True)
-class Orders:
+class ConfigState:
     """See the module. ``apply_patch`` gives a new document, changes no argument, or raises ValueError."""
 
-    apply_patch: Patch
+    apply_patch: ApplyPatch
     document: Document | None = None
     version: int = 0  # 0: none was ever taken
     index: int = 0  # of the last command that changed anything
@@ -88,86 +88,86 @@
         """Zones that are evacuated now."""
         return frozenset(zone for zone, (_, out) in self.zones.items() if out)
 
-    def standing(self, zone: str) -> int:
+    def evacuation_count(self, zone: str) -> int:
         """How many evacuations of it have not been taken back."""
         return int(self.zones.get(zone, (0, False))[1])
 
     def apply(self, index: int, command: Command) -> Verdict:
         """Never raises: what can't be read is invalid, everywhere alike."""
         try:
-            kind = self.carry_out(index, command)
-        except Refusal as e:
+            kind = self.execute(index, command)
+        except CommandRefused as e:
             return Verdict(e.kind, e.reason, self.version, index)
         except Exception as e:
             return Verdict(INVALID, f"no such order: {e!r}", self.version, index)
         return Verdict(kind, "", self.version, index)
 
-    def carry_out(self, index: int, command: Command) -> str:
+    def execute(self, index: int, command: Command) -> str:
         """Apply one command; the kind of its verdict."""
         match command["do"]:
             case "replace" | "modify":
-                return self.configure(index, command)
+                return self.change_configuration(index, command)
             case "evacuate":
-                return self.move(index, command, True)
+                return self.set_zone_evacuated(index, command, True)
             case "restore":
-                return self.move(index, command, False)
-        raise Refusal(INVALID, f"no such order: {command['do']!r}")
+                return self.set_zone_evacuated(index, command, False)
+        raise CommandRefused(INVALID, f"no such order: {command['do']!r}")
 
-    def configure(self, index: int, command: Command) -> str:
+    def change_configuration(self, index: int, command: Command) -> str:
         """Replace or modify the configuration, if it builds on the one in force."""
         version, base, digest = command["version"], command["base"], command["digest"]
         if not (type(version) is type(base) is int and isinstance(digest, str)):
-            raise Refusal(INVALID, "version and base are whole numbers, the digest is a text")
+            raise CommandRefused(INVALID, "version and base are whole numbers, the digest is a text")
         if self.history.get(version) == digest:
             return REPEATED
-        if version <= self.version and self.forgotten(version):
+        if version <= self.version and self.version_forgotten(version):
             # It may have been taken, and repeated by a caller who never heard of that.
-            raise Refusal(UNKNOWN, f"version {version} is older than all that are remembered")
+            raise CommandRefused(UNKNOWN, f"version {version} is older than all that are remembered")
         if digest in self.refused:
             # Sent twice by way of two members; its sender may have heard of the refusal.
-            raise Refusal(CONFLICT, "refused before")
+            raise CommandRefused(CONFLICT, "refused before")
         if base != self.version:
             if base > self.version:
                 self.refused[digest] = None
-                trim(self.refused)
-            raise Refusal(CONFLICT, f"built on version {base}, current is {self.version}")
+                trim_to_limit(self.refused)
+            raise CommandRefused(CONFLICT, f"built on version {base}, current is {self.version}")
         if version <= self.version:
-            raise Refusal(CONFLICT, f"version {version} is not above the current {self.version}")
+            raise CommandRefused(CONFLICT, f"version {version} is not above the current {self.version}")
         if command.get("unchecked"):
-            raise Refusal(UNCHECKED, f"built on version {base}, which its sender had not seen")
+            raise CommandRefused(UNCHECKED, f"built on version {base}, which its sender had not seen")
         if command["do"] == "replace":
             document = command["doc"]
         else:
             try:
                 document = self.apply_patch(self.document or {}, command["patch"])
             except ValueError as e:
-                raise Refusal(INVALID, str(e)) from None
+                raise CommandRefused(INVALID, str(e)) from None
         if not isinstance(document, dict):
-            raise Refusal(INVALID, "the document is no object")
+            raise CommandRefused(INVALID, "the document is no object")
         self.document, self.version, self.index = document, version, index
         self.history[version] = digest
-        trim(self.history)
+        trim_to_limit(self.history)
         return TAKEN
 
-    def forgotten(self, version: int) -> bool:
+    def version_forgotten(self, version: int) -> bool:
         """Whether what was taken under this version can't be told any more."""
-        return len(self.history) >= KEPT and version < min(self.history)
+        return len(self.history) >= HISTORY_LIMIT and version < min(self.history)
 
-    def move(self, index: int, command: Command, out: bool) -> str:
+    def set_zone_evacuated(self, index: int, command: Command, evacuate: bool) -> str:
         """Evacuate a zone (``out``), or restore it."""
         zone = command["zone"]
         if not isinstance(zone, str):
-            raise Refusal(INVALID, "the zone is a text")
-        changed, now = self.zones.get(zone, (0, False))[0], self.standing(zone)
-        stand = command.get("stand")
-        if now and stand is not None and stand != now:
+            raise CommandRefused(INVALID, "the zone is a text")
+        changed_index, count = self.zones.get(zone, (0, False))[0], self.evacuation_count(zone)
+        expected_count = command.get("stand")
+        if count and expected_count is not None and expected_count != count:
             return REPEATED
-        if (out and now and stand is None) or not (out or now):
+        if (evacuate and count and expected_count is None) or not (evacuate or count):
             return REPEATED
-        if changed > command.get("after", index):
-            raise Refusal(STALE, f"the zone was changed at {changed}")
-        left = now + 1 if out else now - 1
-        self.zones[zone] = index, left if left > 1 else bool(left)
+        if changed_index > command.get("after", index):
+            raise CommandRefused(STALE, f"the zone was changed at {changed_index}")
+        remaining = count + 1 if evacuate else count - 1
+        self.zones[zone] = index, remaining if remaining > 1 else bool(remaining)
         self.index = index
         return TAKEN
 
@@ -181,13 +181,13 @@
 
     def load(self, data: bytes) -> None:
         """Raises msgspec.MsgspecError."""
-        image = IMAGE.decode(data)
+        image = IMAGE_DECODER.decode(data)
         self.document, self.version, self.index = image.document, image.version, image.index
         self.history, self.refused = dict(image.history), dict.fromkeys(image.refused)
         self.zones = dict(image.zones)
 
 
-def trim(kept: dict[Any, Any]) -> None:
+def trim_to_limit(entries: dict[Any, Any]) -> None:
     """The oldest go."""
-    while len(kept) > KEPT:
-        del kept[next(iter(kept))]
+    while len(entries) > HISTORY_LIMIT:
+        del entries[next(iter(entries))]
--- a/latchspoke/configstore/copies.py
+++ b/latchspoke/configstore/copies.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from latchspoke.configstore.orders import IMAGE, Image, Orders
+from latchspoke.configstore.config_state import IMAGE_DECODER, ConfigState, Image
 from latchspoke.consensus.records import Members, Snapshot
 
 KIND = "latchspoke register copy"
 LAYOUT = 1
-BLOCK = 1 << 32  # places of a beginning
+INDEX_BLOCK = 1 << 32  # places of a beginning
 
 
 class CopyError(Exception):
@@ -39,15 +39,15 @@
     orders: Image
 
 
-def digest_of(orders: Image) -> str:
+def digest_of(image: Image) -> str:
     """Hash of the orders in a copy, in hexadecimal."""
-    return blake2b(msgspec.json.encode(orders), digest_size=16).hexdigest()
+    return blake2b(msgspec.json.encode(image), digest_size=16).hexdigest()
 
 
-def take(orders: Orders, applied: int, taken_by: str) -> Copy:
+def make_copy(state: ConfigState, applied_index: int, taken_by: str) -> Copy:
     """A copy of the applied orders; ``applied`` is their place in the log."""
-    image = IMAGE.decode(orders.dump())
-    return Copy(KIND, LAYOUT, taken_by, applied, digest_of(image), image)
+    image = IMAGE_DECODER.decode(state.dump())
+    return Copy(KIND, LAYOUT, taken_by, applied_index, digest_of(image), image)
 
 
 def write(copy: Copy) -> bytes:
@@ -71,21 +71,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beginning:
+class RestoredStore:
     """What each founder's new disk holds."""
 
-    draw: str  # of the founders' identities
+    identity_suffix: str  # of the founders' identities
     snapshot: Snapshot
 
 
-def begin_anew(copy: Copy, founders: Collection[str]) -> Beginning:
+def restore_from_copy(copy: Copy, founders: Collection[str]) -> RestoredStore:
     """The same for all who are given the same copy and the same founders (inner addresses "ip:port")."""
-    names = tuple(sorted(set(founders)))
-    token = blake2b("\n".join((copy.digest, *names)).encode(), digest_size=4).hexdigest()
-    index = (max(copy.applied, copy.orders.index) // BLOCK + 1) * BLOCK
-    orders = msgspec.structs.replace(
+    founder_names = tuple(sorted(set(founders)))
+    token = blake2b("\n".join((copy.digest, *founder_names)).encode(), digest_size=4).hexdigest()
+    index = (max(copy.applied, copy.orders.index) // INDEX_BLOCK + 1) * INDEX_BLOCK
+    image = msgspec.structs.replace(
         copy.orders, index=index, zones={zone: (index, out) for zone, (_, out) in copy.orders.zones.items()}
     )
-    draw = f"r-{token}"
-    members = Members(tuple(f"{name}#{draw}" for name in names))
-    return Beginning(draw, Snapshot(index, 0, members, msgspec.json.encode(orders)))
+    identity_suffix = f"r-{token}"
+    members = Members(tuple(f"{name}#{identity_suffix}" for name in founder_names))
+    return RestoredStore(identity_suffix, Snapshot(index, 0, members, msgspec.json.encode(image)))
--- a/latchspoke/configstore/replacements.py
+++ b/latchspoke/configstore/replacements.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from latchspoke.configstore.orders import TAKEN
-from latchspoke.configstore.simulation import World, replace
-from latchspoke.configstore.voters import Place
+from latchspoke.configstore.config_state import TAKEN
+from latchspoke.configstore.simulation import Cluster, replace_command
+from latchspoke.configstore.voters import Location
 
 SIZES = (3, 4, 5, 6, 7, 12)  # control machines
 REGIONS = 3
@@ -25,138 +25,150 @@
 CATCH_UPS = (4.0, 6.0)  # s; the deployments' ``catchUpS``
 
 
-def places(names: list[str]) -> dict[str, Place]:
+def spread_over_regions(names: list[str]) -> dict[str, Location]:
     """Machines dealt over the regions in turn, each in a zone with at most one other."""
     return {
-        name: Place(f"z{number % (2 * REGIONS)}", f"r{number % REGIONS}") for number, name in enumerate(names)
+        name: Location(f"z{number % (2 * REGIONS)}", f"r{number % REGIONS}")
+        for number, name in enumerate(names)
     }
 
 
 @dataclass
-class Run:
+class LossSchedule:
     """One run, drawn from its seed."""
 
     seed: int
     size: int = 5
     losses: int = 8
     catch_up: float = 4.0  # s
-    kinds: tuple[str, ...] = ("replaced", "planned", "wiped", "restarted", "leader replaced", "leader killed")
+    loss_kinds: tuple[str, ...] = (
+        "replaced",
+        "planned",
+        "wiped",
+        "restarted",
+        "leader replaced",
+        "leader killed",
+    )
     version: int = 0
-    made: int = 0  # machines that came later
+    successors: int = 0  # machines that came later
     history: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         names = [f"10.{number}.0.1:7600" for number in range(self.size)]
-        self.world = World(self.seed, self.size, places(names), self.catch_up)
-        self.draw = self.world.draw
+        self.cluster = Cluster(self.seed, self.size, spread_over_regions(names), self.catch_up)
+        self.rng = self.cluster.rng
 
     def play(self) -> None:
         """Raises AssertionError where a majority or an order is lost."""
-        self.world.run(SETTLE)
-        self.order()
+        self.cluster.run(SETTLE)
+        self.submit_change()
         for _ in range(self.losses):
-            kind = self.draw.choice(self.kinds)
-            self.history.append(f"{self.world.now:.2f} {kind}")
+            kind = self.rng.choice(self.loss_kinds)
+            self.history.append(f"{self.cluster.now:.2f} {kind}")
             LOSSES[kind](self)
-            self.world.run(self.catch_up)
-            self.order()
-        self.close()
+            self.cluster.run(self.catch_up)
+            self.submit_change()
+        self.power_cycle_all()
 
-    def close(self) -> None:
+    def power_cycle_all(self) -> None:
         """All power goes, and comes back: what was acknowledged is there."""
-        world = self.world
-        names = list(world.up)
+        cluster = self.cluster
+        names = list(cluster.running)
         for name in names:
-            world.kill(name, self.draw.random() < 0.5)
-        for name in self.draw.sample(names, len(names)):
-            world.start(name)
-        world.run(SETTLE)
-        self.order()
-        world.run(1.0)
-        versions = {name: register.orders.version for name, register in world.up.items()}
+            cluster.kill(name, self.rng.random() < 0.5)
+        for name in self.rng.sample(names, len(names)):
+            cluster.start(name)
+        cluster.run(SETTLE)
+        self.submit_change()
+        cluster.run(1.0)
+        versions = {name: register.state.version for name, register in cluster.running.items()}
         assert set(versions.values()) == {self.version}, f"versions {versions} after {self.history}"
 
-    def order(self) -> None:
+    def submit_change(self) -> None:
         """Anybody takes it at once: the loss before this counts no more."""
-        name = self.draw.choice(list(self.world.up))
-        verdict = self.world.order(name, replace(self.version + 1, self.version), ORDER_LIMIT)
+        name = self.rng.choice(list(self.cluster.running))
+        verdict = self.cluster.submit_and_wait(
+            name, replace_command(self.version + 1, self.version), ORDER_LIMIT
+        )
         assert verdict.kind == TAKEN, f"{verdict.kind} {verdict.reason} after {self.history}"
         self.version += 1
 
-    def victim(self, leader: bool) -> str:
-        leads = [register.me for register in self.world.up.values() if register.leads]
-        return leads[0] if leader and leads else self.draw.choice(list(self.world.up))
+    def pick_victim(self, leader: bool) -> str:
+        leads = [register.name for register in self.cluster.running.values() if register.is_leader]
+        return leads[0] if leader and leads else self.rng.choice(list(self.cluster.running))
 
-    def successor(self, name: str) -> None:
+    def start_successor(self, name: str) -> None:
         """An empty machine in the same zone, at another address."""
-        self.made += 1
-        new = f"10.{100 + self.made}.0.1:7600"
-        self.world.places[new] = self.world.places[name]
-        self.world.empty(new)
-        self.world.start(new)
+        self.successors += 1
+        new = f"10.{100 + self.successors}.0.1:7600"
+        self.cluster.locations[new] = self.cluster.locations[name]
+        self.cluster.create_disk(new)
+        self.cluster.start(new)
 
-    def lose(self, name: str) -> None:
-        self.world.kill(name, self.draw.random() < 0.5)
-        self.world.meet()
+    def stop_machine(self, name: str) -> None:
+        self.cluster.kill(name, self.rng.random() < 0.5)
+        self.cluster.announce_running()
 
     # Losses. Each ends at the start of what makes it good.
 
-    def replaced(self, leader: bool = False) -> None:
-        name = self.victim(leader)
-        self.lose(name)
-        self.world.run(self.draw.uniform(0.3, 2.0))
-        self.successor(name)
+    def replace_machine(self, leader: bool = False) -> None:
+        name = self.pick_victim(leader)
+        self.stop_machine(name)
+        self.cluster.run(self.rng.uniform(0.3, 2.0))
+        self.start_successor(name)
 
-    def planned(self) -> None:
+    def replace_planned(self) -> None:
         """The new one first; the old one hands over, and ends."""
-        name = self.victim(self.draw.random() < 0.5)
-        self.successor(name)
-        self.world.run(self.draw.uniform(0.3, 2.0))
-        self.world.up[name].leave(self.world.now)
-        self.world.turn(name)
-        self.world.run(0.3)
-        self.lose(name)
-
-    def wiped(self) -> None:
-        name = self.victim(self.draw.random() < 0.5)
-        self.lose(name)
-        self.world.empty(name)
-        self.world.run(self.draw.uniform(0.3, 3.0))
-        self.world.start(name)
-
-    def restarted(self, leader: bool = False) -> None:
+        name = self.pick_victim(self.rng.random() < 0.5)
+        self.start_successor(name)
+        self.cluster.run(self.rng.uniform(0.3, 2.0))
+        self.cluster.running[name].leave(self.cluster.now)
+        self.cluster.process(name)
+        self.cluster.run(0.3)
+        self.stop_machine(name)
+
+    def wipe_machine(self) -> None:
+        name = self.pick_victim(self.rng.random() < 0.5)
+        self.stop_machine(name)
+        self.cluster.create_disk(name)
+        self.cluster.run(self.rng.uniform(0.3, 3.0))
+        self.cluster.start(name)
+
+    def restart_machine(self, leader: bool = False) -> None:
         """Its disk comes back with it, perhaps after others have taken its vote."""
-        name = self.victim(leader)
-        self.lose(name)
-        self.world.run(self.draw.uniform(0.3, 5.0))
-        self.world.start(name)
-
-
-LOSSES: dict[str, Callable[[Run], None]] = {
-    "replaced": Run.replaced,
-    "leader replaced": lambda run: run.replaced(leader=True),
-    "planned": Run.planned,
-    "wiped": Run.wiped,
-    "restarted": Run.restarted,
-    "leader killed": lambda run: run.restarted(leader=True),
+        name = self.pick_victim(leader)
+        self.stop_machine(name)
+        self.cluster.run(self.rng.uniform(0.3, 5.0))
+        self.cluster.start(name)
+
+
+LOSSES: dict[str, Callable[[LossSchedule], None]] = {
+    "replaced": LossSchedule.replace_machine,
+    "leader replaced": lambda run: run.replace_machine(leader=True),
+    "planned": LossSchedule.replace_planned,
+    "wiped": LossSchedule.wipe_machine,
+    "restarted": LossSchedule.restart_machine,
+    "leader killed": lambda run: run.restart_machine(leader=True),
 }
 
 
-def drawn(seed: int) -> Run:
+def schedule_for_seed(seed: int) -> LossSchedule:
     """Groups of each size in turn."""
-    return Run(seed, SIZES[seed % len(SIZES)], catch_up=CATCH_UPS[seed // len(SIZES) % len(CATCH_UPS)])
+    return LossSchedule(
+        seed, SIZES[seed % len(SIZES)], catch_up=CATCH_UPS[seed // len(SIZES) % len(CATCH_UPS)]
+    )
 
 
 def main(first: int, last: int) -> int:
     """Play these seeds; how many broke something."""
     broken = 0
     for seed in range(first, last):
-        run = drawn(seed)
+        run = schedule_for_seed(seed)
         try:
             run.play()
         except AssertionError as e:
             broken += 1
-            print(f"seed={seed} size={run.size} at={run.world.now:.2f} broken={e}", flush=True)
+            print(f"seed={seed} size={run.size} at={run.cluster.now:.2f} broken={e}", flush=True)
     print(f"seeds={last - first} broken={broken}")
     return broken
 
--- a/latchspoke/configstore/replica.py
+++ b/latchspoke/configstore/replica.py
@@ -15,25 +15,27 @@
 from typing import Any
 
 from latchspoke.agent.ledger import Ledger, LedgerError
+from latchspoke.configstore.config_state import UNKNOWN, ApplyPatch, Command, ConfigState, Verdict
 from latchspoke.configstore.messages import Message
-from latchspoke.configstore.orders import UNKNOWN, Command, Orders, Patch, Verdict
-from latchspoke.configstore.register import Answer, Register, draw_of, founding
-from latchspoke.configstore.voters import CATCH_UP, Place
+from latchspoke.configstore.store_node import Answer, StoreNode, founding_snapshot, identity_suffix
+from latchspoke.configstore.voters import DEFAULT_CATCH_UP_S, Location
 from latchspoke.consensus.member import Output
 from latchspoke.consensus.records import name_of
 
-FILE = "register.db"
-STEP = 0.0002  # s; none is set for sooner: a timer a rounding ahead of what is due rings in vain, for ever
-RETRY = 0.25  # s until a write that the disk refused is tried again
-HANDOVER = 0.3  # s that a leader that stops waits for the next one
-REVIVE = 0.5  # s after a fault of the program until the register begins anew from the disk
-PROOF = 5.0  # s; the first proof of a life is asked for again after so long
+DATABASE_FILE = "register.db"
+MIN_TIMER_DELAY_S = (
+    0.0002  # s; none is set for sooner: a timer a rounding ahead of what is due rings in vain, for ever
+)
+DISK_RETRY_S = 0.25  # s until a write that the disk refused is tried again
+HANDOVER_TIMEOUT_S = 0.3  # s that a leader that stops waits for the next one
+RECOVERY_DELAY_S = 0.5  # s after a fault of the program until the register begins anew from the disk
+STARTUP_READ_TIMEOUT_S = 5.0  # s; the first proof of a life is asked for again after so long
 
-Send = Callable[[str, Message], None]  # to the process of a name
-Log = Callable[[str, dict[str, Any]], None]
+SendMessage = Callable[[str, Message], None]  # to the process of a name
+LogEvent = Callable[[str, dict[str, Any]], None]
 
 
-def silent(event: str, fields: dict[str, Any]) -> None:
+def discard_event(event: str, fields: dict[str, Any]) -> None:
     """No log."""
 
 
@@ -42,80 +44,80 @@
 
     def __init__(
         self,
-        me: str,
+        name: str,
         founders: tuple[str, ...],
-        first: bool,
+        first_start: bool,
         home: Path,
-        send: Send,
-        apply_patch: Patch,
-        on_applied: Callable[[Orders], None],
+        send: SendMessage,
+        apply_patch: ApplyPatch,
+        on_applied: Callable[[ConfigState], None],
         clock: Callable[[], float] = time.monotonic,
-        log: Log = silent,
-        draw: random.Random | None = None,
-        catch_up: float = CATCH_UP,
+        log: LogEvent = discard_event,
+        rng: random.Random | None = None,
+        catch_up: float = DEFAULT_CATCH_UP_S,
     ) -> None:
         """``founders``: the seeds; ``first``: the whole system's first start; ``catch_up`` (s): see Register.
 
         Raises LedgerError.
         """
-        self.draw = draw or random.Random()
-        self.me, self.send, self.on_applied, self.clock, self.log = me, send, on_applied, clock, log
-        self.founders, self.first, self.apply_patch = founders, first, apply_patch
+        self.rng = rng or random.Random()
+        self.name, self.send, self.on_applied, self.clock, self.log = name, send, on_applied, clock, log
+        self.founders, self.first_start, self.apply_patch = founders, first_start, apply_patch
         self.catch_up = catch_up
-        self.ledger = Ledger(home / FILE, alone=True)
+        self.ledger = Ledger(home / DATABASE_FILE, alone=True)
         try:
-            self.register = self.begin()
+            self.node = self.load_node()
         except BaseException:
             self.ledger.close()
             raise
-        self.ticket = 0  # the first confirm of this life
+        self.startup_read_id = 0  # the first confirm of this life
         self.failed = False  # a fault of the program: until the register has begun anew
-        self.waiting: dict[int, asyncio.Future[Answer]] = {}
+        self.pending_answers: dict[int, asyncio.Future[Answer]] = {}
         self.loop: asyncio.AbstractEventLoop | None = None
         self.timer: asyncio.Handle | None = None
         self.timer_at = 0.0  # s, on the loop's clock; uvloop's handle for what is due at once can't tell
-        self.woken = False
-        self.refused: Output | None = None  # what the disk wouldn't take
-        self.disk = ""  # why it wouldn't
+        self.turn_scheduled = False
+        self.unsaved_output: Output | None = None  # what the disk wouldn't take
+        self.disk_error = ""  # why it wouldn't
         self.closed = False
 
-    def begin(self) -> Register:
+    def load_node(self) -> StoreNode:
         """From what the disk holds, as after a kill. Raises LedgerError."""
-        draw = draw_of(self.me, self.founders, self.first, secrets.token_hex(4))
-        image = founding(self.founders, Orders(self.apply_patch))
-        stored = self.ledger.start(self.me, draw, draw == "first", image)
-        return Register(
-            stored, self.founders, self.apply_patch, self.draw, self.clock(), catch_up=self.catch_up
+        suffix = identity_suffix(self.name, self.founders, self.first_start, secrets.token_hex(4))
+        image = founding_snapshot(self.founders, ConfigState(self.apply_patch))
+        stored = self.ledger.start(self.name, suffix, suffix == "first", image)
+        return StoreNode(
+            stored, self.founders, self.apply_patch, self.rng, self.clock(), catch_up=self.catch_up
         )
 
     @property
-    def orders(self) -> Orders:
+    def state(self) -> ConfigState:
         """The applied state; don't change it, and don't keep its document over a change."""
-        return self.register.orders
+        return self.node.state
 
     @property
-    def proven(self) -> bool:
+    def read_confirmed(self) -> bool:
         """Whether the state has ever been confirmed in this life; before that it may be an old one."""
-        return self.register.proven
+        return self.node.read_confirmed
 
     @property
     def voters(self) -> set[str]:
         """Names of those of whom a majority decides."""
-        return {name_of(identity) for identity in self.register.member.members.voters}
+        return {name_of(identity) for identity in self.node.member.members.voters}
 
     def start(self) -> None:
         """Inside the running loop."""
         self.loop = asyncio.get_running_loop()
-        self.log("register-starts", {"identity": self.register.member.identity})
+        self.log("register-starts", {"identity": self.node.member.identity})
         self.tick()
 
     async def stop(self) -> None:
         """A leader hands over first, so that nobody waits for an election. What waits here is unknown."""
-        led = not self.idle and self.register.leave(self.clock())
-        self.turn()
-        if led:
-            until = self.clock() + HANDOVER
-            while self.register.leads and self.clock() < until:
+        was_leader = not self.unavailable and self.node.leave(self.clock())
+        self.run_turn()
+        if was_leader:
+            deadline = self.clock() + HANDOVER_TIMEOUT_S
+            while self.node.is_leader and self.clock() < deadline:
                 await asyncio.sleep(0.01)
         self.close()
 
@@ -126,64 +128,64 @@
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
-        self.register.give_up()
-        self.answer()
+        self.node.fail_pending()
+        self.deliver_answers()
         self.ledger.close()
 
     @property
-    def idle(self) -> bool:
+    def unavailable(self) -> bool:
         """Whether nothing is taken in now."""
-        return self.closed or self.failed or self.refused is not None
+        return self.closed or self.failed or self.unsaved_output is not None
 
     # What comes.
 
-    def heard(self, name: str, message: dict[str, Any]) -> None:
+    def receive(self, name: str, message: dict[str, Any]) -> None:
         """Take a message of another process in."""
-        if self.idle:
+        if self.unavailable:
             return
         try:
-            self.register.heard(name, message, self.clock())
+            self.node.receive(name, message, self.clock())
         except Exception as e:
-            self.fail(e)
-        self.wake()
+            self.on_fault(e)
+        self.schedule_turn()
 
-    def peers(self, places: Mapping[str, Place]) -> None:
+    def update_peers(self, locations: Mapping[str, Location]) -> None:
         """The processes of the core that are alive now, this one counted or not, and where they stand."""
-        self.register.peers(places, self.clock())
+        self.node.update_peers(locations, self.clock())
 
     async def submit(self, command: Command, limit: float = 0.9) -> Verdict:
         """The verdict once it stands for good; ``unknown`` (it may still be taken) after ``limit`` (s)."""
-        if self.idle:
-            return Verdict(UNKNOWN, self.disk or "stops", self.orders.version)
-        answer = await self.wait(self.register.submit(command, limit, self.clock()))
+        if self.unavailable:
+            return Verdict(UNKNOWN, self.disk_error or "stops", self.state.version)
+        answer = await self.wait_for_answer(self.node.submit(command, limit, self.clock()))
         assert isinstance(answer, Verdict)
         return answer
 
-    async def confirm(self, limit: float = 0.9, patient: bool = False) -> int | None:
+    async def confirm_read(self, limit: float = 0.9, deferrable: bool = False) -> int | None:
         """An index up to which all is applied here, at least all that was acknowledged before the call.
 
         None where no majority vouches for that within ``limit`` (s).
         """
-        if self.idle:
+        if self.unavailable:
             return None
-        answer = await self.wait(self.register.confirm(limit, self.clock(), patient))
+        answer = await self.wait_for_answer(self.node.confirm_read(limit, self.clock(), deferrable))
         assert not isinstance(answer, Verdict)
         return answer
 
-    async def wait(self, number: int) -> Answer:
+    async def wait_for_answer(self, request_id: int) -> Answer:
         """The answer under this number, once it is there."""
         assert self.loop is not None
         future: asyncio.Future[Answer] = self.loop.create_future()
-        self.waiting[number] = future
-        self.wake()
+        self.pending_answers[request_id] = future
+        self.schedule_turn()
         try:
             return await future
         finally:
-            self.waiting.pop(number, None)
+            self.pending_answers.pop(request_id, None)
 
     def status(self) -> dict[str, Any]:
         """What operators see of this member."""
-        register, member = self.register, self.register.member
+        node, member = self.node, self.node.member
         return {
             "identity": member.identity,
             "role": member.role.value,
@@ -193,134 +195,134 @@
             "learners": list(member.members.learners),
             "guests": list(member.members.non_voters),
             "commit": member.commit_index,
-            "applied": register.applied,
+            "applied": node.applied_index,
             "first": member.log.first_index,
             "last": member.log.last_index,
             "mute": member.boot_unverified,
-            "proven": register.proven,
-            "version": self.orders.version,
-            "evacuated": sorted(self.orders.evacuated),
-            "disk": self.disk,
+            "proven": node.read_confirmed,
+            "version": self.state.version,
+            "evacuated": sorted(self.state.evacuated),
+            "disk": self.disk_error,
             "failed": self.failed,
         }
 
     # What is done.
 
-    def wake(self) -> None:
+    def schedule_turn(self) -> None:
         """One turn for all that comes in one round of the loop: it syncs once for many."""
-        if not self.woken and self.loop is not None:
-            self.woken = True
-            self.loop.call_soon(self.turn)
+        if not self.turn_scheduled and self.loop is not None:
+            self.turn_scheduled = True
+            self.loop.call_soon(self.run_turn)
 
     def tick(self) -> None:
         """The timer has fired: begin anew after a fault, retry the disk, do what is due."""
         self.timer = None
         if self.failed:
-            self.revive()
-        if not self.idle:
-            register = self.register
-            if not register.proven and self.ticket not in register.tickets:
-                self.ticket = register.confirm(PROOF, self.clock())
+            self.recover()
+        if not self.unavailable:
+            node = self.node
+            if not node.read_confirmed and self.startup_read_id not in node.read_deadlines:
+                self.startup_read_id = node.confirm_read(STARTUP_READ_TIMEOUT_S, self.clock())
             try:
-                register.tick(self.clock())
+                node.tick(self.clock())
             except Exception as e:
-                self.fail(e)
-        self.turn()
+                self.on_fault(e)
+        self.run_turn()
 
-    def turn(self) -> None:
+    def run_turn(self) -> None:
         """Store, send and answer all that has come up, and set the timer."""
-        self.woken = False
+        self.turn_scheduled = False
         if self.closed or self.failed:
             return
         try:
-            done = self.work()
+            saved = self.process_outputs()
         except Exception as e:
-            self.fail(e)
+            self.on_fault(e)
             return
-        if not done:
+        if not saved:
             return
-        self.answer()
-        if self.register.changed:
-            self.register.changed = False
-            self.on_applied(self.orders)
-        self.set_timer(max(self.register.due() - self.clock(), 0.0))
+        self.deliver_answers()
+        if self.node.state_changed:
+            self.node.state_changed = False
+            self.on_applied(self.state)
+        self.set_timer(max(self.node.next_tick_at() - self.clock(), 0.0))
 
-    def fail(self, error: Exception) -> None:
+    def on_fault(self, error: Exception) -> None:
         """What is in memory is not to be trusted; what the disk holds is, as after a kill."""
         self.log("register-failed", {"error": repr(error)})
-        self.failed, self.refused = True, None
-        self.register.give_up()
-        self.answer()
-        self.set_timer(REVIVE)
+        self.failed, self.unsaved_output = True, None
+        self.node.fail_pending()
+        self.deliver_answers()
+        self.set_timer(RECOVERY_DELAY_S)
 
-    def revive(self) -> None:
+    def recover(self) -> None:
         """Begin anew from the disk, after a fault of the program."""
-        known = {name: self.register.places[name] for name in self.register.alive}
+        locations = {name: self.node.locations[name] for name in self.node.live_names}
         try:
-            self.register = self.begin()
+            self.node = self.load_node()
         except LedgerError as e:
             self.log("disk-refuses", {"error": str(e)})
-            self.set_timer(REVIVE)
+            self.set_timer(RECOVERY_DELAY_S)
             return
         self.failed = False
-        self.register.peers(known, self.clock())
+        self.node.update_peers(locations, self.clock())
 
-    def work(self) -> bool:
+    def process_outputs(self) -> bool:
         """Whether the disk took all."""
-        register = self.register
+        node = self.node
         while True:
-            output, self.refused = self.refused or register.take(), None
+            output, self.unsaved_output = self.unsaved_output or node.take_output(), None
             if output is None:
-                self.post()
+                self.send_outbox()
                 return True
-            if output.must_store and not self.store(output):
+            if output.must_store and not self.save_output(output):
                 return False
-            register.stored(output, self.clock())
-            for note in output.events:
-                self.log(note.code, {"member": register.member.identity, "detail": note.detail})
-            self.post()
-            snapshot = register.compacted()
+            node.on_stored(output, self.clock())
+            for event in output.events:
+                self.log(event.code, {"member": node.member.identity, "detail": event.detail})
+            self.send_outbox()
+            snapshot = node.compact_if_due()
             if snapshot is not None:
                 try:
                     self.ledger.compact(snapshot)
                 except LedgerError as e:  # the longer log is as good, and the next snapshot covers it
                     self.log("disk-refuses", {"error": str(e)})
 
-    def store(self, output: Output) -> bool:
+    def save_output(self, output: Output) -> bool:
         """Sync an output; False where the disk refuses."""
         try:
             self.ledger.save(output)
         except LedgerError as e:
-            if not self.disk:
+            if not self.disk_error:
                 self.log("disk-refuses", {"error": str(e)})
-            self.refused, self.disk = output, str(e)
-            self.register.give_up()
-            self.answer()
-            self.set_timer(RETRY)
+            self.unsaved_output, self.disk_error = output, str(e)
+            self.node.fail_pending()
+            self.deliver_answers()
+            self.set_timer(DISK_RETRY_S)
             return False
-        if self.disk:
+        if self.disk_error:
             self.log("disk-back", {})
-            self.disk = ""
+            self.disk_error = ""
         return True
 
-    def post(self) -> None:
+    def send_outbox(self) -> None:
         """Send what is to be sent."""
-        outbox, self.register.outbox = self.register.outbox, []
+        outbox, self.node.outbox = self.node.outbox, []
         for name, message in outbox:
             self.send(name, message)
 
-    def answer(self) -> None:
+    def deliver_answers(self) -> None:
         """Hand answers to those who wait for them."""
-        answers, self.register.answers = self.register.answers, []
-        for number, answer in answers:
-            future = self.waiting.get(number)
+        answers, self.node.answers = self.node.answers, []
+        for request_id, answer in answers:
+            future = self.pending_answers.get(request_id)
             if future is not None and not future.done():
                 future.set_result(answer)
 
     def set_timer(self, delay: float) -> None:
         """Wake in at most so long (s); one set before for earlier stays, and looks again."""
         assert self.loop is not None
-        when = self.loop.time() + min(max(delay, STEP), 60.0)
+        when = self.loop.time() + min(max(delay, MIN_TIMER_DELAY_S), 60.0)
         if self.timer is not None:
             if self.timer_at <= when:
                 return
--- a/latchspoke/configstore/simulation.py
+++ b/latchspoke/configstore/simulation.py
@@ -13,18 +13,18 @@
 
 import msgspec
 
+from latchspoke.configstore.config_state import Command, ConfigState, Verdict
 from latchspoke.configstore.messages import Message
-from latchspoke.configstore.orders import Command, Orders, Verdict
-from latchspoke.configstore.register import Answer, Register, draw_of, founding
-from latchspoke.configstore.voters import CATCH_UP, NOWHERE, Place
+from latchspoke.configstore.store_node import Answer, StoreNode, founding_snapshot, identity_suffix
+from latchspoke.configstore.voters import DEFAULT_CATCH_UP_S, UNKNOWN_LOCATION, Location
 from latchspoke.consensus.member import Output
 from latchspoke.consensus.records import Entry, HardState, Snapshot, Stored
 
-DELAY = 0.02  # s, one way
-STEP = 0.05  # s between looks at what is due, at most
+LINK_DELAY_S = 0.02  # s, one way
+STEP_S = 0.05  # s between looks at what is due, at most
 
 
-def patch(document: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+def merge_patch(document: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
     if "bad" in change:
         raise ValueError("a bad patch")
     return {**document, **change}
@@ -60,187 +60,197 @@
         self.entries = {i: e for i, e in self.entries.items() if i > snapshot.index}
 
 
-class World:
+class Cluster:
     """``count`` processes, the first three of them the seeds; all that is decided by chance is ``draw``'s."""
 
     def __init__(
         self,
         seed: int,
         count: int = 5,
-        places: dict[str, Place] | None = None,
-        catch_up: float = CATCH_UP,
+        locations: dict[str, Location] | None = None,
+        catch_up: float = DEFAULT_CATCH_UP_S,
     ) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now = 0.0
         self.names = [f"10.{n}.0.1:7600" for n in range(count)]
         self.seeds = tuple(self.names[:3])
-        self.places = places or {}
+        self.locations = locations or {}
         self.catch_up = catch_up
         self.disks: dict[str, Disk] = {}
-        self.up: dict[str, Register] = {}
-        self.cuts: set[tuple[str, str]] = set()  # from, to
-        self.loss = 0.0
-        self.rate = 0.0  # bytes/s of each link, one way, in order; 0: any number at once, in any order
-        self.busy: dict[tuple[str, str], float] = {}  # until when a link is taken by what was sent before
-        self.keeps = 0.7  # chance, at each look, that a cut goes on holding up a message
+        self.running: dict[str, StoreNode] = {}
+        self.blocked_links: set[tuple[str, str]] = set()  # from, to
+        self.loss_rate = 0.0
+        self.link_bytes_per_s = (
+            0.0  # bytes/s of each link, one way, in order; 0: any number at once, in any order
+        )
+        self.link_busy_until: dict[
+            tuple[str, str], float
+        ] = {}  # until when a link is taken by what was sent before
+        self.hold_probability = 0.7  # chance, at each look, that a cut goes on holding up a message
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.serial = 0
+        self.event_count = 0
         self.answers: dict[tuple[str, int], Callable[[Answer], None]] = {}
-        self.history: dict[int, bytes] = {}  # the one log
+        self.committed: dict[int, bytes] = {}  # the one log
         for name in self.names:
-            self.empty(name, first=True)
+            self.create_disk(name, first_start=True)
             self.start(name)
 
     # The machines.
 
-    def empty(self, name: str, first: bool = False) -> None:
+    def create_disk(self, name: str, first_start: bool = False) -> None:
         """A disk with nothing on it."""
-        draw = draw_of(name, self.seeds, first, f"{self.draw.getrandbits(32):08x}")
-        disk = self.disks[name] = Disk(f"{name}#{draw}")
-        if draw == "first":
-            disk.snapshot = founding(self.seeds, Orders(patch))
-
-    def start(self, name: str) -> Register:
-        draw = random.Random(self.draw.random())
-        register = Register(
-            self.disks[name].start(), self.seeds, patch, draw, self.now, catch_up=self.catch_up
+        suffix = identity_suffix(name, self.seeds, first_start, f"{self.rng.getrandbits(32):08x}")
+        disk = self.disks[name] = Disk(f"{name}#{suffix}")
+        if suffix == "first":
+            disk.snapshot = founding_snapshot(self.seeds, ConfigState(merge_patch))
+
+    def start(self, name: str) -> StoreNode:
+        rng = random.Random(self.rng.random())
+        node = StoreNode(
+            self.disks[name].start(), self.seeds, merge_patch, rng, self.now, catch_up=self.catch_up
         )
-        self.up[name] = register
-        self.meet()
-        return register
+        self.running[name] = node
+        self.announce_running()
+        return node
 
-    def meet(self) -> None:
+    def announce_running(self) -> None:
         """Everybody knows who is up."""
-        places = {name: self.places.get(name, NOWHERE) for name in self.up}
-        for register in self.up.values():
-            register.peers(places, self.now)
+        locations = {name: self.locations.get(name, UNKNOWN_LOCATION) for name in self.running}
+        for node in self.running.values():
+            node.update_peers(locations, self.now)
 
-    def kill(self, name: str, mid_turn: bool = False) -> None:
+    def kill(self, name: str, after_sync: bool = False) -> None:
         """What was not synced is lost; ``mid_turn``: killed after the sync, before anything was said."""
-        register = self.up.pop(name)
-        if mid_turn and (output := register.take()) is not None:
+        node = self.running.pop(name)
+        if after_sync and (output := node.take_output()) is not None:
             self.disks[name].save(output)
         for key in [key for key in self.answers if key[0] == name]:
             del self.answers[key]
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        self.serial += 1
-        heapq.heappush(self.events, (when, self.serial, call))
+    def schedule(self, when: float, call: Callable[[], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.events, (when, self.event_count, call))
 
     def send(self, source: str, target: str, message: Message) -> None:
-        if self.draw.random() < self.loss:
+        if self.rng.random() < self.loss_rate:
             return
         data = msgspec.json.encode(message)
-        late = DELAY * (1 + self.draw.random())
-        if self.rate:
-            begun = max(self.now, self.busy.get((source, target), 0.0))
-            self.busy[source, target] = begun + len(data) / self.rate
-            late = self.busy[source, target] - self.now + DELAY
-        self.at(self.now + late, lambda: self.arrive(source, target, data))
-
-    def arrive(self, source: str, target: str, data: bytes) -> None:
+        delay = LINK_DELAY_S * (1 + self.rng.random())
+        if self.link_bytes_per_s:
+            start = max(self.now, self.link_busy_until.get((source, target), 0.0))
+            self.link_busy_until[source, target] = start + len(data) / self.link_bytes_per_s
+            delay = self.link_busy_until[source, target] - self.now + LINK_DELAY_S
+        self.schedule(self.now + delay, lambda: self.deliver(source, target, data))
+
+    def deliver(self, source: str, target: str, data: bytes) -> None:
         """What a cut holds up comes when it is over, or never."""
-        if (source, target) in self.cuts:
-            if self.draw.random() < self.keeps:
-                self.at(self.now + STEP, lambda: self.arrive(source, target, data))
+        if (source, target) in self.blocked_links:
+            if self.rng.random() < self.hold_probability:
+                self.schedule(self.now + STEP_S, lambda: self.deliver(source, target, data))
             return
-        register = self.up.get(target)
-        if register is not None:
-            register.heard(source, msgspec.json.decode(data), self.now)
-            self.turn(target)
+        node = self.running.get(target)
+        if node is not None:
+            node.receive(source, msgspec.json.decode(data), self.now)
+            self.process(target)
 
-    def turn(self, name: str) -> None:
-        register = self.up[name]
+    def process(self, name: str) -> None:
+        node = self.running[name]
         while True:
-            output = register.take()
+            output = node.take_output()
             if output is not None:
                 if output.must_store:
                     self.disks[name].save(output)
-                self.check(register, output)
-                register.stored(output, self.now)
-                if (snapshot := register.compacted()) is not None:
+                self.check_committed(node, output)
+                node.on_stored(output, self.now)
+                if (snapshot := node.compact_if_due()) is not None:
                     self.disks[name].compact(snapshot)
-            outbox, register.outbox = register.outbox, []
+            outbox, node.outbox = node.outbox, []
             for target, message in outbox:
                 self.send(name, target, message)
             if output is None:
                 break
-        answers, register.answers = register.answers, []
+        answers, node.answers = node.answers, []
         for number, answer in answers:
-            if (back := self.answers.pop((name, number), None)) is not None:
-                back(answer)
+            if (on_answer := self.answers.pop((name, number), None)) is not None:
+                on_answer(answer)
 
-    def check(self, register: Register, output: Output) -> None:
+    def check_committed(self, node: StoreNode, output: Output) -> None:
         """One history, at every member."""
         for entry in output.committed:
             data = msgspec.msgpack.encode(entry)
-            assert self.history.setdefault(entry.index, data) == data, f"two entries at {entry.index}"
+            assert self.committed.setdefault(entry.index, data) == data, f"two entries at {entry.index}"
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.now < until:
-            look = min(until, self.now + STEP)
-            while self.events and self.events[0][0] <= look:
+            step_end = min(until, self.now + STEP_S)
+            while self.events and self.events[0][0] <= step_end:
                 when, _, call = heapq.heappop(self.events)
                 self.now = max(self.now, when)
                 call()
-            self.now = look
-            for name in list(self.up):
-                before = self.up[name].orders.version
-                if self.up[name].due() <= self.now:
-                    self.up[name].tick(self.now)
-                self.turn(name)
-                assert self.up[name].due() > self.now - STEP, "a tick that changes nothing is asked for"
-                assert self.up[name].orders.version >= before, "a version went back"
+            self.now = step_end
+            for name in list(self.running):
+                before = self.running[name].state.version
+                if self.running[name].next_tick_at() <= self.now:
+                    self.running[name].tick(self.now)
+                self.process(name)
+                assert self.running[name].next_tick_at() > self.now - STEP_S, (
+                    "a tick that changes nothing is asked for"
+                )
+                assert self.running[name].state.version >= before, "a version went back"
 
     # What is asked of it.
 
-    def leader(self) -> Register:
-        return max((r for r in self.up.values() if r.leads), key=lambda r: r.member.term)
+    def leader(self) -> StoreNode:
+        return max((r for r in self.running.values() if r.is_leader), key=lambda r: r.member.term)
 
-    def settled(self, names: list[str] | None = None) -> bool:
+    def is_converged(self, names: list[str] | None = None) -> bool:
         """A leader, and all these up to date with it."""
-        leaders = [r for r in self.up.values() if r.leads and r.member.committed_in_term]
+        leaders = [r for r in self.running.values() if r.is_leader and r.member.committed_in_term]
         return bool(leaders) and all(
-            self.up[n].applied == leaders[0].applied for n in names or self.names if n in self.up
+            self.running[n].applied_index == leaders[0].applied_index
+            for n in names or self.names
+            if n in self.running
         )
 
-    def submit(self, name: str, command: Command, back: Callable[[Answer], None], limit: float = 0.9) -> None:
-        number = self.up[name].submit(command, limit, self.now)
-        self.answers[name, number] = back
-        self.turn(name)
+    def submit(
+        self, name: str, command: Command, on_answer: Callable[[Answer], None], limit: float = 0.9
+    ) -> None:
+        number = self.running[name].submit(command, limit, self.now)
+        self.answers[name, number] = on_answer
+        self.process(name)
 
-    def confirm(
-        self, name: str, back: Callable[[Answer], None], limit: float = 0.9, patient: bool = False
+    def confirm_read(
+        self, name: str, on_answer: Callable[[Answer], None], limit: float = 0.9, deferrable: bool = False
     ) -> None:
-        number = self.up[name].confirm(limit, self.now, patient)
-        self.answers[name, number] = back
-        self.turn(name)
+        number = self.running[name].confirm_read(limit, self.now, deferrable)
+        self.answers[name, number] = on_answer
+        self.process(name)
 
-    def order(self, name: str, command: Command, limit: float = 0.9) -> Verdict:
+    def submit_and_wait(self, name: str, command: Command, limit: float = 0.9) -> Verdict:
         """Submit, and run until it is answered."""
-        found: list[Answer] = []
-        self.submit(name, command, found.append, limit)
-        until = self.now + limit + 2 * STEP
-        while not found and self.now < until:
-            self.run(STEP / 5)
-        assert found and isinstance(found[0], Verdict)
-        return found[0]
-
-    def proof(self, name: str, limit: float = 0.9) -> int | None:
-        found: list[Answer] = []
-        self.confirm(name, found.append, limit)
-        until = self.now + limit + 2 * STEP
-        while not found and self.now < until:
-            self.run(STEP / 5)
-        assert found and not isinstance(found[0], Verdict)
-        return found[0]
+        answers: list[Answer] = []
+        self.submit(name, command, answers.append, limit)
+        deadline = self.now + limit + 2 * STEP_S
+        while not answers and self.now < deadline:
+            self.run(STEP_S / 5)
+        assert answers and isinstance(answers[0], Verdict)
+        return answers[0]
+
+    def read_and_wait(self, name: str, limit: float = 0.9) -> int | None:
+        answers: list[Answer] = []
+        self.confirm_read(name, answers.append, limit)
+        deadline = self.now + limit + 2 * STEP_S
+        while not answers and self.now < deadline:
+            self.run(STEP_S / 5)
+        assert answers and not isinstance(answers[0], Verdict)
+        return answers[0]
 
     def voters(self) -> set[str]:
         return set(self.leader().member.members.voters)
 
 
-def replace(version: int, base: int, text: str = "") -> Command:
+def replace_command(version: int, base: int, text: str = "") -> Command:
     digest = f"d{version}{text}"
     return {
         "do": "replace",
@@ -251,7 +261,7 @@
     }
 
 
-def modify(version: int, base: int, **change: object) -> Command:
+def modify_command(version: int, base: int, **change: object) -> Command:
     return {
         "do": "modify",
         "version": version,
--- a/latchspoke/configstore/voters.py
+++ b/latchspoke/configstore/voters.py
@@ -25,76 +25,76 @@
 
 from latchspoke.consensus.records import Members, name_of
 
-VOTERS_MOST = 7  # survives three lost machines; odd
-FORGET = 15.0  # s without a word after which a guest is no longer replicated to
-LOST_SHARE = 0.25  # of ``catchUpS``: silence after which a voter's place is given to a guest
-LOST_LEAST = 0.9  # s; six heartbeats and more than an election, whatever ``catchUpS`` is
-PAUSE = 0.4  # s between two looks that say that this process itself stood still
-CATCH_UP = 4.0  # s, if no bound tells
+MAX_VOTERS = 7  # survives three lost machines; odd
+NON_VOTER_EXPIRY_S = 15.0  # s without a word after which a guest is no longer replicated to
+LOST_FRACTION = 0.25  # of ``catchUpS``: silence after which a voter's place is given to a guest
+MIN_LOST_AFTER_S = 0.9  # s; six heartbeats and more than an election, whatever ``catchUpS`` is
+MAX_OBSERVATION_GAP_S = 0.4  # s between two looks that say that this process itself stood still
+DEFAULT_CATCH_UP_S = 4.0  # s, if no bound tells
 
 
-class Place(NamedTuple):
+class Location(NamedTuple):
     """Where a machine stands."""
 
     zone: str = ""
     region: str = ""
 
 
-NOWHERE = Place()
+UNKNOWN_LOCATION = Location()
 
 
-class Contacts(msgspec.Struct):
+class MemberLiveness(msgspec.Struct):
     """When the leader last heard from each member, by identity.
 
     Silence counts only while this process leads, has a majority and runs: neither a new leader nor one that
     was frozen takes its own absence for that of the others.
     """
 
-    catch_up: float = CATCH_UP
-    heard: dict[str, float] = msgspec.field(default_factory=dict)
+    catch_up: float = DEFAULT_CATCH_UP_S
+    heard_at: dict[str, float] = msgspec.field(default_factory=dict)
     leaving: dict[str, int] = msgspec.field(default_factory=dict)  # identity -> the start in which it said so
-    since: float = math.inf
-    looked: float = -math.inf
+    counted_from: float = math.inf
+    observed_at: float = -math.inf
 
     @property
     def lost_after(self) -> float:
         """Silence (s) after which a voter's place may be given away."""
-        return max(LOST_SHARE * self.catch_up, LOST_LEAST)
+        return max(LOST_FRACTION * self.catch_up, MIN_LOST_AFTER_S)
 
-    def begin(self, now: float) -> None:
+    def start_term(self, now: float) -> None:
         """A term as leader begins."""
-        self.heard.clear()
-        self.since = self.looked = now
+        self.heard_at.clear()
+        self.counted_from = self.observed_at = now
 
-    def look(self, now: float, majority: bool) -> None:
+    def observe(self, now: float, has_majority: bool) -> None:
         """Called whenever the leader looks; ``majority``: whether one has answered lately."""
-        if not majority or now - self.looked > PAUSE:
-            self.since = now
-        self.looked = now
+        if not has_majority or now - self.observed_at > MAX_OBSERVATION_GAP_S:
+            self.counted_from = now
+        self.observed_at = now
 
-    def hear(self, identity: str, at: float) -> None:
+    def record_contact(self, identity: str, at: float) -> None:
         """Something came from this member at this time."""
-        self.heard[identity] = max(self.heard.get(identity, at), at)
+        self.heard_at[identity] = max(self.heard_at.get(identity, at), at)
 
     def silence(self, identity: str, now: float) -> float:
         """How long (s) nothing has come from it while it could have."""
-        return now - max(self.heard.get(identity, -math.inf), self.since)
+        return now - max(self.heard_at.get(identity, -math.inf), self.counted_from)
 
-    def leaves(self, identity: str, boot: int) -> None:
+    def mark_leaving(self, identity: str, boot: int) -> None:
         """It is about to stop; its vote may go to a guest at once."""
         self.leaving[identity] = boot
 
-    def started(self, identity: str, boot: int) -> None:
+    def mark_started(self, identity: str, boot: int) -> None:
         """It has been heard in this start of its process."""
         if boot > self.leaving.get(identity, boot):
             del self.leaving[identity]
 
-    def lost(self, identity: str, now: float) -> bool:
+    def is_lost(self, identity: str, now: float) -> bool:
         """Whether this member's vote may be given to a guest."""
         return identity in self.leaving or self.silence(identity, now) >= self.lost_after
 
 
-class Newcomer(msgspec.Struct, frozen=True):
+class JoinCandidate(msgspec.Struct, frozen=True):
     """A process that asks to be a member."""
 
     identity: str
@@ -105,85 +105,89 @@
         return name_of(self.identity)
 
 
-class View(msgspec.Struct, frozen=True):
+class MembershipView(msgspec.Struct, frozen=True):
     """What a leader knows when it decides."""
 
-    me: str  # the leader's own identity
+    leader: str  # the leader's own identity
     members: Members
-    ready: frozenset[str]  # guests that answer and have caught up
+    caught_up: frozenset[str]  # guests that answer and have caught up
     lost: frozenset[str]
-    forgotten: frozenset[str]  # silent for so long that they need not be replicated to
-    places: Mapping[str, Place]  # by name
+    expired: frozenset[str]  # silent for so long that they need not be replicated to
+    locations: Mapping[str, Location]  # by name
 
-    def place(self, identity: str) -> Place:
+    def location(self, identity: str) -> Location:
         """Where a member stands, as far as is known."""
-        return self.places.get(name_of(identity), NOWHERE)
+        return self.locations.get(name_of(identity), UNKNOWN_LOCATION)
 
-    def sound(self) -> list[str]:
+    def live_voters(self) -> list[str]:
         """Voters that are not lost."""
         return [voter for voter in self.members.voters if voter not in self.lost]
 
-    def guests(self) -> list[str]:
+    def eligible_non_voters(self) -> list[str]:
         """Guests that may vote at once."""
-        return [guest for guest in self.members.non_voters if guest in self.ready and guest not in self.lost]
+        return [
+            non_voter
+            for non_voter in self.members.non_voters
+            if non_voter in self.caught_up and non_voter not in self.lost
+        ]
 
 
-def next_members(view: View, newcomers: Iterable[Newcomer]) -> Members | None:
+def next_members(view: MembershipView, candidates: Iterable[JoinCandidate]) -> Members | None:
     """The next change to propose, or None where all is as it should be."""
-    changed = admit(view.members, newcomers)
+    changed = admit(view.members, candidates)
     if changed is None:
-        changed = forget(view)
+        changed = expire_non_voters(view)
     return changed if changed is not None else next_voters(view)
 
 
-def admit(old: Members, newcomers: Iterable[Newcomer]) -> Members | None:
+def admit(current: Members, candidates: Iterable[JoinCandidate]) -> Members | None:
     """All newcomers as guests, in one change, as far as it takes at most one vote.
 
     One that bears the name of a member has lost its disk and comes in that member's place.
     """
-    members = old
-    for newcomer in newcomers:
-        former = [identity for identity in members.all if name_of(identity) == newcomer.name]
-        if newcomer.identity in former:
+    members = current
+    for candidate in candidates:
+        same_name = [identity for identity in members.all if name_of(identity) == candidate.name]
+        if candidate.identity in same_name:
             continue
-        rest = without(members, former)
-        if len(set(rest.voters) ^ set(old.voters)) > 1:
+        rest = without(members, same_name)
+        if len(set(rest.voters) ^ set(current.voters)) > 1:
             continue
-        members = msgspec.structs.replace(rest, non_voters=(*rest.non_voters, newcomer.identity))
-    return members if members != old else None
+        members = msgspec.structs.replace(rest, non_voters=(*rest.non_voters, candidate.identity))
+    return members if members != current else None
 
 
-def forget(view: View) -> Members | None:
+def expire_non_voters(view: MembershipView) -> Members | None:
     """Guests that have been silent for long are replicated to no more; they ask again when they return."""
-    idle = [identity for identity in view.members.all if identity in view.forgotten]
-    idle = [identity for identity in idle if identity not in view.members.voters]
-    return without(view.members, idle) if idle else None
+    expired = [identity for identity in view.members.all if identity in view.expired]
+    expired = [identity for identity in expired if identity not in view.members.voters]
+    return without(view.members, expired) if expired else None
 
 
-def next_voters(view: View) -> Members | None:
+def next_voters(view: MembershipView) -> Members | None:
     """One voter less, or one more."""
-    voters, guests = view.members.voters, view.guests()
-    if len(voters) > VOTERS_MOST:
+    voters, non_voters = view.members.voters, view.eligible_non_voters()
+    if len(voters) > MAX_VOTERS:
         return demote(view, most_crowded(view))
-    lost = [voter for voter in voters if voter in view.lost and voter != view.me]
-    if lost and guests:
+    lost = [voter for voter in voters if voter in view.lost and voter != view.leader]
+    if lost and non_voters:
         return demote(view, lost[0])
-    if guests and (len(voters) % 2 == 0 or (len(guests) > 1 and len(voters) < VOTERS_MOST)):
-        return promote(view, least_crowded(view, guests))
-    if guests and not lost and (better := better_place(view, guests)):
+    if non_voters and (len(voters) % 2 == 0 or (len(non_voters) > 1 and len(voters) < MAX_VOTERS)):
+        return promote(view, least_crowded(view, non_voters))
+    if non_voters and not lost and (better := better_located(view, non_voters)):
         return promote(view, better)
-    if len(voters) % 2 == 0 and not lost and outweighs(view):
+    if len(voters) % 2 == 0 and not lost and region_outweighs_rest(view):
         return demote(view, most_crowded(view))
     return None
 
 
-def promote(view: View, guest: str) -> Members:
+def promote(view: MembershipView, non_voter: str) -> Members:
     """The same membership, in which this guest votes."""
-    rest = without(view.members, (guest,))
-    return msgspec.structs.replace(rest, voters=(*rest.voters, guest))
+    rest = without(view.members, (non_voter,))
+    return msgspec.structs.replace(rest, voters=(*rest.voters, non_voter))
 
 
-def demote(view: View, voter: str) -> Members:
+def demote(view: MembershipView, voter: str) -> Members:
     """A lost voter is no member any more until it asks; a sound one goes on as a guest."""
     rest = without(view.members, (voter,))
     if voter in view.lost:
@@ -191,60 +195,65 @@
     return msgspec.structs.replace(rest, non_voters=(*rest.non_voters, voter))
 
 
-def crowds(view: View) -> tuple[Counter[str], Counter[str]]:
+def voter_counts(view: MembershipView) -> tuple[Counter[str], Counter[str]]:
     """Sound voters by region, and by zone."""
-    places = [view.place(voter) for voter in view.sound()]
-    return Counter(place.region for place in places), Counter(place.zone for place in places)
+    locations = [view.location(voter) for voter in view.live_voters()]
+    return Counter(location.region for location in locations), Counter(
+        location.zone for location in locations
+    )
 
 
-def least_crowded(view: View, guests: Collection[str]) -> str:
+def least_crowded(view: MembershipView, candidates: Collection[str]) -> str:
     """The guest whose vote stands where the fewest others do."""
-    regions, zones = crowds(view)
+    regions, zones = voter_counts(view)
 
-    def crowd(guest: str) -> tuple[int, int, str]:
-        place = view.place(guest)
-        return regions[place.region], zones[place.zone], guest
+    def crowd(candidate: str) -> tuple[int, int, str]:
+        location = view.location(candidate)
+        return regions[location.region], zones[location.zone], candidate
 
-    return min(guests, key=crowd)
+    return min(candidates, key=crowd)
 
 
-def most_crowded(view: View) -> str:
+def most_crowded(view: MembershipView) -> str:
     """The voter that is missed least: a lost one, or one where the most others stand; never the leader."""
-    regions, zones = crowds(view)
+    regions, zones = voter_counts(view)
 
     def crowd(voter: str) -> tuple[bool, int, int, str]:
-        place = view.place(voter)
-        return voter in view.lost, regions[place.region], zones[place.zone], voter
+        location = view.location(voter)
+        return voter in view.lost, regions[location.region], zones[location.zone], voter
 
-    return max((voter for voter in view.members.voters if voter != view.me), key=crowd)
+    return max((voter for voter in view.members.voters if voter != view.leader), key=crowd)
 
 
-def better_place(view: View, guests: Collection[str]) -> str:
+def better_located(view: MembershipView, candidates: Collection[str]) -> str:
     """A guest whose vote, in place of one in a crowded region or zone, lets more survive; '' if none."""
-    known = [guest for guest in guests if view.place(guest) != NOWHERE]
-    if not known or any(view.place(voter) == NOWHERE for voter in view.members.voters):
+    located = [candidate for candidate in candidates if view.location(candidate) != UNKNOWN_LOCATION]
+    if not located or any(view.location(voter) == UNKNOWN_LOCATION for voter in view.members.voters):
         return ""
-    guest, crowded = least_crowded(view, known), most_crowded(view)
-    regions, zones = crowds(view)
-    here, there = view.place(guest), view.place(crowded)
-    if regions[there.region] - regions[here.region] > 1:
-        return guest
-    even = regions[there.region] == regions[here.region] or here.region == there.region
-    return guest if even and zones[there.zone] - zones[here.zone] > 1 else ""
+    candidate, crowded_voter = least_crowded(view, located), most_crowded(view)
+    regions, zones = voter_counts(view)
+    candidate_location, crowded_location = view.location(candidate), view.location(crowded_voter)
+    if regions[crowded_location.region] - regions[candidate_location.region] > 1:
+        return candidate
+    even = (
+        regions[crowded_location.region] == regions[candidate_location.region]
+        or candidate_location.region == crowded_location.region
+    )
+    return candidate if even and zones[crowded_location.zone] - zones[candidate_location.zone] > 1 else ""
 
 
-def outweighs(view: View) -> bool:
+def region_outweighs_rest(view: MembershipView) -> bool:
     """Whether one region holds so many of an even number of voters that an odd number survives its loss."""
-    regions, _ = crowds(view)
+    regions, _ = voter_counts(view)
     voters = len(view.members.voters)
-    most = max(regions.values(), default=0)
-    return len(regions) > 1 and voters > 2 and voters - most < voters // 2 + 1 <= voters - most + 1
+    largest = max(regions.values(), default=0)
+    return len(regions) > 1 and voters > 2 and voters - largest < voters // 2 + 1 <= voters - largest + 1
 
 
-def without(members: Members, those: Collection[str]) -> Members:
+def without(members: Members, removed: Collection[str]) -> Members:
     """The same membership but for these identities."""
-    voters, learners, guests = (
-        tuple(identity for identity in group if identity not in those)
+    voters, learners, non_voters = (
+        tuple(identity for identity in group if identity not in removed)
         for group in (members.voters, members.learners, members.non_voters)
     )
-    return Members(voters, learners, members.former, guests)
+    return Members(voters, learners, members.former, non_voters)
--- a/latchspoke/controlplane/evacuations.py
+++ b/latchspoke/controlplane/evacuations.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from latchspoke.configstore.orders import Orders
+from latchspoke.configstore.config_state import ConfigState
 
 REPEAT_PART = 0.75  # of ``ackS``; callers' pauses, with one or two machines that say nothing, take no longer
 
@@ -49,10 +49,10 @@
         self.changes: dict[str, Change] = {}
         self.begins: dict[str, float] = {}  # when a begin was last acknowledged
 
-    def applied(self, orders: Orders, now: float, seen: bool) -> None:
+    def applied(self, orders: ConfigState, now: float, seen: bool) -> None:
         """The store has applied orders. ``seen``: at about the time at which they were committed."""
         for zone in orders.zones:
-            standing = orders.standing(zone)
+            standing = orders.evacuation_count(zone)
             before = self.standing.get(zone, 0)
             if standing == before:
                 continue
@@ -65,9 +65,9 @@
         """A begin was answered with success at ``now``."""
         self.begins[zone] = max(self.begins.get(zone, -math.inf), now)
 
-    def judge(self, zone: str, begins: bool, orders: Orders, ack_s: float, now: float) -> Kind:
+    def judge(self, zone: str, begins: bool, orders: ConfigState, ack_s: float, now: float) -> Kind:
         """What a call that comes now is taken for. ``ack_s``: the longest time over which one is repeated."""
-        if not orders.standing(zone):
+        if not orders.evacuation_count(zone):
             return Kind.FIRST
         place = orders.zones[zone][0]
         change = self.changes.get(zone)
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -11,10 +11,10 @@
 
 from latchspoke import node_process
 from latchspoke.agent.ledger import LedgerError
-from latchspoke.configstore.orders import UNCHECKED, Verdict
-from latchspoke.configstore.orders import Orders as Kept
+from latchspoke.configstore.config_state import UNCHECKED, Verdict
+from latchspoke.configstore.config_state import ConfigState as Kept
 from latchspoke.configstore.replica import Replica
-from latchspoke.configstore.voters import CATCH_UP, Place
+from latchspoke.configstore.voters import DEFAULT_CATCH_UP_S, Location
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.consensus.records import name_of
 from latchspoke.controlplane.calls import (
@@ -92,7 +92,7 @@
         self.replica = Replica(
             self.me, founders, s.first, Path(s.data), self.to_register, apply_patch,  # type: ignore[arg-type]
             self.applied, self.clock.now, lambda event, fields: log(event, **fields),
-            catch_up=s.bound("catchUpS", CATCH_UP),
+            catch_up=s.bound("catchUpS", DEFAULT_CATCH_UP_S),
         )  # fmt: skip
         meta = {
             "role": "core",
@@ -136,13 +136,13 @@
 
     def applied(self, kept: Kept) -> None:
         """The operator's word as committed: the only one that is ever told."""
-        self.evacuations.applied(kept, self.clock.now(), self.replica.proven)
-        if self.replica.proven:
+        self.evacuations.applied(kept, self.clock.now(), self.replica.read_confirmed)
+        if self.replica.read_confirmed:
             self.tell_orders()
 
     def tell_orders(self) -> None:
         """Tell gateways the newest orders, if they are news."""
-        kept = self.replica.orders
+        kept = self.replica.state
         orders = Orders(kept.index, kept.version, kept.document, kept.evacuated)
         if self.board.order(orders, self.clock.now()):
             log(
@@ -185,7 +185,7 @@
     async def confirmed(self) -> int | None:
         """Up to which index this machine surely knows all; None where that can't be proven now."""
         try:
-            return await self.replica.confirm(LIMIT, patient=self.board.orders.index > 0)
+            return await self.replica.confirm_read(LIMIT, deferrable=self.board.orders.index > 0)
         except Exception as e:  # one round that fails must not be the last
             log("proof-failed", why=repr(e))
             return None
@@ -227,7 +227,7 @@
         """From another control machine, whichever way it came; whether it is such a message."""
         match message.get("k"):
             case "reg":
-                self.replica.heard(name, message["m"])
+                self.replica.receive(name, message["m"])
             case "roster":
                 answer({"k": "got", "n": message["n"]} if "n" in message else HEARD)
                 self.learn(message, now)
@@ -456,7 +456,7 @@
         for _ in range(CHECKS):
             try:
                 command, faults = self.read_order(body)
-                if command.get("unchecked") and await self.replica.confirm(LIMIT) is None:
+                if command.get("unchecked") and await self.replica.confirm_read(LIMIT) is None:
                     return 503, {"errorText": "no majority can be reached"}
                 if command.get("unchecked"):
                     # What it builds on may not have come here before.
@@ -477,7 +477,7 @@
         ``unchecked`` marks a change that builds on another version than the one that is known here, so that
         nobody has checked yet what comes of it.
         """
-        orders = self.replica.orders
+        orders = self.replica.state
         command, faults = read_configuration(body, orders.document, orders.version)
         if command["do"] == "modify" and command["base"] != orders.version:
             command["unchecked"] = True
@@ -503,16 +503,16 @@
 
     async def read(self) -> Answer:
         """The newest configuration, whole; 503 without a majority."""
-        if await self.replica.confirm(LIMIT) is None:
+        if await self.replica.confirm_read(LIMIT) is None:
             return 503, {"errorText": "no majority can be reached"}
-        kept = self.replica.orders
+        kept = self.replica.state
         if kept.document is None:
             return 503, {"errorText": "there is no configuration yet"}
         return 200, kept.document
 
     async def copy(self) -> Answer:
         """The operator's word as a file may hold it, at least as new as all that was acknowledged."""
-        if await self.replica.confirm(LIMIT) is None:
+        if await self.replica.confirm_read(LIMIT) is None:
             return 503, {"errorText": "no majority can be reached"}
         return self.show("copy")
 
@@ -532,22 +532,22 @@
         zone, begins = asked.of, asked.name.endswith("begin")
         if zone not in self.settings.zones:
             return 400, {"errorText": f"zone {zone[:60]!r} is not known"}
-        if await self.replica.confirm(LIMIT) is None:
+        if await self.replica.confirm_read(LIMIT) is None:
             return 503, {"errorText": "no majority can be reached"}
         if caller.gone:
             return 503, {"errorText": "the caller has left"}
-        orders, ack = self.replica.orders, self.settings.bound("ackS", ACK)
+        orders, ack = self.replica.state, self.settings.bound("ackS", ACK)
         kind = self.evacuations.judge(zone, begins, orders, ack, self.clock.now())
         if kind is Kind.UNCLEAR:
             return 503, {"errorText": "another evacuation of it was taken back a moment ago: send it again"}
         command: dict[str, Any] = {"do": "evacuate" if begins else "restore", "zone": zone}
         if kind is Kind.ANOTHER:
-            command["stand"] = orders.standing(zone)
+            command["stand"] = orders.evacuation_count(zone)
         status, told = await self.put(command)
         if status == 200 and begins:
             self.evacuations.acknowledged(zone, self.clock.now())
             self.peers.all({"k": "moved", "z": {}, "a": {}, "c": {zone: 0.0}})
-        return status, told | {"standing": self.replica.orders.standing(zone)}
+        return status, told | {"standing": self.replica.state.evacuation_count(zone)}
 
     # Who there is.
 
@@ -561,13 +561,13 @@
     def core_changed(self) -> None:
         """Tell the replicated store and the connections which control machines are alive."""
         alive = {
-            f"{m.host}:{m.port}": Place(str(m.meta.get("zone", "")), str(m.meta.get("region", "")))
+            f"{m.host}:{m.port}": Location(str(m.meta.get("zone", "")), str(m.meta.get("region", "")))
             for m in self.post.membership.alive.values()
             if m.meta.get("role") == "core"
         }
-        named = {name_of(identity) for identity in self.replica.register.member.members.all}
+        named = {name_of(identity) for identity in self.replica.node.member.members.all}
         self.peers.known(alive, named)
-        self.replica.peers(alive)
+        self.replica.update_peers(alive)
 
     # Life.
 
@@ -594,7 +594,7 @@
         news = self.registry.sweep(now, judge=now - self.together_at > ALONE)
         self.to_gateways.tell(news, now)
         self.ledger.sweep(now)
-        if self.replica.proven and self.board.orders.index < self.replica.orders.index:
+        if self.replica.read_confirmed and self.board.orders.index < self.replica.state.index:
             self.tell_orders()
         self.core_changed()
         self.watch.look(now)
--- a/latchspoke/controlplane/peers.py
+++ b/latchspoke/controlplane/peers.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 
-from latchspoke.configstore.voters import Place
+from latchspoke.configstore.voters import Location
 from latchspoke.controlplane.fanout import PASS_ON, Regions
 from latchspoke.controlplane.relays import Relays
 from latchspoke.transport.wire import Message, Wire, dial
@@ -100,7 +100,7 @@
         self.links: dict[str, Link] = {}
         self.alive: set[str] = set()
 
-    def known(self, places: Mapping[str, Place], keep: set[str]) -> None:
+    def known(self, places: Mapping[str, Location], keep: set[str]) -> None:
         """Those that are alive; ``keep``: also those that may come back, as the register counts on them."""
         names = self.alive = set(places)
         self.regions.of.update((name, place.region) for name, place in places.items())
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -43,7 +43,7 @@
 
 def history(node: Node) -> list[dict[str, Any]]:
     """The versions that the register remembers, the newest first; a digest names what the operator sent."""
-    kept = node.replica.orders
+    kept = node.replica.state
     return [
         {"version": f"{version:08x}", "digest": digest, "current": version == kept.version}
         for version, digest in reversed(kept.history.items())
@@ -78,7 +78,7 @@
 
 def status(node: Node) -> dict[str, Any]:
     """The whole view."""
-    now, settings, kept = node.clock.now(), node.settings, node.replica.orders
+    now, settings, kept = node.clock.now(), node.settings, node.replica.state
     return {
         "name": settings.name,
         "role": "core",
@@ -156,8 +156,8 @@
     """The operator's word, as ``store restore`` reads it. It has the tenants' keys in it."""
     from latchspoke.configstore import copies
 
-    register = node.replica.register
-    return copies.write(copies.take(register.orders, register.applied, node.settings.name))
+    register = node.replica.node
+    return copies.write(copies.make_copy(register.state, register.applied_index, node.settings.name))
 
 
 def answer(node: Node, what: str) -> Any:
--- a/latchspoke/ctl/stores.py
+++ b/latchspoke/ctl/stores.py
@@ -16,8 +16,8 @@
 
 from latchspoke.agent.ledger import LAYOUT, Ledger, LedgerError
 from latchspoke.configstore import copies
-from latchspoke.configstore.orders import Orders
-from latchspoke.configstore.replica import FILE
+from latchspoke.configstore.config_state import ConfigState
+from latchspoke.configstore.replica import DATABASE_FILE
 from latchspoke.consensus.records import Entry, Kind, Snapshot, Stored
 
 SQLITE = b"SQLite format 3\0"
@@ -88,11 +88,11 @@
                 raise StoreError(f"{path} can't be used: {str(e).replace(str(copied), path.name)}") from None
 
 
-def orders_in(stored: Stored, upto: int | None = None) -> tuple[Orders, int]:
+def orders_in(stored: Stored, upto: int | None = None) -> tuple[ConfigState, int]:
     """What the entries make of the snapshot, up to a place (all, if None), and the place."""
     from latchspoke.configuration import apply_patch
 
-    orders = Orders(apply_patch)  # type: ignore[arg-type]
+    orders = ConfigState(apply_patch)  # type: ignore[arg-type]
     applied = stored.snapshot.index
     if stored.snapshot.body:
         orders.load(stored.snapshot.body)
@@ -104,7 +104,7 @@
     return orders, applied
 
 
-def carry_out(orders: Orders, entry: Entry) -> None:
+def carry_out(orders: ConfigState, entry: Entry) -> None:
     if entry.kind is Kind.DATA:
         orders.apply(entry.index, msgspec.json.decode(entry.body))
 
@@ -160,7 +160,7 @@
     orders, applied = orders_in(stored)
     if not applied:
         raise StoreError(f"{path} holds no operator's word")
-    return copies.write(copies.take(orders, applied, stored.identity))
+    return copies.write(copies.make_copy(orders, applied, stored.identity))
 
 
 def keep(path: Path, data: bytes) -> None:
@@ -183,15 +183,15 @@
         raise StoreError(f"{me} is not among the founders")
     if is_store(path):
         raise StoreError(f"{path} is a member's own store, not a copy: take one by `store copy`")
-    beginning = copies.begin_anew(read_copy(path), founders)
+    beginning = copies.restore_from_copy(read_copy(path), founders)
     there = sorted(found.name for found in home.glob("register.*")) if home.is_dir() else []
     if there:
         raise StoreError(f"{home} holds {', '.join(there)}: move it away first")
     try:
         home.mkdir(parents=True, exist_ok=True)
-        ledger = Ledger(home / FILE)
+        ledger = Ledger(home / DATABASE_FILE)
         with contextlib.closing(ledger):
-            ledger.start(me, beginning.draw, True, beginning.snapshot)
+            ledger.start(me, beginning.identity_suffix, True, beginning.snapshot)
     except (OSError, LedgerError) as e:
         raise StoreError(str(e)) from None
     return beginning.snapshot
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -15,7 +15,7 @@
 from barleyhub.interface import Code
 from barleyhub.line import budget, dispatch, quota, stock
 from latchspoke.agent.ledger import LedgerError
-from latchspoke.configstore.orders import Orders
+from latchspoke.configstore.config_state import ConfigState
 from latchspoke.configuration.routes import Route
 from latchspoke.controlplane import node as controlplane
 from latchspoke.dataplane import downstream, exchange, feed, relay, travel, upstream
@@ -123,7 +123,7 @@
 
 def first_only(old: Any) -> Any:
     async def configure(self: Any, body: Any) -> Any:
-        if self.replica.orders.version:
+        if self.replica.state.version:
             return 503, {"errorText": "not now"}
         return await old(self, body)
 
@@ -312,7 +312,9 @@
         lambda: [around(controlplane, "read_configuration", read_nothing_wrong)],
     ),
     "base": Guard(
-        "CONFIG orders", (t(1.0, "race", count=3),), lambda: [around(Orders, "configure", any_base)]
+        "CONFIG orders",
+        (t(1.0, "race", count=3),),
+        lambda: [around(ConfigState, "change_configuration", any_base)],
     ),
     "read-back": Guard("CONFIG read", (), lambda: [around(controlplane.Node, "read", old_document)]),
     "added-routes": Guard(
--- a/latchspoke/lab/system/machines.py
+++ b/latchspoke/lab/system/machines.py
@@ -104,7 +104,7 @@
 
     @property
     def leads(self) -> bool:
-        return self.kind == "core" and self.running and self.node.replica.register.leads
+        return self.kind == "core" and self.running and self.node.replica.node.is_leader
 
 
 class Recorder:
@@ -441,7 +441,9 @@
     shim: Any = replica_draw
 
     def ledger(path: Path, alone: bool = False) -> SimLedger:
-        return SimLedger(next(m for m in fleet.machines if fleet.home / m.name / replica.FILE == path))
+        return SimLedger(
+            next(m for m in fleet.machines if fleet.home / m.name / replica.DATABASE_FILE == path)
+        )
 
     fakes = {
         "Ledger": ledger,
--- a/tests/configstore/test_orders.py
+++ b/tests/configstore/test_config_state.py
@@ -4,23 +4,35 @@
 
 import pytest
 
-from latchspoke.configstore import orders
-from latchspoke.configstore.orders import CONFLICT, INVALID, REPEATED, STALE, TAKEN, Command, Orders
-from latchspoke.configstore.simulation import modify, patch, replace
-
-
-def kinds(machine: Orders, *commands: Command) -> list[str]:
+from latchspoke.configstore import config_state
+from latchspoke.configstore.config_state import (
+    CONFLICT,
+    INVALID,
+    REPEATED,
+    STALE,
+    TAKEN,
+    Command,
+    ConfigState,
+)
+from latchspoke.configstore.simulation import merge_patch, modify_command, replace_command
+
+
+def kinds(machine: ConfigState, *commands: Command) -> list[str]:
     return [machine.apply(index, command).kind for index, command in enumerate(commands, machine.index + 1)]
 
 
 def test_one_of_two_on_a_base_wins_and_the_very_same_is_known_again() -> None:
-    machine = Orders(patch)
-    assert kinds(machine, replace(3, 0, "a"), replace(5, 0, "b"), replace(3, 0, "a")) == [
+    machine = ConfigState(merge_patch)
+    assert kinds(
+        machine, replace_command(3, 0, "a"), replace_command(5, 0, "b"), replace_command(3, 0, "a")
+    ) == [
         TAKEN,
         CONFLICT,
         REPEATED,
     ]
-    assert kinds(machine, modify(5, 3, x=1), modify(4, 5, x=2), replace(3, 0, "a")) == [
+    assert kinds(
+        machine, modify_command(5, 3, x=1), modify_command(4, 5, x=2), replace_command(3, 0, "a")
+    ) == [
         TAKEN,
         CONFLICT,
         REPEATED,
@@ -29,24 +41,29 @@
 
 
 def test_what_was_refused_ahead_of_its_base_stays_refused() -> None:
-    machine = Orders(patch)
-    assert kinds(machine, replace(7, 5), replace(5, 0), replace(7, 5)) == [CONFLICT, TAKEN, CONFLICT]
-    assert kinds(machine, replace(7, 5, "another")) == [TAKEN]
+    machine = ConfigState(merge_patch)
+    assert kinds(machine, replace_command(7, 5), replace_command(5, 0), replace_command(7, 5)) == [
+        CONFLICT,
+        TAKEN,
+        CONFLICT,
+    ]
+    assert kinds(machine, replace_command(7, 5, "another")) == [TAKEN]
 
 
 @pytest.mark.parametrize(
-    "command", [{}, {"do": "x"}, {"do": "replace"}, {**replace(1, 0), "doc": []}, modify(1, 0, bad=1), 5,
-                {**replace(1, 0), "version": "1"}, {"do": "evacuate", "zone": 1}],
+    "command", [{}, {"do": "x"}, {"do": "replace"}, {**replace_command(1, 0), "doc": []},
+                modify_command(1, 0, bad=1), 5, {**replace_command(1, 0), "version": "1"},
+                {"do": "evacuate", "zone": 1}],
 )  # fmt: skip
 def test_what_can_not_be_read_changes_nothing(command: Command) -> None:
-    machine = Orders(patch)
+    machine = ConfigState(merge_patch)
     before = machine.dump()
     assert machine.apply(1, command).kind == INVALID
     assert machine.dump() == before
 
 
 def test_an_old_order_does_not_undo_a_later_one_about_the_zone() -> None:
-    machine = Orders(patch)
+    machine = ConfigState(merge_patch)
     zone = {"zone": "z", "after": 0}
     assert kinds(machine, {"do": "evacuate", **zone}, {"do": "evacuate", **zone}) == [TAKEN, REPEATED]
     assert machine.apply(5, {"do": "restore", "zone": "z", "after": 4}).kind == TAKEN
@@ -55,25 +72,27 @@
 
 
 def test_each_of_two_evacuations_of_a_zone_is_taken_back_by_itself() -> None:
-    machine, other = Orders(patch), Orders(patch)
+    machine, other = ConfigState(merge_patch), ConfigState(merge_patch)
     begin, end = {"do": "evacuate", "zone": "z"}, {"do": "restore", "zone": "z"}
     beside = {**begin, "stand": 1}
     assert kinds(machine, begin, begin, beside, beside) == [TAKEN, REPEATED, TAKEN, REPEATED]
     other.load(machine.dump())
-    assert other == machine and machine.standing("z") == 2
+    assert other == machine and machine.evacuation_count("z") == 2
     last = {**end, "stand": 2}
     assert kinds(machine, last, last) == [TAKEN, REPEATED]
     assert machine.evacuated == {"z"}, "the other one still stands"
     assert kinds(machine, {**end, "stand": 1}, end, beside) == [TAKEN, REPEATED, TAKEN]
-    assert Orders(patch, zones={"z": (5, True)}).standing("z") == 1, "as processes wrote it before"
+    assert ConfigState(merge_patch, zones={"z": (5, True)}).evacuation_count("z") == 1, (
+        "as processes wrote it before"
+    )
 
 
 def test_a_snapshot_holds_all_of_it_and_no_more_than_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(orders, "KEPT", 10)
-    machine, other = Orders(patch), Orders(patch)
+    monkeypatch.setattr(config_state, "HISTORY_LIMIT", 10)
+    machine, other = ConfigState(merge_patch), ConfigState(merge_patch)
     for n in range(30):
-        machine.apply(2 * n + 1, replace(n + 1, n))
-        machine.apply(2 * n + 2, replace(99, 50, str(n)))
+        machine.apply(2 * n + 1, replace_command(n + 1, n))
+        machine.apply(2 * n + 2, replace_command(99, 50, str(n)))
     machine.apply(99, {"do": "evacuate", "zone": "z"})
     other.load(machine.dump())
     assert other == machine and len(machine.history) == len(machine.refused) == 10
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -13,12 +13,12 @@
 import pytest
 
 from latchspoke.agent.ledger import Ledger, LedgerError
+from latchspoke.configstore.config_state import TAKEN, UNKNOWN
 from latchspoke.configstore.messages import Message
-from latchspoke.configstore.orders import TAKEN, UNKNOWN
-from latchspoke.configstore.register import Register
-from latchspoke.configstore.replica import FILE, Replica
-from latchspoke.configstore.simulation import patch, replace
-from latchspoke.configstore.voters import NOWHERE
+from latchspoke.configstore.replica import DATABASE_FILE, Replica
+from latchspoke.configstore.simulation import merge_patch, replace_command
+from latchspoke.configstore.store_node import StoreNode
+from latchspoke.configstore.voters import UNKNOWN_LOCATION
 from latchspoke.consensus.member import Member, Output
 from latchspoke.lab.virtual import Network, VirtualLoop
 
@@ -43,21 +43,21 @@
             loop.call_later(0.02, self.arrive, name, to, data)
 
         replica = Replica(
-            name, NAMES, first, home, send, patch, lambda orders: self.seen[name].append(orders.version),
-            loop.time, lambda event, fields: self.logged.append(event),
-            Random(f"{name}:{len(self.seen)}:{self.seed}"),
+            name, NAMES, first, home, send, merge_patch,
+            lambda state: self.seen[name].append(state.version), loop.time,
+            lambda event, fields: self.logged.append(event), Random(f"{name}:{len(self.seen)}:{self.seed}"),
         )  # fmt: skip
         self.up[name] = replica
         replica.start()
-        replica.peers(dict.fromkeys(NAMES, NOWHERE))
+        replica.update_peers(dict.fromkeys(NAMES, UNKNOWN_LOCATION))
         return replica
 
     def arrive(self, name: str, to: str, data: bytes) -> None:
         if to in self.up:
-            self.up[to].heard(name, msgspec.json.decode(data))
+            self.up[to].receive(name, msgspec.json.decode(data))
 
     def leader(self) -> Replica:
-        return next(replica for replica in self.up.values() if replica.register.leads)
+        return next(replica for replica in self.up.values() if replica.node.is_leader)
 
     def kill(self, name: str) -> None:
         """As SIGKILL would leave it: nothing is closed, the files are as they are."""
@@ -83,26 +83,26 @@
         for name in NAMES:
             stations.start(name, first=True)
         await asyncio.sleep(2.0)
-        assert all(replica.proven for replica in stations.up.values())
+        assert all(replica.read_confirmed for replica in stations.up.values())
         verdicts = [
-            await stations.up[NAMES[n % 3]].submit(replace(n + 1, n, "x" * 10_000)) for n in range(70)
+            await stations.up[NAMES[n % 3]].submit(replace_command(n + 1, n, "x" * 10_000)) for n in range(70)
         ]
         assert {verdict.kind for verdict in verdicts} == {TAKEN}
         assert not list(tmp_path.rglob("*-shm")), "no shared memory"
         for name in NAMES:
             stations.kill(name)
         for name in NAMES:
-            assert stations.start(name).register.orders.version < 70
+            assert stations.start(name).node.state.version < 70
         await asyncio.sleep(2.0)
-        assert await stations.up[NAMES[0]].confirm() is not None
-        assert {replica.orders.version for replica in stations.up.values()} == {70}
+        assert await stations.up[NAMES[0]].confirm_read() is not None
+        assert {replica.state.version for replica in stations.up.values()} == {70}
         assert all(seen[-1] == 70 for seen in stations.seen.values())
         leader = stations.leader()
         before = asyncio.get_running_loop().time()
         await leader.stop()
-        del stations.up[leader.me]
+        del stations.up[leader.name]
         other = next(iter(stations.up.values()))
-        assert (await other.submit(replace(71, 70))).kind == TAKEN
+        assert (await other.submit(replace_command(71, 70))).kind == TAKEN
         assert asyncio.get_running_loop().time() - before < 0.5
 
     play(story())
@@ -123,13 +123,13 @@
             raise LedgerError("no room")
 
         monkeypatch.setattr(leader.ledger, "save", refuse)
-        assert (await leader.submit(replace(1, 0))).kind == UNKNOWN
-        assert await leader.confirm() is None and leader.status()["disk"] == "no room"
+        assert (await leader.submit(replace_command(1, 0))).kind == UNKNOWN
+        assert await leader.confirm_read() is None and leader.status()["disk"] == "no room"
         other = next(replica for replica in stations.up.values() if replica is not leader)
-        assert (await other.submit(replace(2, 0), limit=3.0)).kind == TAKEN
+        assert (await other.submit(replace_command(2, 0), limit=3.0)).kind == TAKEN
         monkeypatch.setattr(leader.ledger, "save", save)
         await asyncio.sleep(2.0)
-        assert await leader.confirm() is not None and leader.orders.version == 2
+        assert await leader.confirm_read() is not None and leader.state.version == 2
 
         def fault(member: Member, now: float) -> None:
             raise RuntimeError("a fault")
@@ -137,9 +137,9 @@
         with monkeypatch.context() as patched:
             patched.setattr(Member, "tick", fault)
             leader.tick()
-        assert "register-failed" in stations.logged and await leader.confirm() is None
+        assert "register-failed" in stations.logged and await leader.confirm_read() is None
         await asyncio.sleep(3.0)
-        assert await leader.confirm() is not None and leader.orders.version == 2
+        assert await leader.confirm_read() is not None and leader.state.version == 2
 
     play(story())
 
@@ -155,9 +155,9 @@
         for name in NAMES:
             stations.start(name, first=True)
         await asyncio.sleep(2.0)
-        full = next(s for s in stations.up.values() if s.register.leads == (how == "leader"))
+        full = next(s for s in stations.up.values() if s.node.is_leader == (how == "leader"))
         others = [replica for replica in stations.up.values() if replica is not full]
-        save, term = full.ledger.save, full.register.member.term
+        save, term = full.ledger.save, full.node.member.term
 
         def refuse(output: Output) -> None:
             raise LedgerError("database or disk is full")
@@ -167,41 +167,41 @@
         took = []
         for version in range(1, 9):
             begun = loop.time()
-            verdict = await others[version % 2].submit(replace(version, version - 1), limit=3.0)
+            verdict = await others[version % 2].submit(replace_command(version, version - 1), limit=3.0)
             assert verdict.kind == TAKEN
             took.append(loop.time() - begun)
         # An election where it led, and no waiting for it afterwards.
         assert max(took) < (3.0 if how == "leader" else 0.2) and max(took[1:]) < 0.2
         assert full.status()["disk"] and stations.logged.count("disk-refuses") == 1
-        assert await full.confirm(1.0) is None and full.orders.version < 8
+        assert await full.confirm_read(1.0) is None and full.state.version < 8
         monkeypatch.setattr(full.ledger, "save", save)
         await asyncio.sleep(1.0)
-        assert await full.confirm(1.0) is not None and full.orders.version == 8
+        assert await full.confirm_read(1.0) is not None and full.state.version == 8
         assert not full.status()["disk"] and stations.logged.count("disk-back") == 1
         # Its return sets off no election of its own.
-        assert full.register.member.term <= term + 3 * (how == "leader")
+        assert full.node.member.term <= term + 3 * (how == "leader")
 
     play(story())
 
 
 def test_a_damaged_file_and_an_older_copy_are_refused_in_one_line(tmp_path: Path) -> None:
-    ledger = Ledger(tmp_path / FILE, alone=True)
+    ledger = Ledger(tmp_path / DATABASE_FILE, alone=True)
     ledger.start("a", "x", founder=False)
     ledger.close()
-    older = (tmp_path / FILE).read_bytes()
-    again = Ledger(tmp_path / FILE, alone=True)
+    older = (tmp_path / DATABASE_FILE).read_bytes()
+    again = Ledger(tmp_path / DATABASE_FILE, alone=True)
     for _ in range(2):
         again.start("a", "y", founder=False)
     again.close()
-    whole = (tmp_path / FILE).read_bytes()
+    whole = (tmp_path / DATABASE_FILE).read_bytes()
     for content, why in (
         (older, "an older copy"),
         (whole[:5000], "malformed|damaged"),
         (b"x" * 9000, "not a database"),
     ):
-        (tmp_path / FILE).write_bytes(content)
+        (tmp_path / DATABASE_FILE).write_bytes(content)
         with pytest.raises(LedgerError, match=why) as caught:
-            Replica("a", NAMES, False, tmp_path, lambda *_: None, patch, lambda _: None)
+            Replica("a", NAMES, False, tmp_path, lambda *_: None, merge_patch, lambda _: None)
         assert "\n" not in str(caught.value)
 
 
@@ -211,7 +211,7 @@
     """Seen once in a hundred runs: the loop stood at one moment, which a clock set by hand never leaves."""
     rung = 0
 
-    def due(register: Register) -> float:
+    def due(node: StoreNode) -> float:
         nonlocal rung
         rung += 1
         if rung > 1000:
@@ -219,7 +219,7 @@
         return 0.0
 
     async def story() -> None:
-        monkeypatch.setattr(Register, "due", due)
+        monkeypatch.setattr(StoreNode, "next_tick_at", due)
         Stations(tmp_path).start(NAMES[0], first=True)
         await asyncio.sleep(0.05)
 
--- a/tests/configstore/test_store.py
+++ b/tests/configstore/test_store.py
@@ -12,9 +12,9 @@
 import pytest
 
 from latchspoke.agent.ledger import LAYOUT, Ledger, LedgerError
-from latchspoke.configstore.orders import Orders, Verdict
-from latchspoke.configstore.register import Register, founding
-from latchspoke.configstore.simulation import modify, patch, replace
+from latchspoke.configstore.config_state import ConfigState, Verdict
+from latchspoke.configstore.simulation import merge_patch, modify_command, replace_command
+from latchspoke.configstore.store_node import StoreNode, founding_snapshot
 from latchspoke.consensus.member import Output
 from latchspoke.consensus.records import Entry, HardState, Kind, Stored
 
@@ -26,7 +26,7 @@
 def opened(folder: Path) -> tuple[Ledger, Stored]:
     made = Ledger(folder / "register.db", alone=True)
     try:
-        return made, made.start(ME, "first", True, founding([ME], Orders(patch)))
+        return made, made.start(ME, "first", True, founding_snapshot([ME], ConfigState(merge_patch)))
     except LedgerError:
         made.close()
         raise
@@ -41,33 +41,33 @@
     kept, stored = opened(tmp_path)
     kept.db.execute("PRAGMA synchronous = OFF")  # room is looked at here, not power
     draw, now, most, version = random.Random(1), 0.0, 0, 0
-    register = Register(stored, [ME], patch, draw, now)
+    node = StoreNode(stored, [ME], merge_patch, draw, now)
     for number in range(CHANGES):
         if number % 1500 == 1499:
             kept.close()
             kept, stored = opened(tmp_path)
             kept.db.execute("PRAGMA synchronous = OFF")
-            register = Register(stored, [ME], patch, draw, now)
+            node = StoreNode(stored, [ME], merge_patch, draw, now)
         command: dict[str, Any] = {"do": ("evacuate", "restore")[number // 5 % 2], "zone": "a"}
         if number % 5:
-            make = replace if number % 3 else modify
+            make = replace_command if number % 3 else modify_command
             command = make(version + 1, version)
             command["doc" if "doc" in command else "patch"]["text"] = f"{draw.getrandbits(80000):020000x}"
         asked = 0
         for _ in range(400):
             now += 0.05
-            register.tick(now)
-            if register.leads and register.member.committed_in_term and not asked:
-                asked = register.submit(command, 2.0, now)
-            while (output := register.take()) is not None:
+            node.tick(now)
+            if node.is_leader and node.member.committed_in_term and not asked:
+                asked = node.submit(command, 2.0, now)
+            while (output := node.take_output()) is not None:
                 if output.must_store:
                     kept.save(output)
-                register.stored(output, now)
-                if (snapshot := register.compacted()) is not None:
+                node.on_stored(output, now)
+                if (snapshot := node.compact_if_due()) is not None:
                     kept.compact(snapshot)
-            register.outbox.clear()
-            answers = [answer for ident, answer in register.answers if ident == asked]
-            register.answers.clear()
+            node.outbox.clear()
+            answers = [answer for ident, answer in node.answers if ident == asked]
+            node.answers.clear()
             if answers:
                 break
         (verdict,) = answers
--- /dev/null
+++ b/tests/configstore/test_store_node.py
@@ -0,0 +1,152 @@
+"""Registers in virtual time: single stories, schedules drawn by chance, and guards taken out."""
+
+from __future__ import annotations
+
+import pytest
+
+from latchspoke.configstore import simulation
+from latchspoke.configstore.config_state import CONFLICT, REPEATED, TAKEN, UNKNOWN
+from latchspoke.configstore.fault_schedules import Schedule
+from latchspoke.configstore.mutations import MUTATIONS, first_detecting_seed
+from latchspoke.configstore.scenarios import SCENARIOS
+from latchspoke.configstore.simulation import Cluster, modify_command, replace_command
+from latchspoke.configstore.voters import DEFAULT_CATCH_UP_S
+
+
+@pytest.fixture
+def cluster() -> Cluster:
+    cluster = Cluster(1)
+    cluster.run(3.0)
+    return cluster
+
+
+def names(identities: set[str]) -> set[str]:
+    return {identity.partition("#")[0] for identity in identities}
+
+
+def follower(cluster: Cluster) -> str:
+    return next(name for name in cluster.names if name != cluster.leader().name)
+
+
+def test_all_of_a_first_start_vote_and_anybody_takes_orders(cluster: Cluster) -> None:
+    assert names(cluster.voters()) == set(cluster.names)
+    for n, name in enumerate(cluster.names):
+        assert cluster.submit_and_wait(name, replace_command(n + 1, n)).kind == TAKEN
+        index = cluster.read_and_wait(name)
+        assert index is not None and cluster.running[name].state.version == n + 1
+    assert cluster.submit_and_wait(cluster.names[0], replace_command(1, 0)).kind == REPEATED
+
+
+def test_a_minority_says_soon_that_nothing_is_known(cluster: Cluster) -> None:
+    few, many = cluster.names[:2], cluster.names[2:]
+    cluster.blocked_links = {(a, b) for a in few for b in many} | {(b, a) for a in few for b in many}
+    cluster.run(3.0)
+    before = cluster.now
+    assert cluster.submit_and_wait(few[0], replace_command(1, 0)).kind == UNKNOWN
+    assert cluster.read_and_wait(few[1]) is None
+    assert cluster.now - before < 0.6
+    assert cluster.submit_and_wait(many[0], replace_command(2, 0)).kind == TAKEN
+    cluster.blocked_links.clear()
+    cluster.run(3.0)
+    assert cluster.is_converged() and cluster.submit_and_wait(few[0], replace_command(1, 0)).kind == CONFLICT
+
+
+def test_orders_go_on_while_the_leader_dies_and_while_it_hands_over(cluster: Cluster) -> None:
+    leader = cluster.leader().name
+    other = follower(cluster)
+    cluster.kill(leader)
+    assert cluster.submit_and_wait(other, replace_command(1, 0), limit=2.5).kind == TAKEN
+    assert cluster.leader().leave(cluster.now)
+    assert cluster.submit_and_wait(other, modify_command(2, 1, a=1)).kind == TAKEN
+
+
+def test_members_far_apart_that_start_at_once_do_not_share_the_votes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Three that stood within one way of each other cost a second and more, once in eleven such starts."""
+    monkeypatch.setattr(simulation, "LINK_DELAY_S", 0.014)  # s, to twice that
+    for seed in range(20):
+        cluster = Cluster(seed)
+        cluster.run(3.0)
+        for name in cluster.names:
+            cluster.kill(name)
+        for name in cluster.names:
+            cluster.start(name)
+        cluster.run(0.4)
+        assert any(node.is_leader for node in cluster.running.values()), f"nobody leads with seed {seed}"
+
+
+def test_a_wiped_disk_comes_in_anew_and_votes_only_once_it_has_caught_up(cluster: Cluster) -> None:
+    name = follower(cluster)
+    cluster.submit_and_wait(name, replace_command(1, 0))
+    old = next(identity for identity in cluster.voters() if identity.startswith(name))
+    cluster.kill(name)
+    cluster.create_disk(name)
+    cluster.start(name)
+    assert not cluster.running[name].is_member
+    cluster.run(2.0)
+    assert old not in cluster.voters() and cluster.disks[name].identity in cluster.voters()
+    assert cluster.running[name].state.version == 1
+
+
+def test_a_spare_follows_and_takes_the_place_of_one_that_is_gone(cluster: Cluster) -> None:
+    spare, lost = "10.9.0.1:7600", follower(cluster)
+    cluster.create_disk(spare)
+    cluster.start(spare)
+    cluster.run(2.0)
+    assert spare not in names(cluster.voters())
+    assert (
+        cluster.submit_and_wait(spare, replace_command(1, 0)).kind == TAKEN
+        and cluster.read_and_wait(spare) is not None
+    )
+    cluster.kill(lost)
+    cluster.announce_running()
+    cluster.run(DEFAULT_CATCH_UP_S)
+    assert names(cluster.voters()) == {*cluster.names, spare} - {lost}
+    cluster.start(lost)
+    cluster.run(2.0)
+    assert lost not in names(cluster.voters()) and cluster.read_and_wait(lost) is not None
+
+
+def test_the_log_stays_short_and_one_far_behind_is_sent_the_state(cluster: Cluster) -> None:
+    name = follower(cluster)
+    cluster.kill(name)
+    other = next(n for n in cluster.running if n != name)
+    for n in range(120):
+        assert cluster.submit_and_wait(other, replace_command(n + 1, n)).ok
+    assert all(len(disk.entries) <= 60 for disk in cluster.disks.values())
+    cluster.start(name)
+    cluster.run(2.0)
+    assert cluster.running[name].state.version == 120
+
+
+def test_an_order_held_up_for_long_does_not_undo_a_later_one(cluster: Cluster) -> None:
+    leader, name = cluster.leader().name, follower(cluster)
+    zone = {"zone": "z"}
+    cluster.submit(name, {"do": "evacuate", **zone}, lambda answer: None, limit=0.1)
+    held, cluster.events = cluster.events, []
+    cluster.run(0.3)
+    assert (
+        cluster.submit_and_wait(leader, {"do": "evacuate", **zone}).ok
+        and cluster.submit_and_wait(leader, {"do": "restore", **zone}).ok
+    )
+    for _, _, call in held:
+        cluster.schedule(cluster.now, call)
+    cluster.run(1.0)
+    assert not cluster.running[name].state.evacuated
+
+
+@pytest.mark.parametrize("seed", range(9))
+def test_schedules_drawn_by_chance(seed: int) -> None:
+    print(f"seed {seed}: python -m latchspoke.configstore.fault_schedules {seed} {seed + 1}")
+    play = Schedule(seed)
+    play.run()
+    assert play.definite_answers > 3, "calls had clear answers"
+
+
+@pytest.mark.parametrize("name", [name for name, guard in MUTATIONS.items() if not guard.covered_by])
+def test_the_schedules_find_a_guard_that_is_missing(name: str) -> None:
+    assert first_detecting_seed(MUTATIONS[name], range(20))
+
+
+@pytest.mark.parametrize("scene", SCENARIOS)
+def test_with_all_guards_a_scene_breaks_nothing(scene: str) -> None:
+    Schedule(1, scenario=scene).run()
--- a/tests/configstore/test_voters.py
+++ b/tests/configstore/test_voters.py
@@ -8,9 +8,17 @@
 
 from latchspoke.configstore import voters
 from latchspoke.configstore.messages import Message
-from latchspoke.configstore.replacements import LOSSES, Run, drawn, places
-from latchspoke.configstore.simulation import World, replace
-from latchspoke.configstore.voters import NOWHERE, VOTERS_MOST, Contacts, Newcomer, Place, View, next_members
+from latchspoke.configstore.replacements import LOSSES, LossSchedule, schedule_for_seed, spread_over_regions
+from latchspoke.configstore.simulation import Cluster, replace_command
+from latchspoke.configstore.voters import (
+    MAX_VOTERS,
+    UNKNOWN_LOCATION,
+    JoinCandidate,
+    Location,
+    MemberLiveness,
+    MembershipView,
+    next_members,
+)
 from latchspoke.consensus.records import Members, name_of
 
 CATCH_UP = 4.0  # s
@@ -19,82 +27,84 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_runs_of_tolerated_losses_keep_a_majority_and_every_order(seed: int) -> None:
     print(f"seed {seed}: python -m latchspoke.configstore.replacements {seed} {seed + 1}")
-    drawn(seed).play()
+    schedule_for_seed(seed).play()
 
 
 @pytest.mark.parametrize("size", [3, 4, 5, 6, 7])
 @pytest.mark.parametrize("kind", LOSSES)
 def test_each_kind_of_loss_over_and_over(kind: str, size: int) -> None:
-    Run(1, size, losses=size + 2, kinds=(kind,)).play()
+    LossSchedule(1, size, losses=size + 2, loss_kinds=(kind,)).play()
 
 
 def test_a_vote_that_is_given_away_too_late_loses_the_majority(monkeypatch: pytest.MonkeyPatch) -> None:
     """The fault that the runs are for: within the 15 s of before, too many have gone."""
-    monkeypatch.setattr(voters, "LOST_LEAST", 15.0)
+    monkeypatch.setattr(voters, "MIN_LOST_AFTER_S", 15.0)
     with pytest.raises(AssertionError, match="unknown"):
-        Run(1, 5, kinds=("replaced",)).play()
+        LossSchedule(1, 5, loss_kinds=("replaced",)).play()
 
 
 def test_the_vote_of_one_that_stops_is_given_away_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without its word, a loss right after a planned one of three finds two votes, one of them gone."""
-    monkeypatch.setattr(Contacts, "leaves", lambda contacts, identity, boot: None)
-    monkeypatch.setattr(voters, "LOST_LEAST", 15.0)
+    monkeypatch.setattr(MemberLiveness, "mark_leaving", lambda contacts, identity, boot: None)
+    monkeypatch.setattr(voters, "MIN_LOST_AFTER_S", 15.0)
     with pytest.raises(AssertionError, match="unknown"):
-        Run(1, 3, kinds=("planned",)).play()
+        LossSchedule(1, 3, loss_kinds=("planned",)).play()
 
 
-def started(size: int, seed: int = 1) -> World:
+def started(size: int, seed: int = 1) -> Cluster:
     names = [f"10.{number}.0.1:7600" for number in range(size)]
-    world = World(seed, size, places(names), CATCH_UP)
-    world.run(3.0)
-    return world
+    cluster = Cluster(seed, size, spread_over_regions(names), CATCH_UP)
+    cluster.run(3.0)
+    return cluster
 
 
-def regions(world: World) -> Counter[str]:
-    return Counter(world.places[name_of(voter)].region for voter in world.voters())
+def regions(cluster: Cluster) -> Counter[str]:
+    return Counter(cluster.locations[name_of(voter)].region for voter in cluster.voters())
 
 
 @pytest.mark.parametrize("size", [9, 12, 36])
 def test_of_a_large_core_seven_vote_that_survive_the_loss_of_any_region(size: int) -> None:
-    world = started(size)
-    assert len(world.voters()) == VOTERS_MOST and max(regions(world).values()) <= 3
-    entries = world.leader().member.log.last_index
+    cluster = started(size)
+    assert len(cluster.voters()) == MAX_VOTERS and max(regions(cluster).values()) <= 3
+    entries = cluster.leader().member.log.last_index
     assert entries <= 16, f"newcomers come in together: {entries} entries"
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_regions_may_be_lost_one_after_the_other(seed: int) -> None:
     """Each is back for ``catchUpS`` before the next goes: by then it votes again."""
-    world = started(12, seed)
+    cluster = started(12, seed)
     for version, region in enumerate(("r0", "r1", "r2", "r0")):
-        lost = [name for name in world.up if world.places[name].region == region]
+        lost = [name for name in cluster.running if cluster.locations[name].region == region]
         for name in lost:
-            world.kill(name)
-        world.meet()
-        world.run(8.0)
+            cluster.kill(name)
+        cluster.announce_running()
+        cluster.run(8.0)
         for name in lost:
-            world.start(name)
-        world.run(CATCH_UP)
-        assert max(regions(world).values()) <= 3, f"{regions(world)} after {region} came back"
-        assert world.order(next(iter(world.up)), replace(version + 1, version), 2.0).ok
+            cluster.start(name)
+        cluster.run(CATCH_UP)
+        assert max(regions(cluster).values()) <= 3, f"{regions(cluster)} after {region} came back"
+        assert cluster.submit_and_wait(
+            next(iter(cluster.running)), replace_command(version + 1, version), 2.0
+        ).ok
 
 
-def view(votes: str, guests: str = "", lost: str = "", **more: frozenset[str]) -> View:
+def view(votes: str, guests: str = "", lost: str = "", **more: frozenset[str]) -> MembershipView:
     """One letter a member; its name, without a digit, is its region: "a1 a2 b1"."""
     known = frozenset(guests.split())
-    at = {name: Place(name, name[0]) for name in (votes + " " + guests).split()}
-    return View(
-        me=votes.split()[0],
+    at = {name: Location(name, name[0]) for name in (votes + " " + guests).split()}
+    return MembershipView(
+        leader=votes.split()[0],
         members=Members(tuple(votes.split()), (), (), tuple(guests.split())),
-        ready=more.get("ready", known),
+        caught_up=more.get("ready", known),
         lost=frozenset(lost.split()),
-        forgotten=more.get("forgotten", frozenset()),
-        places=at,
+        expired=more.get("forgotten", frozenset()),
+        locations=at,
     )
 
 
-def step(seen: View, *newcomers: str) -> tuple[str, str] | None:
-    wanted = next_members(seen, [Newcomer(identity) for identity in newcomers])
+def step(seen: MembershipView, *newcomers: str) -> tuple[str, str] | None:
+    wanted = next_members(seen, [JoinCandidate(identity) for identity in newcomers])
     return (" ".join(wanted.voters), " ".join(wanted.non_voters)) if wanted else None
 
 
@@ -120,7 +130,7 @@
         (view("a1 a2 b1 b2 c1 c2"), None),
     ],
 )
-def test_the_next_change_of_who_votes(seen: View, wanted: tuple[str, str] | None) -> None:
+def test_the_next_change_of_who_votes(seen: MembershipView, wanted: tuple[str, str] | None) -> None:
     assert step(seen) == wanted
 
 
@@ -137,10 +147,10 @@
         members = Members(tuple(f"{region}{n}" for n, region in enumerate(spread)))
         guests = tuple(f"{region}{n}" for region in "abc" for n in (7, 8, 9))
         members = Members(members.voters, non_voters=guests)
-        at = {name: Place(name, name[0]) for name in members.all}
+        at = {name: Location(name, name[0]) for name in members.all}
         for _ in range(12):
             free = frozenset(members.non_voters)
-            wanted = next_members(View("a0", members, free, frozenset(), frozenset(), at), [])
+            wanted = next_members(MembershipView("a0", members, free, frozenset(), frozenset(), at), [])
             if wanted is None:
                 break
             members = wanted
@@ -149,55 +159,57 @@
 
 
 def test_silence_counts_only_while_the_leader_itself_runs_and_has_a_majority() -> None:
-    contacts = Contacts(CATCH_UP)
+    contacts = MemberLiveness(CATCH_UP)
     assert contacts.lost_after == pytest.approx(1.0)
-    contacts.begin(0.0)
+    contacts.start_term(0.0)
     now = 0.0
     for _ in range(8):
         now += 0.15
-        contacts.look(now, majority=True)
-    assert contacts.lost("b", now), "silent for 1.2 s"
-    contacts.look(now + 5.0, majority=True)
-    assert not contacts.lost("b", now + 5.0), "the leader stood still itself"
+        contacts.observe(now, has_majority=True)
+    assert contacts.is_lost("b", now), "silent for 1.2 s"
+    contacts.observe(now + 5.0, has_majority=True)
+    assert not contacts.is_lost("b", now + 5.0), "the leader stood still itself"
     now += 5.0
     for _ in range(10):
         now += 0.15
-        contacts.look(now, majority=False)
-    assert not contacts.lost("b", now), "it may be the leader that is cut off"
+        contacts.observe(now, has_majority=False)
+    assert not contacts.is_lost("b", now), "it may be the leader that is cut off"
 
 
 def test_whoever_leaves_is_lost_until_it_starts_again() -> None:
-    contacts = Contacts(CATCH_UP)
-    contacts.begin(0.0)
-    contacts.leaves("b", boot=3)
-    contacts.started("b", boot=3)
-    assert contacts.lost("b", 0.0), "a message of the same start came late"
-    contacts.started("b", boot=4)
-    assert not contacts.lost("b", 0.0)
+    contacts = MemberLiveness(CATCH_UP)
+    contacts.start_term(0.0)
+    contacts.mark_leaving("b", boot=3)
+    contacts.mark_started("b", boot=3)
+    assert contacts.is_lost("b", 0.0), "a message of the same start came late"
+    contacts.mark_started("b", boot=4)
+    assert not contacts.is_lost("b", 0.0)
 
 
 def test_places_that_are_not_known_move_nobody() -> None:
     seen = view("a1 a2 a3 b1 b2 b3 b4", "c1 c2")
-    places = dict(seen.places) | {"b4": NOWHERE}
-    unknown = View(seen.me, seen.members, seen.ready, seen.lost, seen.forgotten, places)
+    places = dict(seen.locations) | {"b4": UNKNOWN_LOCATION}
+    unknown = MembershipView(seen.leader, seen.members, seen.caught_up, seen.lost, seen.expired, places)
     assert step(unknown) is None
 
 
 def test_who_does_not_vote_gets_fewer_heartbeats_and_orders_as_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = started(12)
-    leader = world.leader()
-    votes = {name_of(voter) for voter in world.voters()} - {leader.me}
-    guest = next(name for name in world.names if name not in votes | {leader.me})
+    cluster = started(12)
+    leader = cluster.leader()
+    votes = {name_of(voter) for voter in cluster.voters()} - {leader.name}
+    guest = next(name for name in cluster.names if name not in votes | {leader.name})
     sent: Counter[str] = Counter()
-    send = world.send
+    send = cluster.send
 
     def counted(source: str, target: str, message: Message) -> None:
-        sent[target] += source == leader.me
+        sent[target] += source == leader.name
         send(source, target, message)
 
-    monkeypatch.setattr(world, "send", counted)
-    world.run(6.0)
-    assert sent[guest] < 0.6 * sent[min(votes)] and world.up[guest].leader, "and it knows of the leader"
-    assert world.order(min(votes), replace(1, 0)).ok
-    world.run(0.1)
-    assert world.up[guest].orders.version == 1
+    monkeypatch.setattr(cluster, "send", counted)
+    cluster.run(6.0)
+    assert sent[guest] < 0.6 * sent[min(votes)] and cluster.running[guest].leader, (
+        "and it knows of the leader"
+    )
+    assert cluster.submit_and_wait(min(votes), replace_command(1, 0)).ok
+    cluster.run(0.1)
+    assert cluster.running[guest].state.version == 1
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -12,7 +12,15 @@
 
 import pytest
 
-from latchspoke.configstore.orders import CONFLICT, INVALID, REPEATED, TAKEN, UNCHECKED, UNKNOWN, Verdict
+from latchspoke.configstore.config_state import (
+    CONFLICT,
+    INVALID,
+    REPEATED,
+    TAKEN,
+    UNCHECKED,
+    UNKNOWN,
+    Verdict,
+)
 from latchspoke.controlplane import node
 from latchspoke.controlplane.calls import locate, read_call
 from latchspoke.lab.virtual import Network, VirtualLoop
@@ -29,8 +37,8 @@
     def __init__(self, *args: Any, catch_up: float) -> None:
         self.stand: dict[str, int] = {}
         self.changed: dict[str, int] = {}
-        self.orders = self.made(0, 0, None)
-        self.proven, self.verdict = True, Verdict(TAKEN)
+        self.state = self.made(0, 0, None)
+        self.read_confirmed, self.verdict = True, Verdict(TAKEN)
         self.commands: list[dict[str, Any]] = []
         self.confirms = 0
         self.reached: bool = True
@@ -41,23 +49,23 @@
         self.fails = False
 
     def commit(self, version: int, doc: dict[str, Any] | None) -> None:
-        self.orders = self.made(self.orders.index + 1, version, doc)
+        self.state = self.made(self.state.index + 1, version, doc)
 
     def made(self, index: int, version: int, doc: dict[str, Any] | None) -> Any:
         return SimpleNamespace(
             index=index, version=version, document=doc, evacuated=frozenset(self.stand),
             zones={zone: (self.changed.get(zone, 0), stand) for zone, stand in self.stand.items()},
-            standing=lambda zone: self.stand.get(zone, 0),
+            evacuation_count=lambda zone: self.stand.get(zone, 0),
         )  # fmt: skip
 
     def start(self) -> None:
         self.begun.append("register")
 
-    async def confirm(self, limit: float, **more: Any) -> int | None:
+    async def confirm_read(self, limit: float, **more: Any) -> int | None:
         self.confirms += 1
         if self.fails:
             raise RuntimeError("a fault put in")
-        index = cast(int, self.orders.index)
+        index = cast(int, self.state.index)
         await asyncio.sleep(0.01)
         self.meanwhile()
         return index if self.reached else None
@@ -136,8 +144,8 @@
     if replica.stand.get("waw-a", 0) != stand:
         replica.changed["waw-a"] = replica.changed.get("waw-a", 0) + 1
     replica.stand["waw-a"] = stand
-    replica.orders = replica.made(replica.orders.index, 0, None)
-    box.node.applied(cast(Any, replica.orders))
+    replica.state = replica.made(replica.state.index, 0, None)
+    box.node.applied(cast(Any, replica.state))
     return status, {key: value for key, value in replica.commands[-1].items() if key != "zone"}
 
 
@@ -187,11 +195,11 @@
     box: Box, told: Any, stands: bool
 ) -> None:
     """EVAC: a second operator's, 7 s later, was taken for the first one's by a machine killed meanwhile."""
-    box.replica.proven = False  # so it finds them on its disk, whatever their age
+    box.replica.read_confirmed = False  # so it finds them on its disk, whatever their age
     box.replica.stand["waw-a"], box.replica.changed["waw-a"] = 1, 7
-    box.replica.orders = box.replica.made(9, 0, None)
-    box.node.applied(cast(Any, box.replica.orders))
-    box.replica.proven = True
+    box.replica.state = box.replica.made(9, 0, None)
+    box.node.applied(cast(Any, box.replica.state))
+    box.replica.read_confirmed = True
     wire = box.wire()
     box.node.peer_joined(wire)
     assert [message["k"] for message in wire.sent] == ["roster"], "it has seen nothing that it could tell"
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -17,9 +17,9 @@
 
 from barleyhub.interface import Code
 from latchspoke.configstore import copies
-from latchspoke.configstore.copies import BLOCK
-from latchspoke.configstore.orders import Orders
-from latchspoke.configstore.register import Register, founding
+from latchspoke.configstore.config_state import ConfigState
+from latchspoke.configstore.copies import INDEX_BLOCK
+from latchspoke.configstore.store_node import StoreNode, founding_snapshot
 from latchspoke.configuration import apply_patch
 from latchspoke.consensus.records import Stored
 from latchspoke.ctl import app, callers
@@ -246,10 +246,10 @@
 def test_a_copy_is_checked_kept_and_begins_a_system_anew(
     run: Run, machines: Machines, tmp_path: Path
 ) -> None:
-    orders = Orders(apply_patch)  # type: ignore[arg-type]
+    orders = ConfigState(apply_patch)  # type: ignore[arg-type]
     orders.apply(12, {"do": "replace", "version": 7, "base": 0, "digest": "d", "doc": CONFIGURATION})
     orders.apply(13, {"do": "evacuate", "zone": "b"})
-    machines.tell("/register/copy", (200, copies.write(copies.take(orders, 13, "core-a"))))
+    machines.tell("/register/copy", (200, copies.write(copies.make_copy(orders, 13, "core-a"))))
     kept, names = tmp_path / "register.copy", "127.0.0.2:7601,127.0.0.3:7601"
     assert run("store", "copy", "127.0.0.2:8200", kept)[0] == 0 and kept.stat().st_mode & 0o077 == 0
     assert json.loads(run("store", "check", kept, "--json")[1])["evacuated"] == ["b"]
@@ -259,10 +259,10 @@
     assert run(*words, "127.0.0.2:7601")[0] == 0
     assert run(*words, "127.0.0.2:7601")[0] == 3  # there is something now
     found = json.loads(run("store", "check", home / "register.db", "--json")[1])
-    assert (found["kind"], found["version"], found["index"]) == ("store", "00000007", BLOCK)
+    assert (found["kind"], found["version"], found["index"]) == ("store", "00000007", INDEX_BLOCK)
     assert run("store", "copy", home / "register.db", tmp_path / "again")[0] == 0
     again = json.loads(run("store", "check", tmp_path / "again", "--json")[1])
-    assert (again["applied"], again["evacuated"]) == (BLOCK, ["b"])
+    assert (again["applied"], again["evacuated"]) == (INDEX_BLOCK, ["b"])
     kept.write_bytes(kept.read_bytes().replace(b"a.example", b"b.example"))
     assert "damaged" in run("store", "check", kept)[1]
     data = bytearray((home / "register.db").read_bytes())
@@ -274,25 +274,25 @@
 
 
 def test_a_restored_register_goes_on_above_all_that_was_told(tmp_path: Path) -> None:
-    orders = Orders(apply_patch)  # type: ignore[arg-type]
+    orders = ConfigState(apply_patch)  # type: ignore[arg-type]
     orders.apply(12, {"do": "replace", "version": 7, "base": 0, "digest": "d", "doc": CONFIGURATION})
     me = "127.0.0.2:7601"
-    copied = copies.take(orders, 12, "core-a")
-    beginning = copies.begin_anew(copied, [me])
-    assert beginning.snapshot != founding([me], orders)
-    stored = Stored(f"{me}#{beginning.draw}", 2, snapshot=beginning.snapshot)
-    register = Register(stored, [me], apply_patch, random.Random(1), 0.0)  # type: ignore[arg-type]
+    copied = copies.make_copy(orders, 12, "core-a")
+    beginning = copies.restore_from_copy(copied, [me])
+    assert beginning.snapshot != founding_snapshot([me], orders)
+    stored = Stored(f"{me}#{beginning.identity_suffix}", 2, snapshot=beginning.snapshot)
+    register = StoreNode(stored, [me], apply_patch, random.Random(1), 0.0)  # type: ignore[arg-type]
     now, number = 0.0, 0
     while now < 5 and not register.answers:
         now += 0.05
-        if register.leads and not number:
+        if register.is_leader and not number:
             number = register.submit({"do": "evacuate", "zone": "a"}, 1.0, now)
         register.tick(now)
-        while (output := register.take()) is not None:
-            register.stored(output, now)
+        while (output := register.take_output()) is not None:
+            register.on_stored(output, now)
     assert register.answers and register.answers[0][0] == number
-    assert register.orders.index > BLOCK and register.orders.version == 7
-    assert register.orders.evacuated == {"a"}
+    assert register.state.index > INDEX_BLOCK and register.state.version == 7
+    assert register.state.evacuated == {"a"}
 
 
 def test_the_programs_load_none_of_it() -> None:
--- a/tests/ctl/world.py
+++ b/tests/ctl/world.py
@@ -76,8 +76,8 @@
         loop, "local.yaml",
     )  # fmt: skip
     orders = {"version": 7, "base": 0, "digest": "d1", "doc": CONFIGURATION}
-    node.replica.orders.apply(12, {"do": "replace", **orders})
-    node.replica.orders.apply(13, {"do": "evacuate", "zone": "b"})
+    node.replica.state.apply(12, {"do": "replace", **orders})
+    node.replica.state.apply(13, {"do": "evacuate", "zone": "b"})
     node.control("POST", "/rpc?call=instances.heartbeat&of=b1", json.dumps(beat("books", 1)).encode())
     node.board.join(Reader("edge-a-1", lambda message: None), node.clock.now())
     edge = Member("edge-a-1", "127.0.0.1", 7600, {"role": "edge", "ready": True, "door": 8201}, 0, "l1")
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -323,7 +323,7 @@
 
 
 def test_replacements_that_get_their_votes_late_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(voters, "LOST_LEAST", 15.0)
+    monkeypatch.setattr(voters, "MIN_LOST_AFTER_S", 15.0)
     shores = records.read(SHORES)
     assert any(hunt.one(shores, records.draw_losses(shores, seed)).findings for seed in range(4))
 
