--- a/latchspoke/consensus/__init__.py
+++ b/latchspoke/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""One replicated log that several state machines share. Pure: no I/O, no clock; see docs/duties.md."""
+"""Raft: one replicated log shared by several state machines. Sans-I/O; see docs/duties.md."""
--- a/latchspoke/consensus/member.py
+++ b/latchspoke/consensus/member.py
@@ -1,12 +1,11 @@
-"""One member of a replicated log: Raft with trial votes, a leader that checks its majority, reads by turns.
+"""One Raft member: pre-vote, check-quorum, leadership transfer, and linearizable reads by read index.
 
-Pure. Messages, proposals and the time (monotonic, in s) go in; ``take`` gives what comes of them. Whoever
-drives it keeps one order: what ``take`` gives to be stored is synced first, then the messages are sent, then
-the committed entries are applied. While the disk refuses, nothing of that output may be sent, and messages
-that come meanwhile are dropped, which every member has to bear anyway.
+Sans-I/O: messages, proposals and the time (monotonic, in seconds) go in; ``take_output`` returns the effects.
+The driver must sync the output's writes to disk first, then send its messages, then apply its committed
+entries. While a write fails, none of that output may be sent and incoming messages are dropped.
 
-A leader proves its place for a read by a *turn*: a round of messages begun after the question came, answered
-by a majority. That takes no word about clocks. A new leader was elected after any turn of an older one.
+For a read the leader confirms its leadership by a *round*: a broadcast begun after the read arrived and
+acknowledged by a majority. This does not depend on synchronized clocks.
 """
 
 from __future__ import annotations
@@ -41,80 +40,79 @@
 )
 from latchspoke.consensus.transfer import IncomingSnapshot, OutgoingSnapshot
 
-STARTUP_PERIOD_ELECTIONS = (
-    5.0  # elections; for so long after a start without a leader trials are made anew after ``first``
-)
-STARTUP_STAGGER = 0.4  # of ``first``, between two who stand: 40 ms, twice the longest way that is known
-BOOT_QUERY_INTERVAL_ELECTIONS = (
-    0.5  # elections; a member that has just started asks again for later starts of it
-)
-LEADER_MESSAGES = (Append, Install, InstallPart)  # what only a leader sends
-BATCH_MAX_ENTRIES = 256  # entries of one message
-BATCH_MAX_BYTES = 1_000_000  # of their bodies; a single entry may be larger
+STARTUP_PERIOD_ELECTIONS = 5.0  # election timeouts after a start in which ``startup_timeout`` applies
+STARTUP_STAGGER = 0.4  # startup timeouts between two candidates; more than the one-way network delay
+BOOT_QUERY_INTERVAL_ELECTIONS = 0.5  # election timeouts between boot queries of a restarted member
+LEADER_MESSAGES = (Append, Install, InstallPart)  # sent only by a leader
+BATCH_MAX_ENTRIES = 256  # entries per message
+BATCH_MAX_BYTES = 1_000_000  # of entry bodies per message; a single entry may be larger
 
 
 class Role(Enum):
+    """The role of a member in its current term."""
+
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "trial"  # asks whether it would be elected; nobody's term has moved
+    PRE_CANDIDATE = "trial"  # runs a pre-vote; no term has changed
     CANDIDATE = "candidate"
     LEADER = "leader"
-    HALTED = "halted"  # its disk is older than what others have heard of it
+    HALTED = "halted"  # its disk is an old copy: others have seen a later boot
 
 
 class NotLeaderError(Exception):
-    """Only the leader can do this; ``leader`` is who that is as far as is known, or ''."""
+    """Only the leader can do this; ``leader`` is its identity, or '' if unknown."""
 
     def __init__(self, leader: str) -> None:
-        super().__init__(f"the leader is {leader or 'not known'}")
+        super().__init__(f"not the leader; the leader is {leader or 'unknown'}")
         self.leader = leader
 
 
 class ChangeError(Exception):
-    """The members can't be changed like this now; one line says why."""
+    """This configuration change is not possible now; the text is one line."""
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """In seconds. A follower stands after ``election`` to twice that without a leader."""
+    """Intervals in seconds. The election timeout is drawn from ``election_timeout`` to twice that."""
 
     heartbeat_interval: float = 0.1
     election_timeout: float = 1.0
-    startup_timeout: float = 0.0  # in place of ``election`` right after a start; 0: no other
-    eager_commit: bool = False  # tell the others at once what is committed, rather than with the next beat
-    non_voter_interval: float = 0.0  # between heartbeats to those who don't vote; 0: as to the others
+    startup_timeout: float = 0.0  # replaces ``election_timeout`` right after a start; 0: disabled
+    eager_commit: bool = False  # announce a new commit index at once instead of with the next heartbeat
+    non_voter_interval: float = 0.0  # between heartbeats to non-voting members; 0: as to voters
 
 
 class MemberEvent(msgspec.Struct, frozen=True):
-    """For the log of the operators."""
+    """An event for the operators' log."""
 
     code: str
     detail: str = ""
 
 
 class Output(msgspec.Struct):
-    """What is to be done, in the order of these fields; see the module."""
+    """Effects to be carried out in the order of these fields; see the module docstring."""
 
     hard_state: HardState | None = None
-    snapshot: Snapshot | None = None  # came from the leader: replaces all entries up to its index
-    first_index: int = 0  # if above 0: the entries stored from here on are replaced by these
+    snapshot: Snapshot | None = None  # from the leader: replaces all stored entries up to its index
+    first_index: int = 0  # if above 0: ``entries`` replace the stored entries from this index on
     entries: tuple[Entry, ...] = ()
     messages: list[AnyMessage] = msgspec.field(default_factory=list)
-    restore: Snapshot | None = None  # the state machines begin anew from this
+    restore: Snapshot | None = None  # reset the state machines to this
     committed: tuple[Entry, ...] = ()
     confirmed_reads: list[tuple[int, int]] = msgspec.field(
         default_factory=list
-    )  # reads, and the index they must see
+    )  # read ID and the index that must be applied before it is answered
     failed_reads: list[int] = msgspec.field(
         default_factory=list
-    )  # reads that can't be answered here any more
+    )  # read IDs that this member can no longer serve
     events: list[MemberEvent] = msgspec.field(default_factory=list)
 
     @property
     def must_store(self) -> bool:
+        """Whether there is anything to sync to disk."""
         return self.hard_state is not None or self.snapshot is not None or self.first_index > 0
 
 
 class Peer(msgspec.Struct):
-    """What a leader knows of another member."""
+    """A leader's replication state for another member."""
 
     next_index: int
     last_heard_at: float
@@ -122,44 +120,46 @@
     acked_round: int = 0
     boot: int = 0
     snapshot_retry_at: float = 0.0
-    outgoing_snapshot: OutgoingSnapshot | None = None  # a snapshot on its way to it
+    outgoing_snapshot: OutgoingSnapshot | None = None  # a snapshot transfer in progress
     sent_at: float = -math.inf
-    sent_commit_index: int = 0  # the commit index that it was last sent
+    sent_commit_index: int = 0  # the commit index last sent to it
 
 
 class PendingRead(msgspec.Struct):
+    """A read that waits for a round to confirm the leadership."""
+
     read_id: int
     read_index: int
 
 
 class Member:
-    """See the module. Not for several threads."""
+    """See the module docstring. Not thread-safe."""
 
     def __init__(
         self, stored: Stored, timing: Timing, rng: random.Random, now: float, applied_index: int = 0
     ) -> None:
-        """``applied``: the state machines already hold all up to here (at least the snapshot)."""
+        """``applied_index``: the state machines have already applied all entries up to here."""
         self.identity, self.boot, self.timing, self.rng = stored.identity, stored.boot, timing, rng
         self.hard_state = stored.hard_state
         self.log = Log(stored.snapshot, stored.entries)
         self.commit_index = self.applied_index = max(stored.snapshot.index, applied_index)
         self.role, self.leader = Role.FOLLOWER, ""
-        self.leader_heard_at = -math.inf  # when the leader was last heard
+        self.leader_heard_at = -math.inf  # time of the last message from the leader
         self.peers: dict[str, Peer] = {}
         self.votes_received: set[str] = set()
         self.known_boots: dict[str, int] = {}
-        # A store that has been started before may be an old copy: it asks before it votes.
+        # A store that was started before may be an old copy: the member asks the others before it votes.
         self.boot_unverified = stored.boot > 1
         self.boot_confirmed_by: set[str] = set()
         self.boot_query_at = now
         self.elected_at = 0.0
-        self.term_start_index = 0  # where the first entry of this leader's term stands
+        self.term_start_index = 0  # index of the first entry of this leader's term
         self.round_number = 0
         self.heartbeat_at = 0.0
-        self.pending_reads: list[PendingRead] = []  # reads for the next turn
-        self.deferred_reads: list[PendingRead] = []  # those for which no turn is begun early
-        self.reads_by_round: dict[int, list[PendingRead]] = {}  # reads by the turn that confirms them
-        self.incoming_snapshot: IncomingSnapshot | None = None  # a snapshot on its way from the leader
+        self.pending_reads: list[PendingRead] = []  # reads for the next round
+        self.deferred_reads: list[PendingRead] = []  # reads that wait for the next scheduled round
+        self.reads_by_round: dict[int, list[PendingRead]] = {}  # reads by the round that confirms them
+        self.incoming_snapshot: IncomingSnapshot | None = None  # a snapshot transfer from the leader
         self.output = Output()
         self.first_unstored = 0
         self.saved_hard_state = self.hard_state
@@ -171,7 +171,7 @@
         )
         self.schedule_startup_election(now)
 
-    # What others ask.
+    # Public interface.
 
     @property
     def members(self) -> Members:
@@ -187,11 +187,11 @@
 
     @property
     def committed_in_term(self) -> bool:
-        """Whether this is a leader that knows all that was ever committed."""
+        """Whether this is a leader that has committed an entry of its term and so knows all earlier ones."""
         return self.role is Role.LEADER and self.commit_index >= self.term_start_index
 
     def next_tick_at(self) -> float:
-        """When ``tick`` is next wanted."""
+        """When ``tick`` must be called next."""
         if self.role is Role.HALTED:
             return math.inf
         times = [self.heartbeat_at if self.role is Role.LEADER else self.election_at]
@@ -200,29 +200,33 @@
         return min(times)
 
     def propose(self, body: bytes, now: float) -> Entry:
-        """Raises NotLeaderError. Committed when this very entry comes out; lost if another has its place."""
+        """Appends a command. It is committed once this entry is output, and lost if another takes its index.
+
+        Raises NotLeaderError.
+        """
         return self.append_command(Kind.DATA, body, now)
 
     def change_members(self, members: Members, now: float) -> Entry:
-        """One voter more or one less. Raises NotLeaderError, ChangeError."""
+        """Starts a configuration change of at most one voter. Raises NotLeaderError, ChangeError."""
         self.require_leader()
         if not self.committed_in_term:
-            raise ChangeError("this leader has not yet committed an entry of its term")
+            raise ChangeError("this leader has not committed an entry of its term yet")
         if self.log.members_index() > self.commit_index:
-            raise ChangeError("a change of the members is under way")
+            raise ChangeError("another configuration change is under way")
         if len(set(members.voters) ^ set(self.members.voters)) > 1:
-            raise ChangeError("one voter can be added or removed at a time")
+            raise ChangeError("only one voter can be added or removed at a time")
         if not members.voters:
-            raise ChangeError("nobody would be left to vote")
+            raise ChangeError("the configuration needs at least one voter")
         index = self.log.last_index + 1
         entry = members_entry(index, self.term, members)
         self.append_entry(entry, now)
         return entry
 
     def request_read(self, read_id: int, now: float, deferrable: bool = False) -> None:
-        """Comes back in ``confirmed`` with the index that the answer must show, or in ``refused``.
+        """Starts a linearizable read; it ends up in ``confirmed_reads`` or ``failed_reads`` of an output.
 
-        A patient one goes with the next round that is made anyway, within ``timing.beat``.
+        A deferrable read waits for the next scheduled heartbeat instead of starting a round.
+        Raises NotLeaderError.
         """
         self.require_leader()
         (self.deferred_reads if deferrable else self.pending_reads).append(
@@ -232,7 +236,7 @@
             self.broadcast(now)
 
     def transfer_leadership(self, now: float) -> str:
-        """Let the member whose log is most complete take over; who that is, or '' if nobody can."""
+        """Asks the responsive voter with the longest log to take over; its identity, or '' if none."""
         self.require_leader()
         candidates = {
             n: p
@@ -246,7 +250,7 @@
         return name
 
     def compact(self, index: int, body: bytes) -> Snapshot:
-        """The state machines hold all up to ``index``, which has been applied, as ``body``."""
+        """Replaces the entries up to ``index``, all applied, by a snapshot with the state ``body``."""
         term = self.log.term_at(index)
         assert term is not None and index <= self.applied_index
         snapshot = Snapshot(index, term, self.log.members_at(index), body)
@@ -254,7 +258,7 @@
         return snapshot
 
     def take_output(self) -> Output:
-        """All that has come up since the last call."""
+        """The effects since the last call."""
         output, self.output = self.output, Output()
         if self.hard_state != self.saved_hard_state:
             output.hard_state = self.saved_hard_state = self.hard_state
@@ -266,7 +270,7 @@
             self.applied_index = self.commit_index
         return output
 
-    # Time.
+    # Timers.
 
     def tick(self, now: float) -> None:
         if self.boot_unverified and now >= self.boot_query_at and self.role is not Role.HALTED:
@@ -285,10 +289,10 @@
         self.election_at = now + self.timing.election_timeout * (1 + self.rng.random())
 
     def schedule_startup_election(self, now: float, timeouts: float = 1.0) -> None:
-        """Where all were killed at once nobody leads, and where somebody does, no trial is granted.
+        """Shortens the election timeout right after a start, as long as no leader has been heard of.
 
-        Others may start a little later, so that a first trial fails. All stand in an order that they know, as
-        those who stand within one way of each other share the votes.
+        The pre-vote makes this safe where a leader exists. Members are staggered by rank, because candidates
+        that start within one network delay of each other split the vote.
         """
         if self.leader_heard_at == -math.inf and now < self.startup_until:
             rank = sum(name < self.identity for name in self.members.voters)
@@ -311,7 +315,7 @@
     # Elections.
 
     def start_pre_vote(self, now: float) -> None:
-        """First ask whether it would be elected: one that was cut off must not drive up the terms."""
+        """Starts a pre-vote, so that a member that was partitioned does not increase the term."""
         self.reset_election_timer(now)
         self.schedule_startup_election(now)
         self.leader = ""
@@ -327,7 +331,7 @@
         self.role, self.votes_received = Role.CANDIDATE, {self.identity}
         self.hard_state = HardState(self.term + 1, self.identity)
         self.reset_election_timer(now)
-        self.schedule_startup_election(now, 2.0)  # the votes come from as far as the trial's
+        self.schedule_startup_election(now, 2.0)  # the vote takes as long as the pre-vote did
         self.record_event("stands", f"term {self.term}")
         for name in self.other_voters():
             self.request_vote(name, pre_vote=False)
@@ -355,7 +359,7 @@
         self.pending_reads, self.deferred_reads, self.reads_by_round = [], [], {}
         self.record_event("leads", f"term {self.term}")
         self.term_start_index = self.log.last_index + 1
-        # Entries of former terms are committed with this one, and never by their count alone.
+        # Entries of earlier terms are committed only together with this one (Raft, section 5.4.2).
         self.append_entry(Entry(self.term_start_index, self.term), now)
 
     def on_vote_request(self, message: VoteRequest, now: float) -> None:
@@ -385,11 +389,11 @@
 
     def on_timeout_now(self, message: TimeoutNow, now: float) -> None:
         if self.is_voter and not self.boot_unverified and message.term == self.term:
-            # The leader itself has asked for it, so nobody who hears it need stand by that leader.
+            # The leader asked for this, so no pre-vote is needed.
             self.start_election(now)
 
     def become_follower(self, leader: str, now: float, term: int | None = None) -> None:
-        """Step back, and up to this term if it is a later one."""
+        """Becomes a follower, in ``term`` if that is later; a leader's pending reads fail."""
         if term is not None and term > self.term:
             self.hard_state = HardState(term)
         if self.role is Role.LEADER:
@@ -409,7 +413,7 @@
     # Messages.
 
     def receive(self, message: AnyMessage, now: float) -> None:
-        """Whatever is not for this identity, or from a sender's earlier start, is dropped."""
+        """Handles a message. Drops those for another identity or from an earlier boot of the sender."""
         if message.target != self.identity or self.role is Role.HALTED:
             return
         known_boot = self.known_boots.get(message.source, 0)
@@ -435,14 +439,17 @@
         HANDLERS[type(message)](self, message, now)
 
     def ignores_candidate(self, message: VoteRequest, now: float) -> bool:
-        """Whether a leader is at work, so that no other is wanted: removed or cut-off members ask often."""
+        """Whether to ignore a vote request because there is an active leader.
+
+        Removed or partitioned members would otherwise disrupt the cluster.
+        """
         if self.leader in ("", message.source) or (not message.pre_vote and message.term == self.term + 1):
-            # Whoever stands at the very next term has passed a trial, or the leader itself has asked it to.
+            # A candidate for the very next term has won a pre-vote or was asked by the leader.
             return False
         return self.role is Role.LEADER or now - self.leader_heard_at < self.timing.election_timeout
 
     def reply_to_stale_term(self, message: Message) -> None:
-        """A leader or candidate of an earlier term is told of this one."""
+        """Informs a leader or candidate of an earlier term of the current one."""
         if isinstance(message, LEADER_MESSAGES):
             self.send_message(AppendReply, message.source)
         elif isinstance(message, VoteRequest):
@@ -455,7 +462,7 @@
         if message.latest > self.boot:
             self.role, self.leader = Role.HALTED, ""
             self.record_event(
-                "old-disk", f"start {self.boot}; {message.source} has heard of start {message.latest}"
+                "old-disk", f"boot {self.boot}; {message.source} has seen boot {message.latest}"
             )
             return
         self.boot_confirmed_by.add(message.source)
@@ -465,7 +472,7 @@
         self.record_leader_contact(message.source, now)
         before_index = message.before_index
         if before_index < self.log.snapshot.index:
-            # All that is committed is the same everywhere, so up to there the logs agree.
+            # Committed entries are identical everywhere, so the logs agree up to the commit index.
             self.acknowledge(message.source, self.commit_index, message.round_number)
             return
         if self.log.term_at(before_index) != message.before_term:
@@ -481,7 +488,7 @@
             if term == entry.term:
                 continue
             if term is not None:
-                assert entry.index > self.commit_index, "a committed entry can't be replaced"
+                assert entry.index > self.commit_index, "a committed entry must not be replaced"
                 self.log.truncate_from(entry.index)
             self.log.append(entry)
             self.mark_unstored(entry.index)
@@ -490,7 +497,7 @@
         self.acknowledge(message.source, last_index, message.round_number)
 
     def conflict_hint(self, before_index: int) -> int:
-        """Where the leader should try next: before all entries of the term that doesn't fit."""
+        """Where the leader should retry: before all uncommitted entries of the conflicting term."""
         if before_index > self.log.last_index:
             return self.log.last_index
         term, index = self.log.term_at(before_index), before_index - 1
@@ -524,7 +531,7 @@
         self.acknowledge(message.source, self.commit_index, message.round_number)
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Begin anew from it, unless all of it is known to be committed here."""
+        """Resets the log to ``snapshot``, unless its entries are already committed here."""
         if snapshot.index <= self.commit_index:
             return
         self.log.compact(snapshot)
@@ -542,7 +549,7 @@
     def acknowledge(self, leader: str, index: int, round_number: int) -> None:
         self.send_message(AppendReply, leader, ok=True, index=index, round_number=round_number)
 
-    # The leader's part.
+    # Leader.
 
     def require_leader(self) -> None:
         if self.role is not Role.LEADER:
@@ -564,7 +571,7 @@
         self.advance_commit_index(now)
 
     def broadcast(self, now: float) -> None:
-        """A turn: to every peer what it lacks, or a heartbeat."""
+        """Starts a round: sends every peer the entries it lacks, or a heartbeat."""
         self.round_number += 1
         self.heartbeat_at = now + self.timing.heartbeat_interval
         if self.pending_reads or self.deferred_reads:
@@ -579,7 +586,7 @@
         self.confirm_reads()
 
     def can_skip_peer(self, name: str, peer: Peer, now: float) -> bool:
-        """Whether this round has nothing for a member that doesn't vote and was sent something lately."""
+        """Whether this round skips an up-to-date non-voting member that was sent a message recently."""
         if name in self.members.voters or now - peer.sent_at >= self.timing.non_voter_interval:
             return False
         return peer.next_index > self.log.last_index and peer.sent_commit_index >= self.commit_index
@@ -591,7 +598,7 @@
                 peer.snapshot_retry_at = now + self.timing.election_timeout
                 self.send_snapshot(name, peer)
                 return
-            # Meanwhile it is told at least that this leader lives; it can't fit, and says so.
+            # While a snapshot chunk is in flight, send a heartbeat; the follower rejects it as a mismatch.
             self.send_append(name, self.log.snapshot.index, (), 0)
             return
         entries = limit_batch(
@@ -602,7 +609,7 @@
         peer.sent_commit_index = self.commit_index
 
     def send_snapshot(self, name: str, peer: Peer) -> None:
-        """The next part. A transfer that has begun is finished before a newer snapshot is sent."""
+        """Sends the next chunk. A transfer in progress is finished before a newer snapshot is sent."""
         if peer.outgoing_snapshot is None or not peer.outgoing_snapshot.offset:
             peer.outgoing_snapshot = OutgoingSnapshot(self.log.snapshot)
         outgoing, snapshot = peer.outgoing_snapshot, peer.outgoing_snapshot.snapshot
@@ -616,7 +623,7 @@
         )  # fmt: skip
 
     def is_sending_snapshot(self, now: float) -> bool:
-        """Whether a snapshot is on its way to a member that answers: a newer one would be sent after it."""
+        """Whether a snapshot is being sent to a responsive member; a newer one would have to follow it."""
         return any(
             peer.outgoing_snapshot is not None and self.responded_recently(peer, now)
             for peer in self.peers.values()
@@ -633,12 +640,12 @@
         )  # fmt: skip
 
     def record_response(self, message: AppendReply | InstallProgress, now: float) -> Peer | None:
-        """The follower that answers this leader; None if this is no leader, or the sender no member."""
+        """Records a follower's reply; None if this is not the leader or the sender not a member."""
         peer = self.peers.get(message.source)
         if self.role is not Role.LEADER or peer is None:
             return None
         if peer.boot != message.boot:
-            # What it had before its start counts again once it says so.
+            # It restarted: what it stored before counts again only once it acknowledges it.
             peer.boot, peer.match_index = message.boot, 0
         peer.last_heard_at = now
         peer.acked_round = max(peer.acked_round, message.round_number)
@@ -674,7 +681,7 @@
         self.promote_learner(message.source, peer, now)
 
     def advance_commit_index(self, now: float) -> None:
-        """Commit what a majority has, if an entry of this very term is the last of it."""
+        """Commits what a majority has stored, if the last of it is an entry of the current term."""
         match_indexes = {name: peer.match_index for name, peer in self.peers.items()}
         match_indexes[self.identity] = self.log.last_index
         descending = sorted((match_indexes.get(name, 0) for name in self.members.voters), reverse=True)
@@ -683,7 +690,7 @@
             self.commit_index = index
             self.confirm_reads()
             if not self.is_voter and self.log.members_index() <= index:
-                # Removed, and all that decided it is committed: the others elect one of theirs.
+                # This leader was removed and the change is committed: the others elect a new leader.
                 self.record_event("removed")
                 self.broadcast(now)
                 self.become_follower("", now)
@@ -691,7 +698,7 @@
                 self.broadcast(now)
 
     def confirm_reads(self) -> None:
-        """Reads whose turn a majority has answered, once this leader knows all that was committed."""
+        """Confirms the reads whose round a majority has acknowledged."""
         if not self.committed_in_term:
             return
         for round_number in sorted(self.reads_by_round):
@@ -703,7 +710,7 @@
             ]
 
     def promote_learner(self, name: str, peer: Peer, now: float) -> None:
-        """A learner that has caught up votes from now on."""
+        """Makes a learner that has caught up a voter."""
         members = self.members
         if name not in members.learners or peer.match_index < self.commit_index or not self.committed_in_term:
             return
@@ -713,7 +720,7 @@
             voters = (*members.voters, name)
             self.change_members(Members(voters, learners, members.former, members.non_voters), now)
 
-    # Small parts.
+    # Helpers.
 
     def other_members(self) -> list[str]:
         return [name for name in self.members.all if name != self.identity]
@@ -732,7 +739,7 @@
 
 
 def limit_batch(entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-    """The first of these, as many as one message may hold."""
+    """The leading entries that fit into one message, at least one."""
     size = 0
     for position, entry in enumerate(entries):
         size += len(entry.body)
--- a/latchspoke/consensus/records.py
+++ b/latchspoke/consensus/records.py
@@ -1,7 +1,7 @@
-"""What members write down and say to one another: typed records, encoded with msgspec.
+"""Records that members store and the messages they exchange, encoded with msgspec.
 
-An identity is a member's name and the number drawn when its store was made: ``a1#5be2a07c``. A member that
-has lost its disk is so another one under the same name, and what it once promised can't be promised twice.
+An identity is a member's name and a random number drawn when its store was created: ``a1#5be2a07c``. A member
+that lost its disk gets a new identity, so it cannot contradict the votes it cast under the old one.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 
 class RecordsError(ValueError):
-    """What was read is no such record; one line."""
+    """The data is not a valid record or message; the text is one line."""
 
 
 class Kind(Enum):
-    """What an entry is for."""
+    """The type of a log entry."""
 
-    NOTHING = "nothing"  # the first entry of a leader's term
-    DATA = "data"  # for the state machines
-    MEMBERS = "members"  # who the members are, in force from the moment it stands in a log
+    NOTHING = "nothing"  # no-op, the first entry of a leader's term
+    DATA = "data"  # a command for the state machines
+    MEMBERS = "members"  # a configuration change, in force as soon as it is in the log
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One place of the log."""
+    """A log entry."""
 
     index: int
     term: int
@@ -33,10 +33,11 @@
 
 
 class Members(msgspec.Struct, frozen=True):
-    """Those who vote, and those who only follow until they have caught up; by identity.
+    """The cluster configuration, by identity.
 
-    ``former`` are names that an operator has taken out: they come in again only by an operator's word.
-    ``guests`` follow like learners and are never made voters by themselves.
+    ``learners`` replicate the log and are promoted to voters once they have caught up. ``non_voters``
+    replicate it too but are never promoted automatically. ``former`` are names that an operator removed:
+    only an operator can add them again.
     """
 
     voters: tuple[str, ...] = ()
@@ -46,19 +47,21 @@
 
     @property
     def all(self) -> tuple[str, ...]:
+        """Everyone who replicates the log."""
         return self.voters + self.learners + self.non_voters
 
     @property
     def majority(self) -> int:
+        """The number of voters that make a quorum."""
         return len(self.voters) // 2 + 1
 
     def has_quorum(self, identities: set[str]) -> bool:
-        """Whether a majority of the voters is among these."""
+        """Whether ``identities`` include a majority of the voters."""
         return bool(self.voters) and sum(voter in identities for voter in self.voters) >= self.majority
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """All that the entries up to ``index`` made of the state machines, and the members then."""
+    """State of the state machines after applying all entries up to ``index``, and the membership there."""
 
     index: int = 0
     term: int = 0
@@ -67,24 +70,24 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a member may never go back on: its term, and whom it has given its vote in it."""
+    """Raft's persistent state: the current term and the identity voted for in it ('' if none)."""
 
     term: int = 0
     vote: str = ""
 
 
 class Stored(msgspec.Struct, frozen=True):
-    """All that a member finds on its disk at a start."""
+    """Everything a member loads from its disk at startup."""
 
     identity: str
-    boot: int  # starts of this store so far, this one counted
+    boot: int  # number of starts of this store, including this one
     hard_state: HardState = HardState()
     snapshot: Snapshot = Snapshot()
     entries: tuple[Entry, ...] = ()
 
 
 class Message(msgspec.Struct, frozen=True, tag_field="t", omit_defaults=True):
-    """From one identity to another. ``boot`` counts the sender's starts, so that an old disk is found out."""
+    """Base of all messages. ``boot`` counts the sender's starts; it reveals an old copy of a disk."""
 
     source: str
     target: str
@@ -93,7 +96,7 @@
 
 
 class VoteRequest(Message, frozen=True, tag="ask-vote"):
-    """``trial``: a question without consequences, before a term is spent on it."""
+    """RequestVote; ``pre_vote`` asks whether the vote would be granted, without increasing the term."""
 
     last_index: int = 0
     last_term: int = 0
@@ -101,12 +104,14 @@
 
 
 class VoteReply(Message, frozen=True, tag="give-vote"):
+    """Reply to a VoteRequest."""
+
     granted: bool = False
     pre_vote: bool = msgspec.field(name="trial", default=False)
 
 
 class Append(Message, frozen=True, tag="append"):
-    """Entries after ``before``; without any it is a heartbeat. ``turn`` numbers the leader's rounds."""
+    """AppendEntries; without entries it is a heartbeat. ``round_number`` counts the leader's broadcasts."""
 
     before_index: int = 0
     before_term: int = 0
@@ -116,14 +121,14 @@
 
 
 class Install(Message, frozen=True, tag="install"):
-    """A snapshot for a member whose next entries are no longer in the leader's log."""
+    """InstallSnapshot, for a member whose next entries the leader has already compacted."""
 
     snapshot: Snapshot = Snapshot()
     round_number: int = msgspec.field(name="turn", default=0)
 
 
 class InstallPart(Message, frozen=True, tag="install-part"):
-    """``body`` is the part from ``offset`` on of a snapshot's body, which has ``total`` bytes."""
+    """One chunk of a large snapshot: the bytes from ``offset`` on, of ``total``."""
 
     index: int = 0
     snapshot_term: int = 0
@@ -135,7 +140,7 @@
 
 
 class InstallProgress(Message, frozen=True, tag="install-progress"):
-    """Of the snapshot up to ``index``, the sender lacks the bytes from ``offset`` on."""
+    """Acknowledges a chunk: of the snapshot up to ``index``, the sender needs the bytes from ``offset``."""
 
     index: int = 0
     offset: int = 0
@@ -143,7 +148,11 @@
 
 
 class AppendReply(Message, frozen=True, tag="appended"):
-    """``index``: up to here the log is the leader's and synced; or where to try again, if not ``ok``."""
+    """Reply to an Append or Install.
+
+    If ``ok``, the log matches the leader's up to ``index`` and is synced; else the leader should retry after
+    ``index``.
+    """
 
     ok: bool = False
     index: int = 0
@@ -151,17 +160,17 @@
 
 
 class BootQuery(Message, frozen=True, tag="hello"):
-    """A member that has just started asks whether anybody knows a later start of it."""
+    """A restarted member asks whether any other has seen a later boot of its store."""
 
 
 class BootReply(Message, frozen=True, tag="known"):
-    """The latest start that the sender has heard of."""
+    """The latest boot of the receiver that the sender has seen."""
 
     latest: int = 0
 
 
 class TimeoutNow(Message, frozen=True, tag="yield"):
-    """The leader leaves: this member, whose log is whole, is to stand at once."""
+    """Leadership transfer: the receiver, whose log is up to date, starts an election at once."""
 
 
 AnyMessage = (
@@ -181,16 +190,18 @@
 
 
 def encode(message: AnyMessage) -> bytes:
+    """The bytes of a message, decoded by ``decode``."""
     return ENCODER.encode(message)
 
 
 def decode(data: bytes) -> AnyMessage:
-    """Raises RecordsError."""
+    """Decodes a message. Raises RecordsError."""
     try:
         return DECODER.decode(data)
     except msgspec.MsgspecError as e:
-        raise RecordsError(f"no message of a member: {e}") from None
+        raise RecordsError(f"not a consensus message: {e}") from None
 
 
 def name_of(identity: str) -> str:
+    """The member's name, without the number of its store."""
     return identity.partition("#")[0]
--- a/latchspoke/consensus/transfer.py
+++ b/latchspoke/consensus/transfer.py
@@ -1,8 +1,8 @@
-"""A snapshot in parts, each acknowledged before the next is sent.
+"""Transfers a snapshot in chunks, each acknowledged before the next is sent.
 
-A snapshot of many megabytes in one message would hold up heartbeats behind it, and would be sent anew each
-time that its acknowledgement takes longer than a retry. Parts are bounded by ``PART_BYTES``, and a transfer
-goes on from where it was after a lost part. Pure: no I/O, no clock.
+A large snapshot in a single message would delay the heartbeats behind it, and would be sent again whenever
+its acknowledgement took longer than the retry interval. After a lost chunk the transfer resumes where it
+stopped. Sans-I/O.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 from latchspoke.consensus.records import InstallPart, Snapshot
 
-PART_BYTES = 256 * 1024  # of a snapshot's body; smaller snapshots go whole
+PART_BYTES = 256 * 1024  # of a snapshot's body; smaller snapshots are sent in one message
 
 
 class OutgoingSnapshot(msgspec.Struct):
-    """The leader's side of one transfer. The snapshot stays the same, even if the log gets a newer one."""
+    """The leader's side of a transfer; keeps its snapshot even if the log is compacted again meanwhile."""
 
     snapshot: Snapshot
-    offset: int = 0  # bytes that the other side has acknowledged
+    offset: int = 0  # bytes acknowledged by the follower
 
     @property
     def fits_one_message(self) -> bool:
@@ -26,11 +26,11 @@
         return len(self.snapshot.body) <= PART_BYTES
 
     def next_part(self) -> bytes:
-        """The bytes to be sent next."""
+        """The next chunk of the body."""
         return self.snapshot.body[self.offset : self.offset + PART_BYTES]
 
     def acknowledge(self, index: int, offset: int) -> bool:
-        """The other side wants the bytes from ``offset`` on; False for a repeated word on what is known."""
+        """Records that the follower needs the bytes from ``offset`` on; False for a duplicate."""
         if index != self.snapshot.index or offset == self.offset:
             return False
         self.offset = offset
@@ -38,7 +38,7 @@
 
 
 class IncomingSnapshot(msgspec.Struct):
-    """The follower's side of one transfer, from one leader in one term."""
+    """The follower's side of a transfer, from one leader in one term."""
 
     source: str
     term: int
@@ -46,11 +46,11 @@
     body: bytearray = msgspec.field(default_factory=bytearray)
 
     def accepts(self, part: InstallPart) -> bool:
-        """Whether this part belongs to the transfer."""
+        """Whether this chunk belongs to the transfer."""
         return (self.source, self.term, self.index) == (part.source, part.term, part.index)
 
     def append_part(self, part: InstallPart) -> Snapshot | None:
-        """Append a part that follows; the snapshot once all of it is here."""
+        """Appends a chunk if it is the next one; returns the snapshot once it is complete."""
         if part.offset == len(self.body):
             self.body += part.body
         if len(self.body) < part.total:
--- a/tests/consensus/test_member.py
+++ b/tests/consensus/test_member.py
@@ -295,7 +295,7 @@
 
 
 def test_damaged_messages_are_refused_with_one_line() -> None:
-    with pytest.raises(records.RecordsError, match="no message of a member"):
+    with pytest.raises(records.RecordsError, match="not a consensus message"):
         records.decode(b"\x81\xa1t\xa3abc")
 
 
