--- a/latchspoke/configstore/__init__.py
+++ b/latchspoke/configstore/__init__.py
@@ -1,1 +1,1 @@
-"""The register of the operator's word: configuration and evacuations, on a majority of the core's disks."""
+"""Replicated store of configuration and zone evacuations, on a majority of the control-plane nodes."""
--- a/latchspoke/configstore/copies.py
+++ b/latchspoke/configstore/copies.py
@@ -1,11 +1,11 @@
-"""Copies of the operator's word, to begin a system anew from when a majority of its disks is lost. Pure.
+"""Copies of the config store, to rebuild a cluster after a majority of its disks was lost. Sans-I/O.
 
-A copy is no copy of a disk. A member's disk also holds what that member has promised in votes, and one put
-back from an older state would break its promises: the ledger refuses it. A copy holds what the committed
-orders have made, which is all that a system needs, and new members begin from it.
+A copy is not an image of a disk. A disk also holds the member's votes, and restoring an older disk would
+break them, so the ledger rejects it. A copy holds only the committed state; new members start from it.
 
-Gateways go by places in the log and never go back. A system begun anew may lack the last changes, so its
-places must lie above any that the lost one ever told: each beginning starts a new block of 2**32.
+Gateways compare log indices and never go back to a lower one. A rebuilt cluster may lack the last changes, so
+its indices must be higher than any that the lost cluster used: each restore starts a new block of 2**32
+indices.
 """
 
 from __future__ import annotations
@@ -21,65 +21,65 @@
 
 KIND = "latchspoke register copy"
 LAYOUT = 1
-INDEX_BLOCK = 1 << 32  # places of a beginning
+INDEX_BLOCK = 1 << 32  # log indices reserved per restore
 
 
 class CopyError(Exception):
-    """No copy, a damaged one, or one of another program; one line says why."""
+    """The file is not a copy, is damaged or has another layout; the text is one line."""
 
 
 class Copy(msgspec.Struct, frozen=True):
-    """What the file holds. It has the tenants' keys in it: only its owner may read it."""
+    """Contents of the file. It includes the tenants' keys, so only its owner may read it."""
 
     kind: str
     layout: int
     taken_by: str
-    applied: int  # place up to which all is in it
+    applied: int  # log index up to which commands are included
     digest: str
     orders: Image
 
 
 def digest_of(image: Image) -> str:
-    """Hash of the orders in a copy, in hexadecimal."""
+    """Hex digest of the state in a copy."""
     return blake2b(msgspec.json.encode(image), digest_size=16).hexdigest()
 
 
 def make_copy(state: ConfigState, applied_index: int, taken_by: str) -> Copy:
-    """A copy of the applied orders; ``applied`` is their place in the log."""
+    """A copy of the state after applying all entries up to ``applied_index``."""
     image = IMAGE_DECODER.decode(state.dump())
     return Copy(KIND, LAYOUT, taken_by, applied_index, digest_of(image), image)
 
 
 def write(copy: Copy) -> bytes:
-    """The copy as the bytes of a file."""
+    """The contents of the copy's file."""
     return msgspec.json.encode(copy) + b"\n"
 
 
 def read(data: bytes, path: str) -> Copy:
-    """Raises CopyError."""
+    """Decodes and verifies a copy; ``path`` is for error texts. Raises CopyError."""
     try:
         copy: Copy = msgspec.json.decode(data, type=Copy)
     except msgspec.MsgspecError as e:
-        raise CopyError(f"{path} is no whole copy: {e}") from None
+        raise CopyError(f"{path} is not a complete copy: {e}") from None
     if copy.kind != KIND:
-        raise CopyError(f"{path} is no copy of a register, but {copy.kind[:60]!r}")
+        raise CopyError(f"{path} is not a copy of a config store but {copy.kind[:60]!r}")
     if copy.layout != LAYOUT:
-        raise CopyError(f"{path}: its layout is {copy.layout}, this program knows {LAYOUT}")
+        raise CopyError(f"{path} has layout {copy.layout}, this program supports {LAYOUT}")
     if copy.digest != digest_of(copy.orders):
-        raise CopyError(f"{path} is damaged: its digest is another")
+        raise CopyError(f"{path} is damaged: digest mismatch")
     return copy
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredStore:
-    """What each founder's new disk holds."""
+    """Initial contents of each founder's new disk."""
 
-    identity_suffix: str  # of the founders' identities
+    identity_suffix: str  # suffix of the founders' identities
     snapshot: Snapshot
 
 
 def restore_from_copy(copy: Copy, founders: Collection[str]) -> RestoredStore:
-    """The same for all who are given the same copy and the same founders (inner addresses "ip:port")."""
+    """The initial disk contents of the founders ("ip:port"); deterministic for the same copy and founders."""
     founder_names = tuple(sorted(set(founders)))
     token = blake2b("\n".join((copy.digest, *founder_names)).encode(), digest_size=4).hexdigest()
     index = (max(copy.applied, copy.orders.index) // INDEX_BLOCK + 1) * INDEX_BLOCK
--- a/latchspoke/configstore/messages.py
+++ b/latchspoke/configstore/messages.py
@@ -1,6 +1,6 @@
-"""What the processes of the replicated store say to one another: objects, whose ``k`` tells the kind.
+"""Messages between the processes of the replicated store, encoded as objects with the tag ``k``.
 
-Unknown fields are skipped, so that neighbouring releases understand each other.
+Unknown fields are ignored, so that adjacent releases can communicate.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 
 
 class RaftMessage(msgspec.Struct, frozen=True, tag_field="k", tag="raft"):
-    """A message of the replicated log."""
+    """A Raft message."""
 
     message: AnyMessage = msgspec.field(name="m")
 
 
 class CommandRequest(msgspec.Struct, frozen=True, tag_field="k", tag="ask"):
-    """A command for the leader to propose; ``question`` is the sender's number for it."""
+    """A command for the leader to propose; ``request_id`` is chosen by the sender."""
 
     request_id: int = msgspec.field(name=REQUEST_ID_FIELD)
     command: Command = msgspec.field(name="c")
 
 
 class CommandReply(msgspec.Struct, frozen=True, tag_field="k", tag="told"):
-    """The verdict on a command, once it is committed and applied at the leader."""
+    """The verdict on a command, sent once the leader has committed and applied it."""
 
     request_id: int = msgspec.field(name=REQUEST_ID_FIELD)
     verdict: Verdict = msgspec.field(name="v")
 
 
 class NotLeaderReply(msgspec.Struct, frozen=True, tag_field="k", tag="no"):
-    """The receiver of a command doesn't lead, or no more: nothing is known of it."""
+    """The receiver of a command is not, or no longer, the leader; the outcome is unknown."""
 
     request_id: int = msgspec.field(name=REQUEST_ID_FIELD)
 
 
 class ReadIndexRequest(msgspec.Struct, frozen=True, tag_field="k", tag="prove"):
-    """Up to which index must the sender have applied, to know all that was acknowledged before now?
+    """Asks the leader for a read index: the index to apply before serving a linearizable read.
 
-    ``patient``: the leader's next heartbeat may carry the question to the others.
+    If ``deferrable``, the leader may confirm its leadership with the next scheduled heartbeat.
     """
 
     request_id: int = msgspec.field(name=REQUEST_ID_FIELD)
@@ -53,26 +53,26 @@
 
 
 class ReadIndexReply(msgspec.Struct, frozen=True, tag_field="k", tag="proof"):
-    """The answer: an index, or -1 where the receiver of the question doesn't lead."""
+    """The read index, or -1 if the receiver of the request is not the leader."""
 
     request_id: int = msgspec.field(name=REQUEST_ID_FIELD)
     index: int = msgspec.field(name="i")
 
 
 class JoinRequest(msgspec.Struct, frozen=True, tag_field="k", tag="knock"):
-    """The sender, of this identity, asks to be a member."""
+    """The sender asks to join under this identity."""
 
     identity: str = msgspec.field(name=IDENTITY_FIELD)
 
 
 class LeaderHint(msgspec.Struct, frozen=True, tag_field="k", tag="leads"):
-    """The identity of the leader, as the sender knows it."""
+    """The leader's identity as far as the sender knows."""
 
     identity: str = msgspec.field(name=IDENTITY_FIELD)
 
 
 class LeaveNotice(msgspec.Struct, frozen=True, tag_field="k", tag="leaves"):
-    """The sender is about to stop; ``boot`` is the start of its store in which it says so."""
+    """The sender is about to stop; ``boot`` is its current boot."""
 
     identity: str = msgspec.field(name=IDENTITY_FIELD)
     boot: int
@@ -92,6 +92,6 @@
 
 
 def decode_message(message: dict[str, Any]) -> Message:
-    """Raises msgspec.ValidationError, a ValueError, for what is none of these."""
+    """Raises msgspec.ValidationError, a ValueError, if this is none of the messages above."""
     decoded: Message = msgspec.convert(message, Message)
     return decoded
--- a/latchspoke/configstore/replica.py
+++ b/latchspoke/configstore/replica.py
@@ -1,7 +1,7 @@
-"""The register on a disk and in an event loop; whoever owns the sockets hands messages in and out.
+"""Runs a config store node on an event loop, with its ledger on disk; the owner moves the messages.
 
-The disk is synced in the loop's own thread: that takes a millisecond or two. While it refuses, nothing that
-relies on it is said, what comes is dropped, and callers are told that nothing is known.
+The disk is synced in the loop's own thread, which takes a millisecond or two. While writes fail, no message
+that depends on them is sent, incoming messages are dropped, and callers get the verdict ``unknown``.
 """
 
 from __future__ import annotations
@@ -23,24 +23,22 @@
 from latchspoke.consensus.records import name_of
 
 DATABASE_FILE = "register.db"
-MIN_TIMER_DELAY_S = (
-    0.0002  # s; none is set for sooner: a timer a rounding ahead of what is due rings in vain, for ever
-)
-DISK_RETRY_S = 0.25  # s until a write that the disk refused is tried again
-HANDOVER_TIMEOUT_S = 0.3  # s that a leader that stops waits for the next one
-RECOVERY_DELAY_S = 0.5  # s after a fault of the program until the register begins anew from the disk
-STARTUP_READ_TIMEOUT_S = 5.0  # s; the first proof of a life is asked for again after so long
-
-SendMessage = Callable[[str, Message], None]  # to the process of a name
+MIN_TIMER_DELAY_S = 0.0002  # a timer rounded to just before the due time would fire again and again
+DISK_RETRY_S = 0.25  # until a failed write is retried
+HANDOVER_TIMEOUT_S = 0.3  # that a stopping leader waits for its successor
+RECOVERY_DELAY_S = 0.5  # from an internal error to the reload from disk
+STARTUP_READ_TIMEOUT_S = 5.0  # time limit of the reads that confirm the state after a start
+
+SendMessage = Callable[[str, Message], None]  # sends a message to the process of a name
 LogEvent = Callable[[str, dict[str, Any]], None]
 
 
 def discard_event(event: str, fields: dict[str, Any]) -> None:
-    """No log."""
+    """Default log: discards all events."""
 
 
 class Replica:
-    """One process's register. Names are inner addresses, "ip:port"; not for several threads."""
+    """One process's replica of the config store. Names are inner addresses, "ip:port". Not thread-safe."""
 
     def __init__(
         self,
@@ -56,7 +54,7 @@
         rng: random.Random | None = None,
         catch_up: float = DEFAULT_CATCH_UP_S,
     ) -> None:
-        """``founders``: the seeds; ``first``: the whole system's first start; ``catch_up`` (s): see Register.
+        """``founders``: the seeds; ``first_start``: of the whole deployment; ``catch_up`` (s): see StoreNode.
 
         Raises LedgerError.
         """
@@ -70,19 +68,19 @@
         except BaseException:
             self.ledger.close()
             raise
-        self.startup_read_id = 0  # the first confirm of this life
-        self.failed = False  # a fault of the program: until the register has begun anew
+        self.startup_read_id = 0  # the read that confirms the state after a start
+        self.failed = False  # after an internal error, until the node is reloaded from disk
         self.pending_answers: dict[int, asyncio.Future[Answer]] = {}
         self.loop: asyncio.AbstractEventLoop | None = None
         self.timer: asyncio.Handle | None = None
-        self.timer_at = 0.0  # s, on the loop's clock; uvloop's handle for what is due at once can't tell
+        self.timer_at = 0.0  # s, on the loop's clock; uvloop's handle of an immediate call has no ``when``
         self.turn_scheduled = False
-        self.unsaved_output: Output | None = None  # what the disk wouldn't take
-        self.disk_error = ""  # why it wouldn't
+        self.unsaved_output: Output | None = None  # the output whose write failed
+        self.disk_error = ""  # why the write failed; '' while writes succeed
         self.closed = False
 
     def load_node(self) -> StoreNode:
-        """From what the disk holds, as after a kill. Raises LedgerError."""
+        """Creates the node from the contents of the disk, as after a crash. Raises LedgerError."""
         suffix = identity_suffix(self.name, self.founders, self.first_start, secrets.token_hex(4))
         image = founding_snapshot(self.founders, ConfigState(self.apply_patch))
         stored = self.ledger.start(self.name, suffix, suffix == "first", image)
@@ -92,27 +90,27 @@
 
     @property
     def state(self) -> ConfigState:
-        """The applied state; don't change it, and don't keep its document over a change."""
+        """The applied state. Don't modify it or keep its document across changes."""
         return self.node.state
 
     @property
     def read_confirmed(self) -> bool:
-        """Whether the state has ever been confirmed in this life; before that it may be an old one."""
+        """Whether a read was confirmed since the start; before that the state may be stale."""
         return self.node.read_confirmed
 
     @property
     def voters(self) -> set[str]:
-        """Names of those of whom a majority decides."""
+        """Names of the voters."""
         return {name_of(identity) for identity in self.node.member.members.voters}
 
     def start(self) -> None:
-        """Inside the running loop."""
+        """Starts the timers; must be called from the running loop."""
         self.loop = asyncio.get_running_loop()
         self.log("register-starts", {"identity": self.node.member.identity})
         self.tick()
 
     async def stop(self) -> None:
-        """A leader hands over first, so that nobody waits for an election. What waits here is unknown."""
+        """Transfers leadership first, then closes; pending calls get the outcome ``unknown``."""
         was_leader = not self.unavailable and self.node.leave(self.clock())
         self.run_turn()
         if was_leader:
@@ -122,7 +120,7 @@
         self.close()
 
     def close(self) -> None:
-        """At once, as a process that ends."""
+        """Closes the replica without a leadership transfer."""
         if self.closed:
             return
         self.closed = True
@@ -134,13 +132,13 @@
 
     @property
     def unavailable(self) -> bool:
-        """Whether nothing is taken in now."""
+        """Whether messages and calls are rejected at present."""
         return self.closed or self.failed or self.unsaved_output is not None
 
-    # What comes.
+    # Inputs.
 
     def receive(self, name: str, message: dict[str, Any]) -> None:
-        """Take a message of another process in."""
+        """Handles a message from another process."""
         if self.unavailable:
             return
         try:
@@ -150,11 +148,11 @@
         self.schedule_turn()
 
     def update_peers(self, locations: Mapping[str, Location]) -> None:
-        """The processes of the core that are alive now, this one counted or not, and where they stand."""
+        """Sets the control-plane processes that are alive, with or without this one, and their locations."""
         self.node.update_peers(locations, self.clock())
 
     async def submit(self, command: Command, limit: float = 0.9) -> Verdict:
-        """The verdict once it stands for good; ``unknown`` (it may still be taken) after ``limit`` (s)."""
+        """Submits a command; ``unknown`` after ``limit`` (s) means that it may still be committed."""
         if self.unavailable:
             return Verdict(UNKNOWN, self.disk_error or "stops", self.state.version)
         answer = await self.wait_for_answer(self.node.submit(command, limit, self.clock()))
@@ -162,9 +160,9 @@
         return answer
 
     async def confirm_read(self, limit: float = 0.9, deferrable: bool = False) -> int | None:
-        """An index up to which all is applied here, at least all that was acknowledged before the call.
+        """Linearizable read: the applied index, which covers all commands acknowledged before the call.
 
-        None where no majority vouches for that within ``limit`` (s).
+        None if no majority confirms it within ``limit`` (s).
         """
         if self.unavailable:
             return None
@@ -173,7 +171,7 @@
         return answer
 
     async def wait_for_answer(self, request_id: int) -> Answer:
-        """The answer under this number, once it is there."""
+        """Waits for the answer to a call."""
         assert self.loop is not None
         future: asyncio.Future[Answer] = self.loop.create_future()
         self.pending_answers[request_id] = future
@@ -184,7 +182,7 @@
             self.pending_answers.pop(request_id, None)
 
     def status(self) -> dict[str, Any]:
-        """What operators see of this member."""
+        """The state of this member for operators."""
         node, member = self.node, self.node.member
         return {
             "identity": member.identity,
@@ -206,16 +204,16 @@
             "failed": self.failed,
         }
 
-    # What is done.
+    # Event loop.
 
     def schedule_turn(self) -> None:
-        """One turn for all that comes in one round of the loop: it syncs once for many."""
+        """Schedules one turn for everything that arrives in a loop iteration, so that it shares one sync."""
         if not self.turn_scheduled and self.loop is not None:
             self.turn_scheduled = True
             self.loop.call_soon(self.run_turn)
 
     def tick(self) -> None:
-        """The timer has fired: begin anew after a fault, retry the disk, do what is due."""
+        """The timer fired: recovers after an internal error, retries the disk, runs due timers."""
         self.timer = None
         if self.failed:
             self.recover()
@@ -230,7 +228,7 @@
         self.run_turn()
 
     def run_turn(self) -> None:
-        """Store, send and answer all that has come up, and set the timer."""
+        """Stores outputs, sends messages, delivers answers and sets the timer."""
         self.turn_scheduled = False
         if self.closed or self.failed:
             return
@@ -248,7 +246,7 @@
         self.set_timer(max(self.node.next_tick_at() - self.clock(), 0.0))
 
     def on_fault(self, error: Exception) -> None:
-        """What is in memory is not to be trusted; what the disk holds is, as after a kill."""
+        """Discards the state in memory after an internal error; the timer reloads it from disk."""
         self.log("register-failed", {"error": repr(error)})
         self.failed, self.unsaved_output = True, None
         self.node.fail_pending()
@@ -256,7 +254,7 @@
         self.set_timer(RECOVERY_DELAY_S)
 
     def recover(self) -> None:
-        """Begin anew from the disk, after a fault of the program."""
+        """Reloads the node from disk after an internal error."""
         locations = {name: self.node.locations[name] for name in self.node.live_names}
         try:
             self.node = self.load_node()
@@ -268,7 +266,7 @@
         self.node.update_peers(locations, self.clock())
 
     def process_outputs(self) -> bool:
-        """Whether the disk took all."""
+        """Processes all outputs; False if a write failed."""
         node = self.node
         while True:
             output, self.unsaved_output = self.unsaved_output or node.take_output(), None
@@ -285,11 +283,11 @@
             if snapshot is not None:
                 try:
                     self.ledger.compact(snapshot)
-                except LedgerError as e:  # the longer log is as good, and the next snapshot covers it
+                except LedgerError as e:  # harmless: the log stays longer until the next snapshot
                     self.log("disk-refuses", {"error": str(e)})
 
     def save_output(self, output: Output) -> bool:
-        """Sync an output; False where the disk refuses."""
+        """Syncs an output to disk; False if the write failed."""
         try:
             self.ledger.save(output)
         except LedgerError as e:
@@ -306,13 +304,13 @@
         return True
 
     def send_outbox(self) -> None:
-        """Send what is to be sent."""
+        """Sends all outgoing messages."""
         outbox, self.node.outbox = self.node.outbox, []
         for name, message in outbox:
             self.send(name, message)
 
     def deliver_answers(self) -> None:
-        """Hand answers to those who wait for them."""
+        """Resolves the futures of answered calls."""
         answers, self.node.answers = self.node.answers, []
         for request_id, answer in answers:
             future = self.pending_answers.get(request_id)
@@ -320,7 +318,7 @@
                 future.set_result(answer)
 
     def set_timer(self, delay: float) -> None:
-        """Wake in at most so long (s); one set before for earlier stays, and looks again."""
+        """Sets the timer to fire within ``delay`` (s); an earlier timer stays."""
         assert self.loop is not None
         when = self.loop.time() + min(max(delay, MIN_TIMER_DELAY_S), 60.0)
         if self.timer is not None:
--- a/latchspoke/configstore/store_node.py
+++ b/latchspoke/configstore/store_node.py
@@ -1,15 +1,12 @@
-"""One process's part in the register: a member of the log, the orders on it, and who takes part.
+"""One process of the replicated config store: a Raft member, its state machine and cluster membership.
 
-Pure. Messages, calls and the time (monotonic, s) go in; out come what to store, what to send to which name,
-and answers to callers. The driver's turn: ``take`` until it gives None; each time store and sync what is to
-be stored, then ``stored``, then send ``outbox`` and hand on ``answers``.
+Sans-I/O: messages, calls and the time (monotonic, in seconds) go in; outputs to store, messages to send and
+answers to callers come out. The driver calls ``take_output`` until it returns None. For each output it stores
+and syncs what has to be stored, calls ``on_stored``, sends ``outbox`` and delivers ``answers``.
 
-A process is named by its inner address, "ip:port". Its identity is that name and a draw, made when its disk
-was empty: "first" for the founders, "v-..." for one that came with the whole system's first start, "g-..."
-for any other. The leader takes in whoever knocks, as a guest that follows the log; ``voters`` tells who
-votes.
-
-``messages`` holds what processes say to one another.
+A process is named by its inner address, "ip:port". Its identity is that name and a suffix chosen when its
+disk was empty: "first" for founders, "v-..." for a process of the deployment's first start, "g-..." for any
+other. The leader admits every process that asks to join as a non-voter; ``voters`` decides who votes.
 """
 
 from __future__ import annotations
@@ -55,36 +52,34 @@
     eager_commit=True,
     non_voter_interval=0.3,
 )
-RETRY_INTERVAL_S = 0.3  # s after which a question without an answer is asked anew
-REFUSED_BACKOFF_S = 0.05  # s after a refusal before the next try
-JOIN_INTERVAL_S = 0.3  # s between knocks of one that is not taken in
-LEADER_LOST_AFTER_S = (
-    1.2  # s without a leader, after which a member knocks too: it may have been taken out unheard
-)
-LEADERLESS_TIMEOUT_S = 0.2  # s that a call waits, at most, where no leader has been known for so long
-JOIN_REQUEST_TTL_S = 1.0  # s that a knock is good for
+RETRY_INTERVAL_S = 0.3  # until an unanswered request is sent again
+REFUSED_BACKOFF_S = 0.05  # until a request rejected by a non-leader is sent again
+JOIN_INTERVAL_S = 0.3  # between join requests of a process that is not a member
+LEADER_LOST_AFTER_S = 1.2  # then a member asks to join again: it may have been removed without knowing
+LEADERLESS_TIMEOUT_S = 0.2  # longest wait of a call once the leader counts as lost
+JOIN_REQUEST_TTL_S = 1.0  # validity of a join request at the leader
 COMPACT_ENTRIES = 50
 COMPACT_BYTES = 4_000_000
-# While a snapshot is on its way to a member, the log is kept up to these: a newer one would have to follow.
+# Limits of the log while a snapshot is being sent; compacting earlier would force another transfer.
 TRANSFER_MAX_LOG_ENTRIES = 1_000
 TRANSFER_MAX_LOG_BYTES = 16_000_000
 
-OutgoingMessage = tuple[str, Message]  # the name of a process, and what goes there
-Answer = Verdict | int | None  # to a submit, and to a confirm
+OutgoingMessage = tuple[str, Message]  # name of the target process, message
+Answer = Verdict | int | None  # Verdict for ``submit``; applied index or None for ``confirm_read``
 
 
 class PendingCommand(msgspec.Struct):
-    """A caller's command that waits for its verdict."""
+    """A caller's command that has no verdict yet."""
 
     command: Command
     deadline: float
-    sent_to: str = ""  # the leader it was sent to, '' if it is to be sent
+    sent_to: str = ""  # identity of the leader it was sent to; '' if it must be sent
     sent_at: float = -math.inf
-    min_applied_index: int = 0  # all up to here must be applied before it is sent
+    min_applied_index: int = 0  # applied index required before it is sent
 
 
 class ReadIndexBatch(msgspec.Struct):
-    """One to the leader for a batch of callers: up to which index must be applied here."""
+    """A read-index request to the leader, for a batch of reads."""
 
     request_id: int
     read_ids: list[int]
@@ -93,14 +88,14 @@
 
 
 class PendingJoin(msgspec.Struct):
-    """Somebody knocks."""
+    """A join request received by the leader."""
 
     identity: str
     expires_at: float
 
 
 class Proposal(msgspec.Struct):
-    """A command that this member proposed as leader."""
+    """A command that this member proposed as leader, and who sent it."""
 
     term: int
     requester: str
@@ -108,26 +103,26 @@
 
 
 class WaitingReads(msgspec.Struct):
-    """Tickets of confirms, until the index is applied here."""
+    """Reads that wait until their read index is applied here."""
 
     index: int
     read_ids: list[int] = msgspec.field(default_factory=list)
 
 
-def founding_snapshot(founders: Collection[str], orders: ConfigState) -> Snapshot:
-    """What every founder's disk begins with; it stands at index 1, so that others are sent it."""
-    return Snapshot(1, 0, Members(tuple(f"{name}#first" for name in sorted(founders))), orders.dump())
+def founding_snapshot(founders: Collection[str], state: ConfigState) -> Snapshot:
+    """The initial disk contents of every founder; at index 1, so that later members are sent it."""
+    return Snapshot(1, 0, Members(tuple(f"{name}#first" for name in sorted(founders))), state.dump())
 
 
 def identity_suffix(name: str, founders: Collection[str], first_start: bool, token: str) -> str:
-    """The draw of a new identity; ``token`` is random."""
+    """The suffix of a new identity; ``token`` is random."""
     if first_start:
         return "first" if name in founders else f"v-{token}"
     return f"g-{token}"
 
 
 class StoreNode:
-    """See the module."""
+    """See the module docstring."""
 
     def __init__(
         self,
@@ -139,7 +134,7 @@
         timing: Timing = TIMING,
         catch_up: float = DEFAULT_CATCH_UP_S,
     ) -> None:
-        """``catch_up`` (s): a member that is back, or a successor, counts again after so long."""
+        """``catch_up`` (s): within this time a member that returned, or its replacement, is up to date."""
         self.now = now
         self.member = Member(stored, timing, rng, now)
         self.name = name_of(stored.identity)
@@ -149,41 +144,41 @@
         self.live_names: set[str] = set()
         self.outbox: list[OutgoingMessage] = []
         self.answers: list[tuple[int, Answer]] = []
-        self.state_changed = False  # the orders did, since the driver last looked
-        self.read_confirmed = False  # whether a confirm has ever come back to this process
-        # Numbers begin by chance: those of an earlier life of this process may still be under way.
+        self.state_changed = False  # whether ``state`` changed; reset by the driver
+        self.read_confirmed = False  # whether any read has been confirmed since the start
+        # Starts at random: replies to requests of an earlier run of this process may still arrive.
         self.last_request_id = rng.getrandbits(48)
         self.pending_commands: dict[int, PendingCommand] = {}
         self.read_batch: ReadIndexBatch | None = None
-        self.read_deadlines: dict[int, float] = {}  # confirms and their limits
-        self.queued_reads: list[int] = []  # for the next proof
+        self.read_deadlines: dict[int, float] = {}  # by read ID
+        self.queued_reads: list[int] = []  # for the next read-index request
         self.read_request_at = -math.inf
-        self.urgent_reads: set[int] = set()  # tickets that don't wait for the leader's next beat
+        self.urgent_reads: set[int] = set()  # reads that must not wait for the leader's next heartbeat
         self.waiting_reads: list[WaitingReads] = []
         self.proposals: dict[int, Proposal] = {}  # by index
         self.in_progress: set[tuple[str, int]] = set()
         self.served_reads: dict[int, tuple[str, int]] = {}
         self.join_requests: dict[str, PendingJoin] = {}
         self.liveness = MemberLiveness(catch_up)
-        self.locations: dict[str, Location] = {}  # by name; a process that is gone keeps its own
+        self.locations: dict[str, Location] = {}  # by name; kept for processes that are gone
         self.liveness_term = 0
         self.join_at = now
         self.leader_known_at = now  # when a leader was last known
-        self.leader_hint = ""  # who leads, by hearsay
+        self.leader_hint = ""  # the leader as reported by others
         self.log_bytes = sum(len(entry.body) for entry in stored.entries)
-        self.last_leader = ""  # the leader, when ``heed`` last looked
+        self.last_leader = ""  # the leader at the last ``send_pending``
         self.leaving = False
 
-    # Who leads, and who takes part.
+    # Leader and membership.
 
     @property
     def is_member(self) -> bool:
-        """Whether this process is a member by its own log."""
+        """Whether this process is a member according to its own log."""
         return self.member.identity in self.member.members.all
 
     @property
     def leader(self) -> str:
-        """An identity, or ''."""
+        """The leader's identity, or '' if unknown."""
         return self.member.leader if self.is_member else self.member.leader or self.leader_hint
 
     @property
@@ -193,11 +188,11 @@
 
     @property
     def leader_lost(self) -> bool:
-        """Whether no leader has been known for long."""
+        """Whether no leader has been known for ``LEADER_LOST_AFTER_S``."""
         return not self.leader and self.now - self.leader_known_at >= LEADER_LOST_AFTER_S
 
     def next_tick_at(self) -> float:
-        """When ``tick`` is next wanted."""
+        """When ``tick`` must be called next."""
         times = [self.member.next_tick_at()]
         times += [call.deadline for call in self.pending_commands.values()]
         times += self.read_deadlines.values()
@@ -221,12 +216,14 @@
     # Inputs.
 
     def tick(self, now: float) -> None:
-        """Do what is due by now (s, monotonic)."""
+        """Runs all timers that are due at ``now``."""
         self.now = now
         self.member.tick(now)
         for request_id in [n for n, call in self.pending_commands.items() if now >= call.deadline]:
             del self.pending_commands[request_id]
-            self.answers.append((request_id, Verdict(UNKNOWN, "no answer in time", self.state.version)))
+            self.answers.append(
+                (request_id, Verdict(UNKNOWN, "no reply within the time limit", self.state.version))
+            )
         for read_id in [t for t, until in self.read_deadlines.items() if now >= until]:
             self.finish_read(read_id, None)
         self.request_join()
@@ -234,7 +231,7 @@
         self.send_pending()
 
     def submit(self, command: Command, limit: float, now: float) -> int:
-        """The number of the verdict in ``answers``, which comes within ``limit`` (s)."""
+        """Submits a command; within ``limit`` (s) ``answers`` gets its verdict under the returned ID."""
         self.now = now
         self.last_request_id += 1
         request_id = self.last_request_id
@@ -245,10 +242,11 @@
         return request_id
 
     def confirm_read(self, limit: float, now: float, deferrable: bool = False) -> int:
-        """The number of the index in ``answers``: all that was acknowledged before now is applied here.
+        """Starts a linearizable read; its applied index is added to ``answers`` under the returned ID.
 
-        None where no majority says so within ``limit`` (s). A patient one costs no messages of its own
-        between the leader and the others: it goes with the next beat.
+        By then all commands acknowledged before the call are applied here. The answer is None if no majority
+        confirms this within ``limit`` (s). A deferrable read waits for the leader's next heartbeat instead of
+        causing messages of its own.
         """
         self.now = now
         self.last_request_id += 1
@@ -261,15 +259,15 @@
         return read_id
 
     def update_peers(self, locations: Mapping[str, Location], now: float) -> None:
-        """The processes of the core that are alive, by name, and where they stand."""
+        """Sets the control-plane processes that are alive, by name, and their locations."""
         self.now = now
         self.live_names = set(locations) - {self.name}
         self.locations.update(locations)
 
     def leave(self, now: float) -> bool:
-        """Tell all that the vote may go elsewhere, and hand over the lead.
+        """Announces the stop to all members and transfers leadership.
 
-        Whether there was a lead to hand over, and somebody to take it.
+        Returns whether this process was the leader and found a successor.
         """
         self.now, self.leaving = now, True
         for identity in self.member.other_members():
@@ -277,15 +275,15 @@
         return self.is_leader and bool(self.member.transfer_leadership(now))
 
     def fail_pending(self) -> None:
-        """The disk refuses: nothing is known of what waits here."""
+        """The disk failed: the outcome of all pending calls is unknown."""
         for request_id in self.pending_commands:
-            self.answers.append((request_id, Verdict(UNKNOWN, "the disk refuses", self.state.version)))
+            self.answers.append((request_id, Verdict(UNKNOWN, "the disk write failed", self.state.version)))
         self.pending_commands.clear()
         for read_id in list(self.read_deadlines):
             self.finish_read(read_id, None)
 
     def receive(self, name: str, message: dict[str, Any], now: float) -> None:
-        """From a process. What can't be read is dropped."""
+        """Handles a message from a process; drops it if it is malformed."""
         self.now = now
         try:
             decoded = messages.decode_message(message)
@@ -295,7 +293,7 @@
         self.send_pending()
 
     def dispatch(self, name: str, message: Message) -> None:
-        """A message, from another process or this one."""
+        """Handles a message from another process or from this one."""
         match message:
             case RaftMessage():
                 self.on_raft_message(message.message)
@@ -316,10 +314,10 @@
             case LeaveNotice():
                 self.on_leave_notice(name, message.identity, message.boot)
 
-    # The driver's turn.
+    # Called by the driver.
 
     def take_output(self) -> Output | None:
-        """None where there is nothing to do."""
+        """The next output to store; None if there is nothing to do."""
         output = self.member.take_output()
         idle = not (
             output.must_store or output.messages or output.restore or output.committed
@@ -328,7 +326,7 @@
         return None if idle else output
 
     def on_stored(self, output: Output, now: float) -> None:
-        """What was to be stored is synced: the rest of it takes effect."""
+        """The output's writes are synced: releases its messages and applies its committed entries."""
         self.now = now
         self.log_bytes += sum(len(entry.body) for entry in output.entries)
         for message in output.messages:
@@ -345,14 +343,14 @@
             while self.proposals:
                 self.drop_proposal(self.proposals.popitem()[1])
         if output.committed and self.is_leader:
-            # The others needn't wait for the next beat to learn what is committed.
+            # Announce the new commit index without waiting for the next heartbeat.
             self.member.broadcast(now)
         self.release_reads()
         self.update_membership()
         self.send_pending()
 
     def compact_if_due(self) -> Snapshot | None:
-        """A snapshot to store in the place of the entries it covers, if it is time."""
+        """Compacts the log if it has grown enough; returns the snapshot to store, or None."""
         compactable = self.applied_index - self.member.log.snapshot.index
         if compactable < COMPACT_ENTRIES and (not compactable or self.log_bytes < COMPACT_BYTES):
             return None
@@ -364,7 +362,7 @@
         return snapshot
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Begin anew from a snapshot that came from the leader."""
+        """Resets the state to a snapshot received from the leader."""
         self.state.load(snapshot.body)
         self.applied_index, self.state_changed = snapshot.index, True
         self.log_bytes = sum(len(entry.body) for entry in self.member.log.entries)
@@ -372,7 +370,7 @@
             self.drop_proposal(self.proposals.pop(index))
 
     def apply_entry(self, entry: Entry) -> None:
-        """Apply a committed entry, and answer whoever sent its command to this leader."""
+        """Applies a committed entry and replies to the sender of its command."""
         verdict, previous_index = None, self.state.index
         if entry.kind is Kind.DATA:
             verdict = self.state.apply(entry.index, msgspec.json.decode(entry.body))
@@ -388,12 +386,12 @@
         self.reply(proposal.requester, CommandReply(proposal.request_id, verdict))
 
     def drop_proposal(self, proposal: Proposal) -> None:
-        """Nothing is known of it here any more; its sender asks the next leader."""
+        """Tells the sender of a command that its outcome is unknown, so that it asks the next leader."""
         self.in_progress.discard((proposal.requester, proposal.request_id))
         self.reply(proposal.requester, NotLeaderReply(proposal.request_id))
 
     def release_reads(self) -> None:
-        """Confirms whose index is applied."""
+        """Answers the reads whose read index is applied."""
         done = [waiting for waiting in self.waiting_reads if waiting.index <= self.applied_index]
         if done:
             self.waiting_reads = [
@@ -403,14 +401,14 @@
                 self.read_confirmed |= read_id in self.read_deadlines
                 self.finish_read(read_id, self.applied_index)
 
-    # Commands, at the process that was asked.
+    # Commands, at the process that received the call.
 
     def can_send(self, call: PendingCommand) -> bool:
-        """Whether all is applied here that the call must come after."""
+        """Whether all entries that the command must follow are applied here."""
         return call.min_applied_index <= self.applied_index
 
     def send_pending(self) -> None:
-        """Send what waits for a leader, or for a better one."""
+        """Sends pending commands and reads to the leader if they are due."""
         leader, now = self.leader, self.now
         if leader != self.last_leader:
             self.last_leader = leader
@@ -432,7 +430,7 @@
         self.request_read_index(leader)
 
     def on_command_reply(self, request_id: int, verdict: Verdict) -> None:
-        """The leader has answered a command."""
+        """The leader has replied to a command."""
         call = self.pending_commands.get(request_id)
         if call is None:
             return
@@ -443,20 +441,20 @@
         self.answers.append((request_id, verdict))
 
     def on_not_leader(self, request_id: int) -> None:
-        """Whom a command was sent to does not lead."""
+        """The receiver of a command is not the leader."""
         call = self.pending_commands.get(request_id)
         if call is not None:
             call.sent_to, call.sent_at = "", self.now
 
-    # Proofs, at the process that was asked.
+    # Reads, at the process that received the call.
 
     def request_read_index(self, leader: str) -> None:
-        """Ask the leader for a proof, for all confirms that wait."""
+        """Requests a read index from the leader for all queued reads."""
         batch, now = self.read_batch, self.now
         if batch is not None:
             if batch.sent_to == leader and now < batch.sent_at + RETRY_INTERVAL_S:
                 return
-            # Whoever waited begins anew: a later proof is as good for an earlier call.
+            # Requeue the unanswered reads: a later read index also serves earlier reads.
             self.queued_reads, self.read_batch = batch.read_ids + self.queued_reads, None
         self.queued_reads = [read_id for read_id in self.queued_reads if read_id in self.read_deadlines]
         if not self.queued_reads or now < self.read_request_at or not self.is_member:
@@ -470,7 +468,7 @@
         self.reply(name_of(leader), ReadIndexRequest(self.last_request_id, deferrable))
 
     def on_read_index_reply(self, request_id: int, index: int) -> None:
-        """The leader has answered the question for a proof; ``index`` -1: it does not lead."""
+        """The reply to a read-index request; ``index`` is -1 if the receiver is not the leader."""
         if self.read_batch is None or self.read_batch.request_id != request_id:
             return
         read_ids, self.read_batch = self.read_batch.read_ids, None
@@ -484,22 +482,22 @@
         self.release_reads()
 
     def finish_read(self, read_id: int, index: int | None) -> None:
-        """Answer a confirm, if nobody has yet."""
+        """Answers a read unless it has been answered already."""
         self.urgent_reads.discard(read_id)
         if self.read_deadlines.pop(read_id, None) is not None:
             self.answers.append((read_id, index))
 
-    # The leader's part.
+    # Leader.
 
     def reply(self, name: str, message: Message) -> None:
-        """To a process, which may be this one."""
+        """Sends a message to a process, which may be this one."""
         if name == self.name:
             self.dispatch(name, message)
         else:
             self.outbox.append((name, message))
 
     def on_command_request(self, name: str, request_id: int, command: Command) -> None:
-        """Propose a command that another process has sent here."""
+        """Proposes a command received from a process."""
         if (name, request_id) in self.in_progress:
             return
         try:
@@ -516,7 +514,7 @@
         self.proposals[entry.index] = Proposal(entry.term, name, request_id)
 
     def on_read_index_request(self, name: str, request_id: int, deferrable: bool = False) -> None:
-        """Read the log for a process that asks how far it must have applied."""
+        """Starts a linearizable read of the commit index for a process."""
         self.last_request_id += 1
         read_id = self.last_request_id
         self.served_reads[read_id] = name, request_id
@@ -526,14 +524,14 @@
             self.reply_read_index(read_id, -1)
 
     def reply_read_index(self, read_id: int, index: int) -> None:
-        """Answer the question for a proof that this read was made for."""
+        """Replies to the read-index request that this read was started for."""
         name, request_id = self.served_reads.pop(read_id)
         self.reply(name, ReadIndexReply(request_id, index))
 
-    # Who takes part.
+    # Membership.
 
     def request_join(self) -> None:
-        """Ask to be taken in; a member without a leader too, for it may be out without knowing."""
+        """Asks to join if not a member, or if the leader is lost: this process may have been removed."""
         now, wanted = self.now, self.leader_lost if self.is_member else True
         if now < self.join_at or not wanted or self.member.role is Role.HALTED:
             return
@@ -542,7 +540,7 @@
             self.outbox.append((name, JoinRequest(self.member.identity)))
 
     def on_join_request(self, name: str, identity: str) -> None:
-        """A process asks to be a member."""
+        """A process asks to join; whoever receives it replies with the leader's identity."""
         if name_of(identity) != name or name == self.name:
             return
         if self.is_leader:
@@ -552,22 +550,22 @@
             self.outbox.append((name, LeaderHint(self.member.leader)))
 
     def on_leader_hint(self, leader: str) -> None:
-        """Another process names the leader."""
+        """Another process reports the leader."""
         self.leader_hint = leader
 
     def on_raft_message(self, message: AnyMessage) -> None:
-        """A message of the replicated log has come."""
+        """Handles a Raft message."""
         self.member.receive(message, self.now)
         self.liveness.mark_started(message.source, message.boot)
 
     def on_leave_notice(self, name: str, identity: str, boot: int) -> None:
-        """A process is about to stop. Every member notes it: the next leader may be any of them."""
+        """A process is about to stop; recorded by every member, because any may be the next leader."""
         if name_of(identity) == name and identity in self.member.members.all:
             self.liveness.mark_leaving(identity, boot)
             self.update_membership()
 
     def update_membership(self) -> None:
-        """The leader's word on who takes part, one change at a time."""
+        """As leader, proposes the next configuration change once the previous one is committed."""
         member = self.member
         if not member.committed_in_term:
             return
@@ -580,7 +578,7 @@
                 member.change_members(members, self.now)
 
     def update_liveness(self) -> None:
-        """What this leader has heard of the others up to now."""
+        """Updates what this leader knows of the other members' liveness."""
         member, now = self.member, self.now
         if self.liveness_term != member.term:
             self.liveness_term = member.term
@@ -593,7 +591,7 @@
             self.liveness.record_contact(identity, peer.last_heard_at)
 
     def join_candidates(self) -> list[JoinCandidate]:
-        """Those who have asked lately and are no members yet."""
+        """Processes with a valid join request that are not members yet."""
         members = self.member.members.all
         for name, join in list(self.join_requests.items()):
             if self.now >= join.expires_at or join.identity in members:
@@ -601,7 +599,7 @@
         return [JoinCandidate(join.identity) for join in self.join_requests.values()]
 
     def membership_view(self) -> MembershipView:
-        """What decides on the members, as this leader knows it."""
+        """The input for the decision on the configuration."""
         member, liveness, now = self.member, self.liveness, self.now
         others = member.other_members()
         return MembershipView(
@@ -618,7 +616,7 @@
         )
 
     def caught_up(self, identity: str, now: float) -> bool:
-        """Whether a member answers and has all that is committed."""
+        """Whether a member is responsive and has all committed entries."""
         peer = self.member.peers.get(identity)
         return (
             peer is not None
--- a/latchspoke/configstore/voters.py
+++ b/latchspoke/configstore/voters.py
@@ -1,17 +1,17 @@
-"""Who votes on the replicated log: the leader's next change of membership, one voter at a time.
+"""Decides which members vote: the leader's next configuration change, one voter at a time.
 
-Pure. The leader tells what it has heard of each member; ``next_members`` gives the membership to propose, or
-None. Every newcomer joins as a guest: it replicates the log and doesn't vote. A guest that has caught up
-becomes a voter where the voters are fewer than they can be, where a voter is lost, or where another place for
-a vote lets more survive the loss of a zone or region.
+Sans-I/O. The leader passes in what it knows of each member; ``next_members`` returns the configuration to
+propose, or None. Every process joins as a non-voter: it replicates the log without voting. A non-voter that
+has caught up is promoted if there are fewer voters than possible, if a voter is lost, or if its location
+makes the quorum more likely to survive the loss of a zone or region.
 
-At most ``VOTERS_MOST`` members vote, so that a commit doesn't wait for more disks as the core grows, and an
-odd number of them wherever guests allow it: an even number tolerates no more losses.
+At most ``MAX_VOTERS`` members vote, so that commit latency does not grow with the cluster. Their number is
+kept odd where non-voters allow it, because an even number tolerates no more failures.
 
-Removing a lost voter needs no word from it. It is safe as long as membership changes by one voter at a time
-and through the log: any two majorities of neighbouring memberships share a member, and a leader changes
-nothing before an entry of its own term is committed (Ongaro, "Consensus: bridging theory and practice",
-chapter 4). A removed voter that returns with its disk is a guest like any other.
+Removing a lost voter needs no message from it. This is safe as long as the configuration changes by one voter
+at a time and through the log: any two majorities of consecutive configurations overlap, and a leader proposes
+no change before an entry of its own term is committed (Ongaro, "Consensus: Bridging Theory and Practice",
+chapter 4). A removed voter that returns with its disk joins as a non-voter again.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 from latchspoke.consensus.records import Members, name_of
 
-MAX_VOTERS = 7  # survives three lost machines; odd
-NON_VOTER_EXPIRY_S = 15.0  # s without a word after which a guest is no longer replicated to
-LOST_FRACTION = 0.25  # of ``catchUpS``: silence after which a voter's place is given to a guest
-MIN_LOST_AFTER_S = 0.9  # s; six heartbeats and more than an election, whatever ``catchUpS`` is
-MAX_OBSERVATION_GAP_S = 0.4  # s between two looks that say that this process itself stood still
-DEFAULT_CATCH_UP_S = 4.0  # s, if no bound tells
+MAX_VOTERS = 7  # odd; tolerates three failures
+NON_VOTER_EXPIRY_S = 15.0  # silence after which a non-voter is removed
+LOST_FRACTION = 0.25  # of ``catchUpS``: silence after which a voter counts as lost
+MIN_LOST_AFTER_S = 0.9  # lower bound: six heartbeats, and longer than an election
+MAX_OBSERVATION_GAP_S = 0.4  # a longer gap means that this process itself was paused
+DEFAULT_CATCH_UP_S = 4.0  # where the settings give none
 
 
 class Location(NamedTuple):
-    """Where a machine stands."""
+    """The zone and region of a machine."""
 
     zone: str = ""
     region: str = ""
@@ -46,56 +46,58 @@
 class MemberLiveness(msgspec.Struct):
     """When the leader last heard from each member, by identity.
 
-    Silence counts only while this process leads, has a majority and runs: neither a new leader nor one that
-    was frozen takes its own absence for that of the others.
+    Silence counts only while this process is the leader, has a quorum and was not paused; otherwise it would
+    mistake its own absence for that of the others.
     """
 
     catch_up: float = DEFAULT_CATCH_UP_S
     heard_at: dict[str, float] = msgspec.field(default_factory=dict)
-    leaving: dict[str, int] = msgspec.field(default_factory=dict)  # identity -> the start in which it said so
+    leaving: dict[str, int] = msgspec.field(
+        default_factory=dict
+    )  # identity -> boot in which it announced its stop
     counted_from: float = math.inf
     observed_at: float = -math.inf
 
     @property
     def lost_after(self) -> float:
-        """Silence (s) after which a voter's place may be given away."""
+        """Silence (s) after which a voter may be replaced."""
         return max(LOST_FRACTION * self.catch_up, MIN_LOST_AFTER_S)
 
     def start_term(self, now: float) -> None:
-        """A term as leader begins."""
+        """Resets all records at the start of a term as leader."""
         self.heard_at.clear()
         self.counted_from = self.observed_at = now
 
     def observe(self, now: float, has_majority: bool) -> None:
-        """Called whenever the leader looks; ``majority``: whether one has answered lately."""
+        """Called at each check by the leader; silence is counted anew without a quorum or after a pause."""
         if not has_majority or now - self.observed_at > MAX_OBSERVATION_GAP_S:
             self.counted_from = now
         self.observed_at = now
 
     def record_contact(self, identity: str, at: float) -> None:
-        """Something came from this member at this time."""
+        """Records a message from this member."""
         self.heard_at[identity] = max(self.heard_at.get(identity, at), at)
 
     def silence(self, identity: str, now: float) -> float:
-        """How long (s) nothing has come from it while it could have."""
+        """How long (s) the member has been silent while the leader could have heard it."""
         return now - max(self.heard_at.get(identity, -math.inf), self.counted_from)
 
     def mark_leaving(self, identity: str, boot: int) -> None:
-        """It is about to stop; its vote may go to a guest at once."""
+        """The member is about to stop and may be replaced at once."""
         self.leaving[identity] = boot
 
     def mark_started(self, identity: str, boot: int) -> None:
-        """It has been heard in this start of its process."""
+        """The member was heard from in this boot, which ends an earlier announcement to stop."""
         if boot > self.leaving.get(identity, boot):
             del self.leaving[identity]
 
     def is_lost(self, identity: str, now: float) -> bool:
-        """Whether this member's vote may be given to a guest."""
+        """Whether this voter may be replaced by a non-voter."""
         return identity in self.leaving or self.silence(identity, now) >= self.lost_after
 
 
 class JoinCandidate(msgspec.Struct, frozen=True):
-    """A process that asks to be a member."""
+    """A process that asks to join."""
 
     identity: str
 
@@ -106,17 +108,17 @@
 
 
 class MembershipView(msgspec.Struct, frozen=True):
-    """What a leader knows when it decides."""
+    """What a leader knows when it decides on the configuration."""
 
-    leader: str  # the leader's own identity
+    leader: str  # its own identity
     members: Members
-    caught_up: frozenset[str]  # guests that answer and have caught up
+    caught_up: frozenset[str]  # responsive non-voters that have the committed log
     lost: frozenset[str]
-    expired: frozenset[str]  # silent for so long that they need not be replicated to
+    expired: frozenset[str]  # silent for longer than ``NON_VOTER_EXPIRY_S``
     locations: Mapping[str, Location]  # by name
 
     def location(self, identity: str) -> Location:
-        """Where a member stands, as far as is known."""
+        """The member's location if known."""
         return self.locations.get(name_of(identity), UNKNOWN_LOCATION)
 
     def live_voters(self) -> list[str]:
@@ -124,7 +126,7 @@
         return [voter for voter in self.members.voters if voter not in self.lost]
 
     def eligible_non_voters(self) -> list[str]:
-        """Guests that may vote at once."""
+        """Non-voters that can be promoted now."""
         return [
             non_voter
             for non_voter in self.members.non_voters
@@ -133,7 +135,7 @@
 
 
 def next_members(view: MembershipView, candidates: Iterable[JoinCandidate]) -> Members | None:
-    """The next change to propose, or None where all is as it should be."""
+    """The next configuration to propose, or None if no change is needed."""
     changed = admit(view.members, candidates)
     if changed is None:
         changed = expire_non_voters(view)
@@ -141,9 +143,9 @@
 
 
 def admit(current: Members, candidates: Iterable[JoinCandidate]) -> Members | None:
-    """All newcomers as guests, in one change, as far as it takes at most one vote.
+    """Adds all candidates as non-voters in one change that removes at most one voter.
 
-    One that bears the name of a member has lost its disk and comes in that member's place.
+    A candidate with the name of a member has lost its disk and replaces that member.
     """
     members = current
     for candidate in candidates:
@@ -158,14 +160,14 @@
 
 
 def expire_non_voters(view: MembershipView) -> Members | None:
-    """Guests that have been silent for long are replicated to no more; they ask again when they return."""
+    """Removes non-voters that have been silent for long; they ask to join again when they return."""
     expired = [identity for identity in view.members.all if identity in view.expired]
     expired = [identity for identity in expired if identity not in view.members.voters]
     return without(view.members, expired) if expired else None
 
 
 def next_voters(view: MembershipView) -> Members | None:
-    """One voter less, or one more."""
+    """Adds or removes one voter; None if no change is needed."""
     voters, non_voters = view.members.voters, view.eligible_non_voters()
     if len(voters) > MAX_VOTERS:
         return demote(view, most_crowded(view))
@@ -182,13 +184,13 @@
 
 
 def promote(view: MembershipView, non_voter: str) -> Members:
-    """The same membership, in which this guest votes."""
+    """Makes a non-voter a voter."""
     rest = without(view.members, (non_voter,))
     return msgspec.structs.replace(rest, voters=(*rest.voters, non_voter))
 
 
 def demote(view: MembershipView, voter: str) -> Members:
-    """A lost voter is no member any more until it asks; a sound one goes on as a guest."""
+    """Removes a lost voter; makes a live one a non-voter."""
     rest = without(view.members, (voter,))
     if voter in view.lost:
         return rest
@@ -196,7 +198,7 @@
 
 
 def voter_counts(view: MembershipView) -> tuple[Counter[str], Counter[str]]:
-    """Sound voters by region, and by zone."""
+    """The number of live voters per region and per zone."""
     locations = [view.location(voter) for voter in view.live_voters()]
     return Counter(location.region for location in locations), Counter(
         location.zone for location in locations
@@ -204,7 +206,7 @@
 
 
 def least_crowded(view: MembershipView, candidates: Collection[str]) -> str:
-    """The guest whose vote stands where the fewest others do."""
+    """The candidate whose region, then zone, has the fewest voters."""
     regions, zones = voter_counts(view)
 
     def crowd(candidate: str) -> tuple[int, int, str]:
@@ -215,7 +217,10 @@
 
 
 def most_crowded(view: MembershipView) -> str:
-    """The voter that is missed least: a lost one, or one where the most others stand; never the leader."""
+    """The voter to give up first: a lost one, else one whose region, then zone, has the most voters.
+
+    Never the leader.
+    """
     regions, zones = voter_counts(view)
 
     def crowd(voter: str) -> tuple[bool, int, int, str]:
@@ -226,7 +231,7 @@
 
 
 def better_located(view: MembershipView, candidates: Collection[str]) -> str:
-    """A guest whose vote, in place of one in a crowded region or zone, lets more survive; '' if none."""
+    """A candidate that would spread the votes better over regions or zones than a voter does; '' if none."""
     located = [candidate for candidate in candidates if view.location(candidate) != UNKNOWN_LOCATION]
     if not located or any(view.location(voter) == UNKNOWN_LOCATION for voter in view.members.voters):
         return ""
@@ -243,7 +248,7 @@
 
 
 def region_outweighs_rest(view: MembershipView) -> bool:
-    """Whether one region holds so many of an even number of voters that an odd number survives its loss."""
+    """Whether, of an even number of voters, one less would survive the loss of the largest region."""
     regions, _ = voter_counts(view)
     voters = len(view.members.voters)
     largest = max(regions.values(), default=0)
@@ -251,7 +256,7 @@
 
 
 def without(members: Members, removed: Collection[str]) -> Members:
-    """The same membership but for these identities."""
+    """The configuration without these identities."""
     voters, learners, non_voters = (
         tuple(identity for identity in group if identity not in removed)
         for group in (members.voters, members.learners, members.non_voters)
