--- a/latchspoke/configstore/fault_schedules.py
+++ b/latchspoke/configstore/fault_schedules.py
@@ -1,8 +1,7 @@
-"""Operators and troubles by chance, and what must hold whatever they do.
+"""Random operator commands and faults in virtual time, with invariant checks.
 
-``python -m latchspoke.configstore.fault_schedules 0 200`` runs the schedules of these seeds in virtual
-time. With the name of a scenario as third argument (see ``scenarios``),
-about half of the rounds begin with it.
+``python -m latchspoke.configstore.fault_schedules 0 200`` runs the schedules of these seeds. With the name of
+a scenario as third argument (see ``scenarios``), about half of the rounds begin with it.
 """
 
 from __future__ import annotations
@@ -18,28 +17,28 @@
 
 
 def expected_voters(machines: int) -> int:
-    """How many of so many vote once all is calm: an odd number."""
+    """The number of voters of a settled cluster: odd."""
     return min(machines - 1 + machines % 2, MAX_VOTERS)
 
 
 @dataclass
 class ZoneOrders:
-    """One zone: its operator gives one order at a time, and repeats it until it is acknowledged."""
+    """The operator of one zone, who repeats each command until it is acknowledged."""
 
     zone: str
     evacuate: bool = False
-    order_count: int = 0  # so far
+    order_count: int = 0  # commands so far, without repetitions
     acknowledged: bool = True
-    busy_until: float = 0.0  # an order is under way until then
+    busy_until: float = 0.0  # a command is in flight until then
 
 
 @dataclass
 class Schedule:
-    """One schedule, drawn from its seed."""
+    """A schedule of operations and faults, generated from its seed."""
 
     seed: int
     count: int = 5
-    scenario: str = ""  # of ``scenes``: half of the rounds begin with it
+    scenario: str = ""  # of ``scenarios``: half of the rounds begin with it
     refused: set[str] = field(default_factory=set)
     acknowledged: dict[int, str] = field(default_factory=dict)  # version -> digest
     bases: dict[int, str] = field(default_factory=dict)  # base -> the digest acknowledged on it
@@ -56,6 +55,7 @@
         self.change_count = 0
 
     def run(self, rounds: int = 40) -> None:
+        """Runs the schedule. Raises AssertionError if an invariant is violated."""
         self.cluster.run(3.0)
         for _ in range(rounds):
             if self.scenario and self.rng.random() < 0.5:
@@ -69,9 +69,10 @@
         self.heal_and_settle()
         self.check_final_state()
 
-    # Troubles.
+    # Faults.
 
     def inject_fault(self) -> None:
+        """Injects a random fault, ends one, or does nothing."""
         cluster, rng = self.cluster, self.rng
         name = rng.choice(cluster.names)
         match rng.choice(
@@ -98,11 +99,13 @@
                 self.wipe(name)
 
     def partition(self, side: list[str]) -> None:
+        """Blocks all links between ``side`` and the other nodes."""
         cluster = self.cluster
         rest = [name for name in cluster.names if name not in side]
         cluster.blocked_links |= {pair for a in side for b in rest for pair in ((a, b), (b, a))}
 
     def restart_stopped(self) -> None:
+        """Restarts all stopped nodes in random order."""
         cluster, rng = self.cluster, self.rng
         for name in rng.sample(cluster.names, len(cluster.names)):
             if name not in cluster.running:
@@ -110,6 +113,7 @@
                 cluster.run(rng.choice([0.0, 0.0, 0.05]))
 
     def wipe(self, name: str) -> None:
+        """Restarts a node with an empty disk."""
         self.wipes, self.wiped = self.wipes + 1, name
         if name in self.cluster.running:
             self.cluster.kill(name)
@@ -117,7 +121,7 @@
         self.cluster.start(name)
 
     def wipe_repaired(self) -> bool:
-        """Whether the last disk that was lost is made good: only then may another go."""
+        """Whether the last wiped node votes again; only then may another disk be wiped."""
         if not self.wiped:
             return True
         identity = self.cluster.disks[self.wiped].identity
@@ -130,6 +134,7 @@
     # Operators.
 
     def run_operation(self) -> None:
+        """Runs a random operator command or read."""
         cluster, rng = self.cluster, self.rng
         if not cluster.running:
             return
@@ -141,16 +146,17 @@
                 for _ in range(2):
                     self.submit(rng.choice(list(cluster.running)), self.draw_change(self.newest))
             case "ahead":
-                # On top of one that may not have been taken yet.
+                # Based on a change that may not have been accepted yet.
                 first = self.draw_change(self.newest)
                 self.submit(name, first)
                 self.submit(rng.choice(list(cluster.running)), self.draw_change(first["version"]))
             case "zone":
                 self.evacuate(name, rng.choice(self.zones))
             case "confirm":
-                self.confirm(name)
+                self.read(name)
 
     def draw_change(self, base: int) -> Command:
+        """A random change based on version ``base``."""
         self.change_count += 1
         version = base + self.rng.randint(1, 3)
         if self.rng.random() < 0.5:
@@ -158,26 +164,33 @@
         return modify_command(version, base, serial=self.change_count)
 
     def submit(self, name: str, command: Command, retries: int = 0) -> None:
+        """Submits a change, and again through other nodes while its outcome is unknown."""
         self.cluster.submit(name, command, lambda answer: self.on_change_answer(command, answer, retries))
 
     def on_change_answer(self, command: Command, answer: Answer, retries: int) -> None:
+        """Checks a verdict against those of all other changes."""
         assert isinstance(answer, Verdict)
         version, digest = command["version"], command["digest"]
         if answer.ok:
             self.definite_answers += 1
-            assert digest not in self.refused, "acknowledged after it was refused"
-            assert self.acknowledged.setdefault(version, digest) == digest, "two under one version"
-            assert self.bases.setdefault(command["base"], digest) == digest, "two on one base acknowledged"
+            assert digest not in self.refused, "acknowledged after it was rejected"
+            assert self.acknowledged.setdefault(version, digest) == digest, (
+                "two changes acknowledged under one version"
+            )
+            assert self.bases.setdefault(command["base"], digest) == digest, (
+                "two changes acknowledged on one base"
+            )
             self.newest = max(self.newest, version)
         elif answer.kind in (CONFLICT, INVALID):
             self.definite_answers += 1
-            assert self.acknowledged.get(version) != digest, "refused after it was acknowledged"
+            assert self.acknowledged.get(version) != digest, "rejected after it was acknowledged"
             self.refused.add(digest)
         elif retries < 4 and self.cluster.running:
             again = self.rng.choice(list(self.cluster.running))
             self.submit(again, command, retries + 1)
 
     def evacuate(self, name: str, zone: ZoneOrders) -> None:
+        """Starts or repeats the zone operator's current command."""
         if self.cluster.now < zone.busy_until:
             return
         if zone.acknowledged:
@@ -188,28 +201,33 @@
         self.cluster.submit(name, command, lambda answer: self.on_zone_answer(zone, answer))
 
     def on_zone_answer(self, zone: ZoneOrders, answer: Answer) -> None:
+        """Records a verdict on a zone command."""
         assert isinstance(answer, Verdict)
-        assert answer.kind != STALE, "a verdict that is for processes alone"
+        assert answer.kind != STALE, "an internal verdict reached a caller"
         zone.acknowledged, zone.busy_until = answer.ok, self.cluster.now
 
-    def confirm(self, name: str) -> None:
+    def read(self, name: str) -> None:
+        """Starts a linearizable read and checks that it shows all that was acknowledged before."""
         newest, node = self.newest, self.cluster.running[name]
         acknowledged_orders = {zone.zone: zone.order_count for zone in self.zones if zone.acknowledged}
 
-        def back(answer: Answer) -> None:
+        def on_answer(answer: Answer) -> None:
             if answer is None:
                 return
             self.confirmed_reads += 1
-            assert node.state.version >= newest, "a proven state is older than what was acknowledged"
+            assert node.state.version >= newest, "a confirmed state is older than an acknowledged change"
             for zone in self.zones:
                 if acknowledged_orders.get(zone.zone) == zone.order_count:
-                    assert (zone.zone in node.state.evacuated) == zone.evacuate, "an evacuation is unknown"
+                    assert (zone.zone in node.state.evacuated) == zone.evacuate, (
+                        "an acknowledged evacuation is missing"
+                    )
 
-        self.cluster.confirm_read(name, back, deferrable=self.rng.random() < 0.5)
+        self.cluster.confirm_read(name, on_answer, deferrable=self.rng.random() < 0.5)
 
-    # The end of the day.
+    # The end of the schedule.
 
     def heal_and_settle(self) -> None:
+        """Ends all faults and waits until the cluster has settled."""
         cluster = self.cluster
         cluster.blocked_links.clear()
         cluster.loss_rate = 0.0
@@ -217,26 +235,29 @@
         cluster.run(8.0)
 
     def check_final_state(self) -> None:
+        """Checks that nothing acknowledged is lost, nothing rejected is in force, and all members agree."""
         cluster = self.cluster
-        assert cluster.is_converged(), "no leader, or somebody is behind"
-        states = [register.state for register in cluster.running.values()]
+        assert cluster.is_converged(), "no leader, or a member is behind"
+        states = [node.state for node in cluster.running.values()]
         assert len({o.dump() for o in states}) == 1, "the states differ"
         last = states[0]
         for version, digest in self.acknowledged.items():
-            assert last.history.get(version) == digest, "an acknowledged configuration is gone"
+            assert last.history.get(version) == digest, "an acknowledged configuration is lost"
         assert last.version >= self.newest
-        assert not self.refused & set(last.history.values()), "a refused configuration is in force"
+        assert not self.refused & set(last.history.values()), "a rejected configuration is in force"
         for zone in self.zones:
             if zone.acknowledged:
-                assert (zone.zone in last.evacuated) == zone.evacuate, "an evacuation is gone, or back"
+                assert (zone.zone in last.evacuated) == zone.evacuate, (
+                    "an acknowledged evacuation or restore is lost"
+                )
         assert cluster.submit_and_wait(
             cluster.names[0], replace_command(last.version + 1, last.version, "last")
-        ).ok, "nothing goes"
-        assert len(cluster.voters()) == expected_voters(len(cluster.names)), "not all that can vote again"
+        ).ok, "no command is accepted"
+        assert len(cluster.voters()) == expected_voters(len(cluster.names)), "a member that can vote does not"
 
 
 def main(first: int, last: int, scenario: str = "") -> int:
-    """Play these seeds; how many broke something."""
+    """Runs these seeds; returns how many violated an invariant."""
     broken = 0
     for seed in range(first, last):
         schedule = Schedule(seed, scenario=scenario)
--- a/latchspoke/configstore/mutations.py
+++ b/latchspoke/configstore/mutations.py
@@ -1,4 +1,4 @@
-"""Guards of the register taken out on purpose: drawn schedules that find none of them show nothing.
+"""Mutations: guards removed from the config store on purpose, to verify that the fault schedules detect it.
 
 ``python -m latchspoke.configstore.mutations`` prints for each the first seed that detects it. For tests and
 invariant checks only; no production process imports this module.
@@ -23,79 +23,86 @@
 from latchspoke.consensus.member import HANDLERS, Member, Output
 from latchspoke.consensus.records import Entry, Members, Snapshot
 
-Replacement = tuple[Any, str, Any]  # class or module, name, what stands there without the guard
+Replacement = tuple[Any, str, Any]  # class or module, attribute, replacement
 
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """What is taken out, and the scene that brings out what it is for ('': the schedules as they are)."""
+    """A removed guard, and the scenario that exposes it ('': random schedules alone do)."""
 
     replacements: tuple[Replacement, ...]
     scenario: str = ""
-    covered_by: str = ""  # by what else, so that it is not found alone
+    covered_by: str = ""  # the guard that also covers this one, so that its removal alone goes undetected
 
 
-SAVE, CONFIGURE, EMPTY, ON_ASK = (
+SAVE, CHANGE_CONFIGURATION, CREATE_DISK, ON_COMMAND_REQUEST = (
     Disk.save,
     ConfigState.change_configuration,
     Cluster.create_disk,
     StoreNode.on_command_request,
 )
-START, CARRY_OUT, PROVE, CAMPAIGN = (
+START, APPLY_ENTRY, REQUEST_READ_INDEX, START_ELECTION = (
     Cluster.start,
     StoreNode.apply_entry,
     StoreNode.request_read_index,
     Member.start_election,
 )
-INIT, MEMBER, STORED = StoreNode.__init__, Member.__init__, StoreNode.on_stored
+NODE_INIT, MEMBER_INIT, ON_STORED = StoreNode.__init__, Member.__init__, StoreNode.on_stored
 
 
 def votes_not_synced(disk: Disk, output: Output) -> None:
+    """Does not store term and vote."""
     output.hard_state = None
     SAVE(disk, output)
 
 
 def any_base(state: ConfigState, index: int, command: Command) -> str:
-    return CONFIGURE(state, index, {**command, "base": state.version})
+    """Accepts a change on any base version."""
+    return CHANGE_CONFIGURATION(state, index, {**command, "base": state.version})
 
 
 def forget_history(state: ConfigState, index: int, command: Command) -> str:
+    """Forgets accepted versions, so that retries are not recognized."""
     state.history.clear()
-    return CONFIGURE(state, index, command)
+    return CHANGE_CONFIGURATION(state, index, command)
 
 
 def forget_refusals(state: ConfigState, index: int, command: Command) -> str:
+    """Forgets rejected digests, so that a rejected change may be accepted later."""
     state.refused.clear()
-    return CONFIGURE(state, index, command)
+    return CHANGE_CONFIGURATION(state, index, command)
 
 
 def any_version(state: ConfigState, index: int, command: Command) -> str:
-    """Also one that is not above the one in force."""
+    """Accepts a version that is not higher than the current one."""
     version = state.version
     if command["base"] != version or command["version"] > version:
-        return CONFIGURE(state, index, command)
+        return CHANGE_CONFIGURATION(state, index, command)
     state.version = -1
     try:
-        return CONFIGURE(state, index, {**command, "base": -1})
+        return CHANGE_CONFIGURATION(state, index, {**command, "base": -1})
     finally:
         if state.version == -1:
             state.version = version
 
 
 def ignores_after(state: ConfigState, index: int, command: Command, evacuate: bool) -> str:
-    return MOVE(state, index, {**command, "after": index}, evacuate)
+    """Accepts a delayed zone command despite a later one."""
+    return SET_ZONE_EVACUATED(state, index, {**command, "after": index}, evacuate)
 
 
-MOVE = ConfigState.set_zone_evacuated
+SET_ZONE_EVACUATED = ConfigState.set_zone_evacuated
 
 
 def read_without_round(node: StoreNode, name: str, request_id: int, deferrable: bool = False) -> None:
+    """Answers a read-index request without confirming the leadership."""
     index = node.member.commit_index if node.is_leader else -1
     node.reply(name, ReadIndexReply(request_id, index))
 
 
 def same_identity(cluster: Cluster, name: str, first_start: bool = False) -> None:
-    EMPTY(cluster, name, first_start)
+    """A wiped node keeps its identity."""
+    CREATE_DISK(cluster, name, first_start)
     if not first_start:
         cluster.disks[name] = Disk(
             f"{name}#first", founding_snapshot(cluster.seeds, ConfigState(merge_patch))
@@ -103,19 +110,23 @@
 
 
 def entries_not_synced(disk: Disk, output: Output) -> None:
+    """Does not store log entries."""
     output.first_index = 0
     SAVE(disk, output)
 
 
 def commit_below_majority(member: Member, now: float) -> None:
+    """Commits with one acknowledgement less than a majority."""
     commit_by_count(member, now, 2, own_term_only=True)
 
 
 def commit_earlier_term(member: Member, now: float) -> None:
+    """Commits entries of earlier terms by counting replicas."""
     commit_by_count(member, now, 1, own_term_only=False)
 
 
 def commit_by_count(member: Member, now: float, shortfall: int, own_term_only: bool) -> None:
+    """Variant of ``Member.advance_commit_index``; ``shortfall`` 1 is a majority."""
     match_indexes = {name: peer.match_index for name, peer in member.peers.items()} | {
         member.identity: member.log.last_index
     }
@@ -128,34 +139,40 @@
 
 
 def restore_without_state(node: StoreNode, snapshot: Snapshot) -> None:
+    """Installs a snapshot without loading its state."""
     node.applied_index = snapshot.index
 
 
 def replies_before_commit(node: StoreNode, name: str, request_id: int, command: Command) -> None:
-    ON_ASK(node, name, request_id, command)
+    """Replies to a command as soon as it is proposed."""
+    ON_COMMAND_REQUEST(node, name, request_id, command)
     if (name, request_id) in node.in_progress:
         node.reply(name, CommandReply(request_id, Verdict(TAKEN)))
 
 
 def proposes_duplicates(node: StoreNode, name: str, request_id: int, command: Command) -> None:
+    """Proposes a retried command again while it is in progress."""
     node.in_progress.discard((name, request_id))
-    ON_ASK(node, name, request_id, command)
+    ON_COMMAND_REQUEST(node, name, request_id, command)
 
 
 def ignores_entry_term(node: StoreNode, entry: Entry) -> None:
+    """Takes any entry at the index of a proposal for the proposed one."""
     proposal = node.proposals.get(entry.index)
     if proposal is not None:
         proposal.term = entry.term
-    CARRY_OUT(node, entry)
+    APPLY_ENTRY(node, entry)
 
 
 def replies_before_applied(node: StoreNode) -> None:
+    """Answers reads before their read index is applied."""
     waiting_reads, node.waiting_reads = node.waiting_reads, []
     for read_id in [read_id for waiting in waiting_reads for read_id in waiting.read_ids]:
         node.finish_read(read_id, node.applied_index)
 
 
 def accepts_late_read_reply(node: StoreNode, request_id: int, index: int) -> None:
+    """Accepts a reply to an earlier read-index request."""
     if node.read_batch is None:
         return
     read_ids, node.read_batch = node.read_batch.read_ids, None
@@ -167,25 +184,27 @@
 
 
 def joins_sent_batch(node: StoreNode, leader: str) -> None:
-    """A question that is under way is taken for later callers, too."""
+    """Reads that arrive later join a request that was already sent."""
     if node.read_batch is not None and node.read_batch.sent_to == leader:
         node.read_batch.read_ids += node.queued_reads
         node.queued_reads = []
-    PROVE(node, leader)
+    REQUEST_READ_INDEX(node, leader)
 
 
 def stale_is_final(node: StoreNode, request_id: int, verdict: Verdict) -> None:
+    """Passes the internal verdict ``stale`` on to the caller."""
     if node.pending_commands.pop(request_id, None) is not None:
         node.answers.append((request_id, verdict))
 
 
 def reuses_request_ids(node: StoreNode, *given: Any, **named: Any) -> None:
-    INIT(node, *given, **named)
+    """Starts with the same request IDs after each restart."""
+    NODE_INIT(node, *given, **named)
     node.last_request_id = 0
 
 
 def newcomers_vote_at_once(current: Members, newcomers: Iterable[voters.JoinCandidate]) -> Members | None:
-    """A newcomer votes before it has caught up."""
+    """A new member votes before it has caught up."""
     members = ADMIT(current, list(newcomers)[:1])
     if members is None:
         return None
@@ -198,6 +217,7 @@
 
 
 def votes_for_stale_log(member: Member, message: Any, now: float) -> None:
+    """Grants votes regardless of the candidate's log."""
     last = message.last_index, message.last_term
     ON_VOTE_REQUEST(member, msgspec.structs.replace(message, last_term=1 << 40, last_index=last[0]), now)
 
@@ -206,11 +226,13 @@
 
 
 def votes_twice(member: Member, message: Any, now: float) -> None:
+    """Forgets its vote of the current term."""
     member.hard_state = msgspec.structs.replace(member.hard_state, vote="")
     ON_VOTE_REQUEST(member, message, now)
 
 
 def reads_before_term_commit(member: Member) -> None:
+    """Confirms reads before an entry of the leader's term is committed."""
     for round_number in sorted(member.reads_by_round):
         acked = {name for name, peer in member.peers.items() if peer.acked_round >= round_number}
         if not member.members.has_quorum(acked | {member.identity}):
@@ -221,15 +243,17 @@
 
 
 def reads_own_commit_index(member: Member, read_id: int, now: float, deferrable: bool = False) -> None:
+    """Reads at the commit index known at the election."""
     term_start, member.term_start_index = member.term_start_index, 0
-    READ(member, read_id, now, deferrable)
+    REQUEST_READ(member, read_id, now, deferrable)
     member.term_start_index = term_start
 
 
-READ = Member.request_read
+REQUEST_READ = Member.request_read
 
 
 def commits_beyond_sent_entries(member: Member, message: Any, now: float) -> None:
+    """Commits entries that the leader's message did not cover."""
     ON_APPEND(member, message, now)
     member.commit_index = max(member.commit_index, min(message.commit, member.log.last_index))
 
@@ -238,12 +262,13 @@
 
 
 def votes_without_boot_check(member: Member, *given: Any, **named: Any) -> None:
-    MEMBER(member, *given, **named)
+    """Votes without checking whether its disk is an old copy."""
+    MEMBER_INIT(member, *given, **named)
     member.boot_unverified = False
 
 
 def accepts_earlier_boots(member: Member, message: Any, now: float) -> None:
-    """What a sender's earlier start has said counts as well."""
+    """Accepts messages from an earlier boot of the sender."""
     member.known_boots.pop(message.source, None)
     RECEIVE(member, message, now)
 
@@ -252,13 +277,14 @@
 
 
 def promotes_at_once(node: StoreNode, identity: str, now: float) -> bool:
+    """Promotes non-voters that have not caught up."""
     return True
 
 
 def keeps_proposals_after_term(node: StoreNode, output: Output, now: float) -> None:
-    """Who leads no more doesn't let go of what it has proposed."""
+    """A former leader keeps its uncommitted proposals instead of rejecting them."""
     proposals = dict(node.proposals)
-    STORED(node, output, now)
+    ON_STORED(node, output, now)
     if not node.is_leader:
         for index, proposal in proposals.items():
             if index > node.applied_index:
@@ -266,7 +292,7 @@
 
 
 def keeps_match_over_restart(member: Member, message: Any, now: float) -> None:
-    """What a member had before its start still counts after it."""
+    """A member's acknowledgements still count after its restart."""
     peer = member.peers.get(message.source)
     if peer is not None and peer.boot:
         peer.boot = message.boot
@@ -335,16 +361,17 @@
 
 @contextlib.contextmanager
 def mutated(mutation: Mutation) -> Iterator[None]:
+    """Applies a mutation, also to the message handlers."""
     with contextlib.ExitStack() as stack:
-        for owner, name, other in mutation.replacements:
-            handled = {kind: other for kind, call in HANDLERS.items() if call is getattr(owner, name)}
-            stack.enter_context(mock.patch.dict(HANDLERS, handled))
-            stack.enter_context(mock.patch.object(owner, name, other))
+        for owner, name, replacement in mutation.replacements:
+            handlers = {kind: replacement for kind, call in HANDLERS.items() if call is getattr(owner, name)}
+            stack.enter_context(mock.patch.dict(HANDLERS, handlers))
+            stack.enter_context(mock.patch.object(owner, name, replacement))
         yield
 
 
 def first_detecting_seed(mutation: Mutation, seeds: range) -> tuple[int, str] | None:
-    """The first of these by which it is missed, and what broke."""
+    """The first seed that detects the mutation, and the violated invariant; None if none does."""
     with mutated(mutation):
         for seed in seeds:
             try:
--- a/latchspoke/configstore/replacements.py
+++ b/latchspoke/configstore/replacements.py
@@ -1,11 +1,11 @@
-"""Runs of tolerated losses: control machines replaced or wiped one after the other, each as soon as allowed.
+"""Schedules of tolerated losses: nodes are replaced or wiped one after the other, each as soon as allowed.
 
-``python -m latchspoke.configstore.replacements 0 50`` plays the runs of these seeds in virtual time, with
-groups of 3 to 12 machines. For tests; no process of the system loads it.
+``python -m latchspoke.configstore.replacements 0 50`` runs the schedules of these seeds in virtual time, in
+clusters of 3 to 12 nodes. For tests only; no production process imports this module.
 
-A loss is tolerated once the one before counts again: its machine is back, or its successor has run, for
-``catchUpS``. What must hold: a majority at the end of that time, no order that was acknowledged is lost, and
-no two groups decide.
+The next loss is tolerated once the node of the previous one, or its replacement, has run for ``catchUpS``.
+Invariants: there is a majority at the end of that time, no acknowledged command is lost, and all members
+agree.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from latchspoke.configstore.simulation import Cluster, replace_command
 from latchspoke.configstore.voters import Location
 
-SIZES = (3, 4, 5, 6, 7, 12)  # control machines
+SIZES = (3, 4, 5, 6, 7, 12)  # nodes
 REGIONS = 3
-ORDER_LIMIT = 3.0  # s; an election may come first
-SETTLE = 3.0  # s after the start of all
-CATCH_UPS = (4.0, 6.0)  # s; the deployments' ``catchUpS``
+COMMAND_TIMEOUT_S = 3.0  # longer than an election
+SETTLE_S = 3.0  # after all nodes were started
+CATCH_UPS_S = (4.0, 6.0)  # values of ``catchUpS`` in the deployments
 
 
 def spread_over_regions(names: list[str]) -> dict[str, Location]:
-    """Machines dealt over the regions in turn, each in a zone with at most one other."""
+    """Locations of the nodes: over the regions in turn, at most two nodes per zone for up to 12 nodes."""
     return {
         name: Location(f"z{number % (2 * REGIONS)}", f"r{number % REGIONS}")
         for number, name in enumerate(names)
@@ -35,7 +35,7 @@
 
 @dataclass
 class LossSchedule:
-    """One run, drawn from its seed."""
+    """A schedule of losses, generated from its seed."""
 
     seed: int
     size: int = 5
@@ -50,7 +50,7 @@
         "leader killed",
     )
     version: int = 0
-    successors: int = 0  # machines that came later
+    successors: int = 0  # nodes started as replacements
     history: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -58,9 +58,9 @@
         self.cluster = Cluster(self.seed, self.size, spread_over_regions(names), self.catch_up)
         self.rng = self.cluster.rng
 
-    def play(self) -> None:
-        """Raises AssertionError where a majority or an order is lost."""
-        self.cluster.run(SETTLE)
+    def run(self) -> None:
+        """Runs the schedule. Raises AssertionError if the majority or an acknowledged command is lost."""
+        self.cluster.run(SETTLE_S)
         self.submit_change()
         for _ in range(self.losses):
             kind = self.rng.choice(self.loss_kinds)
@@ -71,34 +71,35 @@
         self.power_cycle_all()
 
     def power_cycle_all(self) -> None:
-        """All power goes, and comes back: what was acknowledged is there."""
+        """Power-cycles all nodes and checks that all acknowledged changes are still there."""
         cluster = self.cluster
         names = list(cluster.running)
         for name in names:
             cluster.kill(name, self.rng.random() < 0.5)
         for name in self.rng.sample(names, len(names)):
             cluster.start(name)
-        cluster.run(SETTLE)
+        cluster.run(SETTLE_S)
         self.submit_change()
         cluster.run(1.0)
-        versions = {name: register.state.version for name, register in cluster.running.items()}
+        versions = {name: node.state.version for name, node in cluster.running.items()}
         assert set(versions.values()) == {self.version}, f"versions {versions} after {self.history}"
 
     def submit_change(self) -> None:
-        """Anybody takes it at once: the loss before this counts no more."""
+        """Submits a change to a random node, which must accept it: the previous loss is repaired."""
         name = self.rng.choice(list(self.cluster.running))
         verdict = self.cluster.submit_and_wait(
-            name, replace_command(self.version + 1, self.version), ORDER_LIMIT
+            name, replace_command(self.version + 1, self.version), COMMAND_TIMEOUT_S
         )
         assert verdict.kind == TAKEN, f"{verdict.kind} {verdict.reason} after {self.history}"
         self.version += 1
 
     def pick_victim(self, leader: bool) -> str:
-        leads = [register.name for register in self.cluster.running.values() if register.is_leader]
+        """A random running node, or the leader if wanted and there is one."""
+        leads = [node.name for node in self.cluster.running.values() if node.is_leader]
         return leads[0] if leader and leads else self.rng.choice(list(self.cluster.running))
 
     def start_successor(self, name: str) -> None:
-        """An empty machine in the same zone, at another address."""
+        """Starts an empty node in the same zone under a new address."""
         self.successors += 1
         new = f"10.{100 + self.successors}.0.1:7600"
         self.cluster.locations[new] = self.cluster.locations[name]
@@ -106,19 +107,21 @@
         self.cluster.start(new)
 
     def stop_machine(self, name: str) -> None:
+        """Kills a node; the others learn that it is gone."""
         self.cluster.kill(name, self.rng.random() < 0.5)
         self.cluster.announce_running()
 
-    # Losses. Each ends at the start of what makes it good.
+    # Losses. Each ends with the start of the returning node or its replacement.
 
     def replace_machine(self, leader: bool = False) -> None:
+        """Kills a node and starts an empty replacement later."""
         name = self.pick_victim(leader)
         self.stop_machine(name)
         self.cluster.run(self.rng.uniform(0.3, 2.0))
         self.start_successor(name)
 
     def replace_planned(self) -> None:
-        """The new one first; the old one hands over, and ends."""
+        """Starts the replacement first; the old node then leaves and stops."""
         name = self.pick_victim(self.rng.random() < 0.5)
         self.start_successor(name)
         self.cluster.run(self.rng.uniform(0.3, 2.0))
@@ -128,6 +131,7 @@
         self.stop_machine(name)
 
     def wipe_machine(self) -> None:
+        """Kills a node and restarts it with an empty disk."""
         name = self.pick_victim(self.rng.random() < 0.5)
         self.stop_machine(name)
         self.cluster.create_disk(name)
@@ -135,7 +139,7 @@
         self.cluster.start(name)
 
     def restart_machine(self, leader: bool = False) -> None:
-        """Its disk comes back with it, perhaps after others have taken its vote."""
+        """Restarts a node with its disk, possibly after it was replaced as a voter."""
         name = self.pick_victim(leader)
         self.stop_machine(name)
         self.cluster.run(self.rng.uniform(0.3, 5.0))
@@ -144,31 +148,31 @@
 
 LOSSES: dict[str, Callable[[LossSchedule], None]] = {
     "replaced": LossSchedule.replace_machine,
-    "leader replaced": lambda run: run.replace_machine(leader=True),
+    "leader replaced": lambda schedule: schedule.replace_machine(leader=True),
     "planned": LossSchedule.replace_planned,
     "wiped": LossSchedule.wipe_machine,
     "restarted": LossSchedule.restart_machine,
-    "leader killed": lambda run: run.restart_machine(leader=True),
+    "leader killed": lambda schedule: schedule.restart_machine(leader=True),
 }
 
 
 def schedule_for_seed(seed: int) -> LossSchedule:
-    """Groups of each size in turn."""
+    """The schedule of a seed; cluster sizes take turns."""
     return LossSchedule(
-        seed, SIZES[seed % len(SIZES)], catch_up=CATCH_UPS[seed // len(SIZES) % len(CATCH_UPS)]
+        seed, SIZES[seed % len(SIZES)], catch_up=CATCH_UPS_S[seed // len(SIZES) % len(CATCH_UPS_S)]
     )
 
 
 def main(first: int, last: int) -> int:
-    """Play these seeds; how many broke something."""
+    """Runs these seeds; returns how many violated an invariant."""
     broken = 0
     for seed in range(first, last):
-        run = schedule_for_seed(seed)
+        schedule = schedule_for_seed(seed)
         try:
-            run.play()
+            schedule.run()
         except AssertionError as e:
             broken += 1
-            print(f"seed={seed} size={run.size} at={run.cluster.now:.2f} broken={e}", flush=True)
+            print(f"seed={seed} size={schedule.size} at={schedule.cluster.now:.2f} broken={e}", flush=True)
     print(f"seeds={last - first} broken={broken}")
     return broken
 
--- a/latchspoke/configstore/scenarios.py
+++ b/latchspoke/configstore/scenarios.py
@@ -1,7 +1,7 @@
-"""What a schedule by chance brings about too seldom: troubles and orders timed against each other.
+"""Scenarios that random schedules produce too rarely: faults timed against commands.
 
-Each scene plays on one ``Play`` and leaves the machines to the schedule; what must hold is checked there. For
-drills and tests; no process of the system loads it.
+Each scenario acts on a running ``Schedule``, which checks the invariants. For tests only; no production
+process imports this module.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 
 def scenario(function: Callable[[Schedule], None]) -> Callable[[Schedule], None]:
-    """Register a scene under the name of its function."""
+    """Registers a scenario under the name of its function."""
     SCENARIOS[function.__name__] = function
     return function
 
 
 def current_leader(schedule: Schedule) -> str:
-    """The leader's name, or ''."""
+    """The name of the settled leader, or ''."""
     leaders = [r for r in schedule.cluster.running.values() if r.is_leader and r.member.committed_in_term]
     return max(leaders, key=lambda r: r.member.term).name if leaders else ""
 
 
 def other_nodes(schedule: Schedule, *excluded: str) -> list[str]:
-    """Processes that run, in an order by chance."""
+    """Other running nodes, in random order."""
     return schedule.rng.sample(
         names := [n for n in schedule.cluster.running if n not in excluded], len(names)
     )
@@ -44,7 +44,7 @@
 def blocked(
     schedule: Schedule, sources: list[str], targets: list[str], hold_probability: float = 1.0
 ) -> Iterator[None]:
-    """Meanwhile nothing passes that way; it is held up (``keeps`` 1), or lost (0)."""
+    """Blocks these links; messages on them are delayed (``hold_probability`` 1) or lost (0)."""
     cluster = schedule.cluster
     pairs = {(a, b) for a in sources for b in targets} - cluster.blocked_links
     previous, cluster.hold_probability = cluster.hold_probability, hold_probability
@@ -57,7 +57,7 @@
 
 
 def healed(schedule: Schedule) -> str:
-    """All cuts are over; the leader once there is one, or ''."""
+    """Ends all faults; returns the leader after a second, or ''."""
     schedule.cluster.blocked_links.clear()
     schedule.cluster.loss_rate = 0.0
     schedule.restart_stopped()
@@ -67,7 +67,7 @@
 
 @scenario
 def change_before_its_base(schedule: Schedule) -> None:
-    """An order comes before the one that it builds on, is refused, and comes again by way of another."""
+    """A change arrives before its base, is rejected, and is sent again through another node."""
     first = schedule.draw_change(schedule.newest)
     second = schedule.draw_change(first["version"])
     for command in (second, first, second):
@@ -78,7 +78,7 @@
 
 @scenario
 def version_not_increasing(schedule: Schedule) -> None:
-    """A version that is not above the one that it builds on."""
+    """A change whose version is not higher than its base."""
     if schedule.newest and schedule.cluster.running:
         schedule.change_count += 1
         version = max(schedule.newest - schedule.rng.randint(0, 2), 1)
@@ -88,7 +88,7 @@
 
 @scenario
 def delayed_evacuation(schedule: Schedule) -> None:
-    """An evacuation is on its way until it was given again elsewhere, and taken back."""
+    """An evacuation is delayed until it was repeated through another node and ended."""
     leader, cluster = healed(schedule), schedule.cluster
     zone = schedule.rng.choice(schedule.zones)
     if not leader or cluster.now < zone.busy_until:
@@ -101,12 +101,12 @@
             schedule.evacuate(leader, zone)
             cluster.run(0.4)
     cluster.run(0.5)
-    schedule.confirm(leader)
+    schedule.read(leader)
 
 
 @scenario
 def zone_order_from_lagging_node(schedule: Schedule) -> None:
-    """An order about a zone by way of one that has not heard of the last one about it."""
+    """A zone command through a node that has not applied the zone's last change."""
     leader, cluster = healed(schedule), schedule.cluster
     zone = schedule.rng.choice(schedule.zones)
     if not leader or cluster.now < zone.busy_until:
@@ -122,24 +122,24 @@
 
 @scenario
 def late_read_reply(schedule: Schedule) -> None:
-    """The answer to a question is late, and a later caller asks meanwhile."""
+    """The reply to a read-index request is late, and another read starts meanwhile."""
     leader, cluster = healed(schedule), schedule.cluster
     if not leader:
         return
     name, before_retry = other_nodes(schedule, leader)[0], schedule.rng.random() < 0.5
-    schedule.confirm(name)
+    schedule.read(name)
     with blocked(schedule, [leader], [name]):
         cluster.run(0.04)
         schedule.submit(leader, schedule.draw_change(schedule.newest))
-        cluster.run(0.13 if before_retry else 0.2)  # soon: before it asks anew by itself
-        schedule.confirm(name)
+        cluster.run(0.13 if before_retry else 0.2)  # shorter than the retry interval of the node, or longer
+        schedule.read(name)
         cluster.run(0.0 if before_retry else schedule.rng.uniform(0.07, 0.2))
     cluster.run(0.3)
 
 
 @scenario
 def restart_with_reply_in_flight(schedule: Schedule) -> None:
-    """A process starts anew while the answer to its former life is on its way."""
+    """A node restarts while a reply to its previous run is in flight."""
     cluster = schedule.cluster
     if not healed(schedule):
         return
@@ -155,7 +155,7 @@
 
 @scenario
 def superseded_leader(schedule: Schedule) -> None:
-    """A leader has orders that nobody else has, and another leads before it knows."""
+    """A leader has commands that no other node has, and is superseded before it notices."""
     leader, cluster = healed(schedule), schedule.cluster
     if not leader:
         return
@@ -175,7 +175,7 @@
 
 @scenario
 def earlier_term_entries(schedule: Schedule) -> None:
-    """Entries of a former leader at a majority, which another may still replace (Raft, figure 8)."""
+    """Entries of an earlier term are on a majority but may still be overwritten (Raft, figure 8)."""
     leader, cluster = healed(schedule), schedule.cluster
     if not leader or len(cluster.running) < 5:
         return
@@ -207,14 +207,14 @@
 
 
 def kill_before_delivery(schedule: Schedule, name: str) -> None:
-    """What it has said last comes to nobody."""
+    """Kills a node and drops its messages in flight."""
     schedule.cluster.kill(name)
     with blocked(schedule, [name], schedule.cluster.names, 0.0):
         schedule.cluster.run(0.05)
 
 
 def wait_for_leader(schedule: Schedule, names: list[str], timeout: float = 3.0) -> str:
-    """The first of these to lead, at once when it does; '' if none does so in time (s)."""
+    """Waits until one of these is the leader; '' if none is within ``timeout`` (s)."""
     cluster, deadline = schedule.cluster, schedule.cluster.now + timeout
     while cluster.now < deadline:
         cluster.run(0.004)
@@ -226,7 +226,7 @@
 
 @scenario
 def old_disk_copy(schedule: Schedule) -> None:
-    """A disk comes back as it was two starts ago, while those who know of an order are out of reach."""
+    """A disk is rolled back by two boots while the nodes that know of a change are unreachable."""
     leader, cluster = healed(schedule), schedule.cluster
     if not leader or not schedule.wipe_repaired() or len(cluster.running) < 5:
         return
--- a/latchspoke/configstore/simulation.py
+++ b/latchspoke/configstore/simulation.py
@@ -1,6 +1,6 @@
-"""Registers on a clock set by hand: messages late, lost and held up, disks that keep only what was synced.
+"""A cluster of config store nodes in virtual time, with message delay and loss, partitions and crashes.
 
-For drills and tests; no process of the system loads it.
+Disks keep only what was synced. For tests only; no production process imports this module.
 """
 
 from __future__ import annotations
@@ -20,11 +20,12 @@
 from latchspoke.consensus.member import Output
 from latchspoke.consensus.records import Entry, HardState, Snapshot, Stored
 
-LINK_DELAY_S = 0.02  # s, one way
-STEP_S = 0.05  # s between looks at what is due, at most
+LINK_DELAY_S = 0.02  # minimum, one way
+STEP_S = 0.05  # largest step of the virtual clock
 
 
 def merge_patch(document: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+    """Patch function of the tests: merges the keys of ``change``; a key ``bad`` makes it invalid."""
     if "bad" in change:
         raise ValueError("a bad patch")
     return {**document, **change}
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class Disk:
-    """What is synced. Each save is one transaction, which is on the disk whole or not at all."""
+    """A disk that holds what was synced; each save is atomic."""
 
     identity: str = ""
     snapshot: Snapshot = field(default_factory=Snapshot)
@@ -42,11 +43,13 @@
     saves: int = 0
 
     def start(self) -> Stored:
+        """Counts a boot and returns the stored state."""
         self.boot += 1
         entries = tuple(self.entries[i] for i in sorted(self.entries))
         return Stored(self.identity, self.boot, self.hard_state, self.snapshot, entries)
 
     def save(self, output: Output) -> None:
+        """Stores and syncs an output."""
         self.saves += 1
         self.hard_state = output.hard_state or self.hard_state
         if output.snapshot is not None:
@@ -56,12 +59,13 @@
             self.entries.update({e.index: e for e in output.entries})
 
     def compact(self, snapshot: Snapshot) -> None:
+        """Replaces the entries that the snapshot covers."""
         self.snapshot = snapshot
         self.entries = {i: e for i, e in self.entries.items() if i > snapshot.index}
 
 
 class Cluster:
-    """``count`` processes, the first three of them the seeds; all that is decided by chance is ``draw``'s."""
+    """A cluster of ``count`` nodes, of which the first three are the seeds."""
 
     def __init__(
         self,
@@ -78,33 +82,34 @@
         self.catch_up = catch_up
         self.disks: dict[str, Disk] = {}
         self.running: dict[str, StoreNode] = {}
-        self.blocked_links: set[tuple[str, str]] = set()  # from, to
+        self.blocked_links: set[tuple[str, str]] = set()  # source, target
         self.loss_rate = 0.0
-        self.link_bytes_per_s = (
-            0.0  # bytes/s of each link, one way, in order; 0: any number at once, in any order
-        )
+        self.link_bytes_per_s = 0.0  # per direction, with in-order delivery; 0: unlimited and unordered
         self.link_busy_until: dict[
             tuple[str, str], float
-        ] = {}  # until when a link is taken by what was sent before
-        self.hold_probability = 0.7  # chance, at each look, that a cut goes on holding up a message
+        ] = {}  # until when a link transmits earlier messages
+        self.hold_probability = (
+            0.7  # probability, per step, that a blocked link keeps a message instead of dropping it
+        )
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.event_count = 0
         self.answers: dict[tuple[str, int], Callable[[Answer], None]] = {}
-        self.committed: dict[int, bytes] = {}  # the one log
+        self.committed: dict[int, bytes] = {}  # encoded committed entries by index
         for name in self.names:
             self.create_disk(name, first_start=True)
             self.start(name)
 
-    # The machines.
+    # Nodes.
 
     def create_disk(self, name: str, first_start: bool = False) -> None:
-        """A disk with nothing on it."""
+        """Gives the node a new, empty disk with a new identity."""
         suffix = identity_suffix(name, self.seeds, first_start, f"{self.rng.getrandbits(32):08x}")
         disk = self.disks[name] = Disk(f"{name}#{suffix}")
         if suffix == "first":
             disk.snapshot = founding_snapshot(self.seeds, ConfigState(merge_patch))
 
     def start(self, name: str) -> StoreNode:
+        """Starts a node from its disk."""
         rng = random.Random(self.rng.random())
         node = StoreNode(
             self.disks[name].start(), self.seeds, merge_patch, rng, self.now, catch_up=self.catch_up
@@ -114,13 +119,13 @@
         return node
 
     def announce_running(self) -> None:
-        """Everybody knows who is up."""
+        """Tells every running node which nodes are running."""
         locations = {name: self.locations.get(name, UNKNOWN_LOCATION) for name in self.running}
         for node in self.running.values():
             node.update_peers(locations, self.now)
 
     def kill(self, name: str, after_sync: bool = False) -> None:
-        """What was not synced is lost; ``mid_turn``: killed after the sync, before anything was said."""
+        """Kills a node; unsynced state is lost. ``after_sync``: it dies after a sync, before sending."""
         node = self.running.pop(name)
         if after_sync and (output := node.take_output()) is not None:
             self.disks[name].save(output)
@@ -128,10 +133,12 @@
             del self.answers[key]
 
     def schedule(self, when: float, call: Callable[[], None]) -> None:
+        """Calls ``call`` at the virtual time ``when``."""
         self.event_count += 1
         heapq.heappush(self.events, (when, self.event_count, call))
 
     def send(self, source: str, target: str, message: Message) -> None:
+        """Sends a message with random delay; it may be lost."""
         if self.rng.random() < self.loss_rate:
             return
         data = msgspec.json.encode(message)
@@ -143,7 +150,7 @@
         self.schedule(self.now + delay, lambda: self.deliver(source, target, data))
 
     def deliver(self, source: str, target: str, data: bytes) -> None:
-        """What a cut holds up comes when it is over, or never."""
+        """Delivers a message; on a blocked link it is delayed or dropped."""
         if (source, target) in self.blocked_links:
             if self.rng.random() < self.hold_probability:
                 self.schedule(self.now + STEP_S, lambda: self.deliver(source, target, data))
@@ -154,6 +161,7 @@
             self.process(target)
 
     def process(self, name: str) -> None:
+        """Lets a node store its outputs, send its messages and deliver its answers."""
         node = self.running[name]
         while True:
             output = node.take_output()
@@ -175,12 +183,13 @@
                 on_answer(answer)
 
     def check_committed(self, node: StoreNode, output: Output) -> None:
-        """One history, at every member."""
+        """Checks that all members commit the same entry at each index."""
         for entry in output.committed:
             data = msgspec.msgpack.encode(entry)
             assert self.committed.setdefault(entry.index, data) == data, f"two entries at {entry.index}"
 
     def run(self, seconds: float) -> None:
+        """Advances the virtual time."""
         until = self.now + seconds
         while self.now < until:
             step_end = min(until, self.now + STEP_S)
@@ -195,17 +204,18 @@
                     self.running[name].tick(self.now)
                 self.process(name)
                 assert self.running[name].next_tick_at() > self.now - STEP_S, (
-                    "a tick that changes nothing is asked for"
+                    "next_tick_at is due, but tick did not advance it"
                 )
-                assert self.running[name].state.version >= before, "a version went back"
+                assert self.running[name].state.version >= before, "the configuration version decreased"
 
-    # What is asked of it.
+    # Operations of tests.
 
     def leader(self) -> StoreNode:
+        """The leader of the highest term."""
         return max((r for r in self.running.values() if r.is_leader), key=lambda r: r.member.term)
 
     def is_converged(self, names: list[str] | None = None) -> bool:
-        """A leader, and all these up to date with it."""
+        """Whether there is a leader and these running nodes have applied as much as it has."""
         leaders = [r for r in self.running.values() if r.is_leader and r.member.committed_in_term]
         return bool(leaders) and all(
             self.running[n].applied_index == leaders[0].applied_index
@@ -216,6 +226,7 @@
     def submit(
         self, name: str, command: Command, on_answer: Callable[[Answer], None], limit: float = 0.9
     ) -> None:
+        """Submits a command; ``on_answer`` gets the verdict."""
         number = self.running[name].submit(command, limit, self.now)
         self.answers[name, number] = on_answer
         self.process(name)
@@ -223,12 +234,13 @@
     def confirm_read(
         self, name: str, on_answer: Callable[[Answer], None], limit: float = 0.9, deferrable: bool = False
     ) -> None:
+        """Starts a linearizable read; ``on_answer`` gets the applied index or None."""
         number = self.running[name].confirm_read(limit, self.now, deferrable)
         self.answers[name, number] = on_answer
         self.process(name)
 
     def submit_and_wait(self, name: str, command: Command, limit: float = 0.9) -> Verdict:
-        """Submit, and run until it is answered."""
+        """Submits a command and runs until there is a verdict."""
         answers: list[Answer] = []
         self.submit(name, command, answers.append, limit)
         deadline = self.now + limit + 2 * STEP_S
@@ -238,6 +250,7 @@
         return answers[0]
 
     def read_and_wait(self, name: str, limit: float = 0.9) -> int | None:
+        """Starts a linearizable read and runs until it is answered; None if it failed."""
         answers: list[Answer] = []
         self.confirm_read(name, answers.append, limit)
         deadline = self.now + limit + 2 * STEP_S
@@ -247,10 +260,12 @@
         return answers[0]
 
     def voters(self) -> set[str]:
+        """Identities of the voters according to the leader."""
         return set(self.leader().member.members.voters)
 
 
 def replace_command(version: int, base: int, text: str = "") -> Command:
+    """A command that replaces the configuration."""
     digest = f"d{version}{text}"
     return {
         "do": "replace",
@@ -262,6 +277,7 @@
 
 
 def modify_command(version: int, base: int, **change: object) -> Command:
+    """A command that patches the configuration."""
     return {
         "do": "modify",
         "version": version,
--- a/tests/configstore/test_voters.py
+++ b/tests/configstore/test_voters.py
@@ -27,20 +27,20 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_runs_of_tolerated_losses_keep_a_majority_and_every_order(seed: int) -> None:
     print(f"seed {seed}: python -m latchspoke.configstore.replacements {seed} {seed + 1}")
-    schedule_for_seed(seed).play()
+    schedule_for_seed(seed).run()
 
 
 @pytest.mark.parametrize("size", [3, 4, 5, 6, 7])
 @pytest.mark.parametrize("kind", LOSSES)
 def test_each_kind_of_loss_over_and_over(kind: str, size: int) -> None:
-    LossSchedule(1, size, losses=size + 2, loss_kinds=(kind,)).play()
+    LossSchedule(1, size, losses=size + 2, loss_kinds=(kind,)).run()
 
 
 def test_a_vote_that_is_given_away_too_late_loses_the_majority(monkeypatch: pytest.MonkeyPatch) -> None:
     """The fault that the runs are for: within the 15 s of before, too many have gone."""
     monkeypatch.setattr(voters, "MIN_LOST_AFTER_S", 15.0)
     with pytest.raises(AssertionError, match="unknown"):
-        LossSchedule(1, 5, loss_kinds=("replaced",)).play()
+        LossSchedule(1, 5, loss_kinds=("replaced",)).run()
 
 
 def test_the_vote_of_one_that_stops_is_given_away_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -48,7 +48,7 @@
     monkeypatch.setattr(MemberLiveness, "mark_leaving", lambda contacts, identity, boot: None)
     monkeypatch.setattr(voters, "MIN_LOST_AFTER_S", 15.0)
     with pytest.raises(AssertionError, match="unknown"):
-        LossSchedule(1, 3, loss_kinds=("planned",)).play()
+        LossSchedule(1, 3, loss_kinds=("planned",)).run()
 
 
 def started(size: int, seed: int = 1) -> Cluster:
