--- a/tests/configstore/test_config_state.py
+++ b/tests/configstore/test_config_state.py
@@ -1,4 +1,4 @@
-"""The operator's word as a state machine."""
+"""The state machine of the config store."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return [machine.apply(index, command).kind for index, command in enumerate(commands, machine.index + 1)]
 
 
-def test_one_of_two_on_a_base_wins_and_the_very_same_is_known_again() -> None:
+def test_one_of_two_changes_on_a_base_is_accepted_and_its_retry_recognized() -> None:
     machine = ConfigState(merge_patch)
     assert kinds(
         machine, replace_command(3, 0, "a"), replace_command(5, 0, "b"), replace_command(3, 0, "a")
@@ -40,7 +40,7 @@
     assert machine.document == {"v": 3, "t": "a", "x": 1} and machine.version == 5
 
 
-def test_what_was_refused_ahead_of_its_base_stays_refused() -> None:
+def test_change_rejected_before_its_base_stays_rejected() -> None:
     machine = ConfigState(merge_patch)
     assert kinds(machine, replace_command(7, 5), replace_command(5, 0), replace_command(7, 5)) == [
         CONFLICT,
@@ -55,14 +55,14 @@
                 modify_command(1, 0, bad=1), 5, {**replace_command(1, 0), "version": "1"},
                 {"do": "evacuate", "zone": 1}],
 )  # fmt: skip
-def test_what_can_not_be_read_changes_nothing(command: Command) -> None:
+def test_malformed_command_changes_nothing(command: Command) -> None:
     machine = ConfigState(merge_patch)
     before = machine.dump()
     assert machine.apply(1, command).kind == INVALID
     assert machine.dump() == before
 
 
-def test_an_old_order_does_not_undo_a_later_one_about_the_zone() -> None:
+def test_delayed_command_does_not_override_a_later_one_for_the_zone() -> None:
     machine = ConfigState(merge_patch)
     zone = {"zone": "z", "after": 0}
     assert kinds(machine, {"do": "evacuate", **zone}, {"do": "evacuate", **zone}) == [TAKEN, REPEATED]
@@ -71,7 +71,7 @@
     assert machine.evacuated == frozenset() and machine.index == 5
 
 
-def test_each_of_two_evacuations_of_a_zone_is_taken_back_by_itself() -> None:
+def test_two_evacuations_of_a_zone_end_independently() -> None:
     machine, other = ConfigState(merge_patch), ConfigState(merge_patch)
     begin, end = {"do": "evacuate", "zone": "z"}, {"do": "restore", "zone": "z"}
     beside = {**begin, "stand": 1}
@@ -80,14 +80,14 @@
     assert other == machine and machine.evacuation_count("z") == 2
     last = {**end, "stand": 2}
     assert kinds(machine, last, last) == [TAKEN, REPEATED]
-    assert machine.evacuated == {"z"}, "the other one still stands"
+    assert machine.evacuated == {"z"}, "the other evacuation is still active"
     assert kinds(machine, {**end, "stand": 1}, end, beside) == [TAKEN, REPEATED, TAKEN]
     assert ConfigState(merge_patch, zones={"z": (5, True)}).evacuation_count("z") == 1, (
-        "as processes wrote it before"
+        "as older releases wrote it"
     )
 
 
-def test_a_snapshot_holds_all_of_it_and_no_more_than_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_snapshot_holds_the_complete_state_within_the_history_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(config_state, "HISTORY_LIMIT", 10)
     machine, other = ConfigState(merge_patch), ConfigState(merge_patch)
     for n in range(30):
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -1,4 +1,4 @@
-"""Stations with real files, on an event loop whose time is virtual."""
+"""Replicas with real files, on an event loop with virtual time."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 NAMES = tuple(f"10.{n}.0.1:7600" for n in range(3))
 
 
-class Stations:
+class Replicas:
     def __init__(self, home: Path, seed: int = 1) -> None:
         print(f"seed {seed}")
         self.home, self.seed = home, seed
         self.up: dict[str, Replica] = {}
-        self.seen: dict[str, list[int]] = {name: [] for name in NAMES}
-        self.logged: list[str] = []
+        self.applied_versions: dict[str, list[int]] = {name: [] for name in NAMES}
+        self.events: list[str] = []
 
     def start(self, name: str, first: bool = False) -> Replica:
         loop = asyncio.get_running_loop()
@@ -44,8 +44,9 @@
 
         replica = Replica(
             name, NAMES, first, home, send, merge_patch,
-            lambda state: self.seen[name].append(state.version), loop.time,
-            lambda event, fields: self.logged.append(event), Random(f"{name}:{len(self.seen)}:{self.seed}"),
+            lambda state: self.applied_versions[name].append(state.version), loop.time,
+            lambda event, fields: self.events.append(event),
+            Random(f"{name}:{len(self.applied_versions)}:{self.seed}"),
         )  # fmt: skip
         self.up[name] = replica
         replica.start()
@@ -60,7 +61,7 @@
         return next(replica for replica in self.up.values() if replica.node.is_leader)
 
     def kill(self, name: str) -> None:
-        """As SIGKILL would leave it: nothing is closed, the files are as they are."""
+        """Ends a replica as SIGKILL would: its files stay as they are."""
         replica = self.up.pop(name)
         copy = self.home / "copy"
         shutil.copytree(self.home / name, copy)
@@ -69,54 +70,54 @@
         copy.rename(self.home / name)
 
 
-def play(story: Coroutine[Any, Any, None]) -> None:
+def run_virtual(scenario: Coroutine[Any, Any, None]) -> None:
     loop = VirtualLoop(Network(1))
     try:
-        loop.run_until_complete(story)
+        loop.run_until_complete(scenario)
     finally:
         loop.close()
 
 
-def test_what_was_acknowledged_is_there_after_all_were_killed_and_after_a_stop(tmp_path: Path) -> None:
-    async def story() -> None:
-        stations = Stations(tmp_path)
+def test_acknowledged_changes_survive_crashes_and_a_stop(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        replicas = Replicas(tmp_path)
         for name in NAMES:
-            stations.start(name, first=True)
+            replicas.start(name, first=True)
         await asyncio.sleep(2.0)
-        assert all(replica.read_confirmed for replica in stations.up.values())
+        assert all(replica.read_confirmed for replica in replicas.up.values())
         verdicts = [
-            await stations.up[NAMES[n % 3]].submit(replace_command(n + 1, n, "x" * 10_000)) for n in range(70)
+            await replicas.up[NAMES[n % 3]].submit(replace_command(n + 1, n, "x" * 10_000)) for n in range(70)
         ]
         assert {verdict.kind for verdict in verdicts} == {TAKEN}
         assert not list(tmp_path.rglob("*-shm")), "no shared memory"
         for name in NAMES:
-            stations.kill(name)
+            replicas.kill(name)
         for name in NAMES:
-            assert stations.start(name).node.state.version < 70
+            assert replicas.start(name).node.state.version < 70
         await asyncio.sleep(2.0)
-        assert await stations.up[NAMES[0]].confirm_read() is not None
-        assert {replica.state.version for replica in stations.up.values()} == {70}
-        assert all(seen[-1] == 70 for seen in stations.seen.values())
-        leader = stations.leader()
+        assert await replicas.up[NAMES[0]].confirm_read() is not None
+        assert {replica.state.version for replica in replicas.up.values()} == {70}
+        assert all(versions[-1] == 70 for versions in replicas.applied_versions.values())
+        leader = replicas.leader()
         before = asyncio.get_running_loop().time()
         await leader.stop()
-        del stations.up[leader.name]
-        other = next(iter(stations.up.values()))
+        del replicas.up[leader.name]
+        other = next(iter(replicas.up.values()))
         assert (await other.submit(replace_command(71, 70))).kind == TAKEN
         assert asyncio.get_running_loop().time() - before < 0.5
 
-    play(story())
+    run_virtual(scenario())
 
 
-def test_a_disk_that_refuses_and_a_fault_of_the_program_are_got_over(
+def test_replica_recovers_from_disk_failures_and_internal_errors(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story() -> None:
-        stations = Stations(tmp_path)
+    async def scenario() -> None:
+        replicas = Replicas(tmp_path)
         for name in NAMES:
-            stations.start(name, first=True)
+            replicas.start(name, first=True)
         await asyncio.sleep(2.0)
-        leader = stations.leader()
+        leader = replicas.leader()
         save = leader.ledger.save
 
         def refuse(output: Output) -> None:
@@ -125,7 +126,7 @@
         monkeypatch.setattr(leader.ledger, "save", refuse)
         assert (await leader.submit(replace_command(1, 0))).kind == UNKNOWN
         assert await leader.confirm_read() is None and leader.status()["disk"] == "no room"
-        other = next(replica for replica in stations.up.values() if replica is not leader)
+        other = next(replica for replica in replicas.up.values() if replica is not leader)
         assert (await other.submit(replace_command(2, 0), limit=3.0)).kind == TAKEN
         monkeypatch.setattr(leader.ledger, "save", save)
         await asyncio.sleep(2.0)
@@ -137,54 +138,54 @@
         with monkeypatch.context() as patched:
             patched.setattr(Member, "tick", fault)
             leader.tick()
-        assert "register-failed" in stations.logged and await leader.confirm_read() is None
+        assert "register-failed" in replicas.events and await leader.confirm_read() is None
         await asyncio.sleep(3.0)
         assert await leader.confirm_read() is not None and leader.state.version == 2
 
-    play(story())
+    run_virtual(scenario())
 
 
 @pytest.mark.parametrize("how", ["follower", "leader"])
-def test_a_voter_whose_disk_is_full_steps_aside_says_so_and_comes_back(
+def test_voter_with_a_full_disk_reports_it_and_recovers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """It vouches for nothing meanwhile, holds nobody up, and catches up once there is room."""
+    """Meanwhile it confirms no reads and delays nobody; it catches up once there is space."""
 
-    async def story() -> None:
-        stations = Stations(tmp_path)
+    async def scenario() -> None:
+        replicas = Replicas(tmp_path)
         for name in NAMES:
-            stations.start(name, first=True)
+            replicas.start(name, first=True)
         await asyncio.sleep(2.0)
-        full = next(s for s in stations.up.values() if s.node.is_leader == (how == "leader"))
-        others = [replica for replica in stations.up.values() if replica is not full]
-        save, term = full.ledger.save, full.node.member.term
+        failing = next(s for s in replicas.up.values() if s.node.is_leader == (how == "leader"))
+        others = [replica for replica in replicas.up.values() if replica is not failing]
+        save, term = failing.ledger.save, failing.node.member.term
 
         def refuse(output: Output) -> None:
             raise LedgerError("database or disk is full")
 
-        monkeypatch.setattr(full.ledger, "save", refuse)
+        monkeypatch.setattr(failing.ledger, "save", refuse)
         loop = asyncio.get_running_loop()
-        took = []
+        durations = []
         for version in range(1, 9):
-            begun = loop.time()
+            start = loop.time()
             verdict = await others[version % 2].submit(replace_command(version, version - 1), limit=3.0)
             assert verdict.kind == TAKEN
-            took.append(loop.time() - begun)
-        # An election where it led, and no waiting for it afterwards.
-        assert max(took) < (3.0 if how == "leader" else 0.2) and max(took[1:]) < 0.2
-        assert full.status()["disk"] and stations.logged.count("disk-refuses") == 1
-        assert await full.confirm_read(1.0) is None and full.state.version < 8
-        monkeypatch.setattr(full.ledger, "save", save)
+            durations.append(loop.time() - start)
+        # One election if it was the leader, and no delay afterwards.
+        assert max(durations) < (3.0 if how == "leader" else 0.2) and max(durations[1:]) < 0.2
+        assert failing.status()["disk"] and replicas.events.count("disk-refuses") == 1
+        assert await failing.confirm_read(1.0) is None and failing.state.version < 8
+        monkeypatch.setattr(failing.ledger, "save", save)
         await asyncio.sleep(1.0)
-        assert await full.confirm_read(1.0) is not None and full.state.version == 8
-        assert not full.status()["disk"] and stations.logged.count("disk-back") == 1
-        # Its return sets off no election of its own.
-        assert full.node.member.term <= term + 3 * (how == "leader")
+        assert await failing.confirm_read(1.0) is not None and failing.state.version == 8
+        assert not failing.status()["disk"] and replicas.events.count("disk-back") == 1
+        # Its return causes no further election.
+        assert failing.node.member.term <= term + 3 * (how == "leader")
 
-    play(story())
+    run_virtual(scenario())
 
 
-def test_a_damaged_file_and_an_older_copy_are_refused_in_one_line(tmp_path: Path) -> None:
+def test_damaged_file_and_older_copy_are_rejected_with_a_one_line_error(tmp_path: Path) -> None:
     ledger = Ledger(tmp_path / DATABASE_FILE, alone=True)
     ledger.start("a", "x", founder=False)
     ledger.close()
@@ -205,23 +206,23 @@
         assert "\n" not in str(caught.value)
 
 
-def test_a_timer_a_rounding_ahead_of_what_is_due_does_not_ring_for_ever(
+def test_timer_rounded_before_the_due_time_does_not_loop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen once in a hundred runs: the loop stood at one moment, which a clock set by hand never leaves."""
-    rung = 0
+    """Guards against an endless loop at one moment of virtual time."""
+    calls = 0
 
     def due(node: StoreNode) -> float:
-        nonlocal rung
-        rung += 1
-        if rung > 1000:
+        nonlocal calls
+        calls += 1
+        if calls > 1000:
             raise RuntimeError("rings in vain")
         return 0.0
 
-    async def story() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(StoreNode, "next_tick_at", due)
-        Stations(tmp_path).start(NAMES[0], first=True)
+        Replicas(tmp_path).start(NAMES[0], first=True)
         await asyncio.sleep(0.05)
 
-    play(story())
-    assert 10 < rung < 1000
+    run_virtual(scenario())
+    assert 10 < calls < 1000
--- a/tests/configstore/test_store.py
+++ b/tests/configstore/test_store.py
@@ -1,4 +1,4 @@
-"""The store on disk: years of changes in bounded room, and a file that is not its own is never guessed at."""
+"""The store on disk: bounded space over many changes, and detection of damaged or foreign files."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 
 ME = "10.0.0.1:7600"
 CHANGES = 6000
-MOST = 256 * 1024 * 1024  # bytes, of the disk
+DISK_BYTES = 256 * 1024 * 1024  # size of the disk
 
 
-def opened(folder: Path) -> tuple[Ledger, Stored]:
-    made = Ledger(folder / "register.db", alone=True)
+def open_ledger(folder: Path) -> tuple[Ledger, Stored]:
+    ledger = Ledger(folder / "register.db", alone=True)
     try:
-        return made, made.start(ME, "first", True, founding_snapshot([ME], ConfigState(merge_patch)))
+        return ledger, ledger.start(ME, "first", True, founding_snapshot([ME], ConfigState(merge_patch)))
     except LedgerError:
-        made.close()
+        ledger.close()
         raise
 
 
-def size(folder: Path) -> int:
+def disk_usage(folder: Path) -> int:
     return sum(path.stat().st_size for path in folder.iterdir())
 
 
-def test_many_thousands_of_changes_stay_in_bounded_room(tmp_path: Path) -> None:
-    """Documents of 20 kB, evacuations between them, starts again: 100 MB of orders in all."""
-    kept, stored = opened(tmp_path)
-    kept.db.execute("PRAGMA synchronous = OFF")  # room is looked at here, not power
-    draw, now, most, version = random.Random(1), 0.0, 0, 0
+def test_thousands_of_changes_need_bounded_disk_space(tmp_path: Path) -> None:
+    """Documents of 20 kB, evacuations and restarts: 100 MB of commands in total."""
+    ledger, stored = open_ledger(tmp_path)
+    ledger.db.execute("PRAGMA synchronous = OFF")  # this test measures space, not durability
+    draw, now, peak, version = random.Random(1), 0.0, 0, 0
     node = StoreNode(stored, [ME], merge_patch, draw, now)
     for number in range(CHANGES):
         if number % 1500 == 1499:
-            kept.close()
-            kept, stored = opened(tmp_path)
-            kept.db.execute("PRAGMA synchronous = OFF")
+            ledger.close()
+            ledger, stored = open_ledger(tmp_path)
+            ledger.db.execute("PRAGMA synchronous = OFF")
             node = StoreNode(stored, [ME], merge_patch, draw, now)
         command: dict[str, Any] = {"do": ("evacuate", "restore")[number // 5 % 2], "zone": "a"}
         if number % 5:
@@ -61,10 +61,10 @@
                 asked = node.submit(command, 2.0, now)
             while (output := node.take_output()) is not None:
                 if output.must_store:
-                    kept.save(output)
+                    ledger.save(output)
                 node.on_stored(output, now)
                 if (snapshot := node.compact_if_due()) is not None:
-                    kept.compact(snapshot)
+                    ledger.compact(snapshot)
             node.outbox.clear()
             answers = [answer for ident, answer in node.answers if ident == asked]
             node.answers.clear()
@@ -73,20 +73,20 @@
         (verdict,) = answers
         assert isinstance(verdict, Verdict) and verdict.ok, verdict
         version = verdict.version
-        most = max(most, size(tmp_path)) if number % 50 == 0 else most
+        peak = max(peak, disk_usage(tmp_path)) if number % 50 == 0 else peak
     assert version == CHANGES - CHANGES // 5
-    print(f"most {most / 1e6:.1f} MB")
-    assert most < MOST / 16
-    kept.close()
+    print(f"peak {peak / 1e6:.1f} MB")
+    assert peak < DISK_BYTES / 16
+    ledger.close()
 
 
-def layout(path: Path, number: int) -> None:
+def set_layout(path: Path, number: int) -> None:
     db = sqlite3.connect(path)
     db.execute(f"PRAGMA user_version = {number}")
     db.close()
 
 
-def foreign(path: Path) -> None:
+def make_foreign(path: Path) -> None:
     path.unlink()
     db = sqlite3.connect(path)
     db.execute("CREATE TABLE trains (name TEXT)")
@@ -94,78 +94,78 @@
     db.close()
 
 
-def spoilt(path: Path) -> None:
-    """One bit of a value: SQLite's own check can't see it."""
+def flip_bit(path: Path) -> None:
+    """Flips a bit of a value, which SQLite's own check does not detect."""
     data = bytearray(path.read_bytes())
     data[data.index(b"precious")] ^= 1
     path.write_bytes(data)
 
 
-def cut_short(path: Path) -> None:
+def truncate(path: Path) -> None:
     path.write_bytes(path.read_bytes()[:-4096])
 
 
-def one_missing(path: Path) -> None:
+def delete_entry(path: Path) -> None:
     db = sqlite3.connect(path)
     db.execute("DELETE FROM entries WHERE place = 2")
     db.commit()
     db.close()
 
 
-def older(path: Path) -> None:
+def restore_older(path: Path) -> None:
     shutil.copyfile(path.with_suffix(".older"), path)
 
 
-HARMS: dict[str, tuple[Callable[[Path], object], str]] = {
-    "foreign": (foreign, "is no ledger: its tables are trains"),
-    "newer layout": (lambda path: layout(path, LAYOUT + 1), f"its layout is {LAYOUT + 1}"),
-    "a bit": (spoilt, "is damaged"),
-    "cut short": (cut_short, "damaged|malformed"),
+DAMAGES: dict[str, tuple[Callable[[Path], object], str]] = {
+    "foreign": (make_foreign, "is no ledger: its tables are trains"),
+    "newer layout": (lambda path: set_layout(path, LAYOUT + 1), f"its layout is {LAYOUT + 1}"),
+    "a bit": (flip_bit, "is damaged"),
+    "cut short": (truncate, "damaged|malformed"),
     "no database": (lambda path: path.write_bytes(b"x" * 9000), "not a database"),
-    "an entry gone": (one_missing, "entry 2 is missing"),
-    "older": (older, "an older copy"),
+    "an entry gone": (delete_entry, "entry 2 is missing"),
+    "older": (restore_older, "an older copy"),
 }
 
 
-def begun(folder: Path) -> Stored:
-    made, stored = opened(folder)
-    made.close()
+def start_ledger(folder: Path) -> Stored:
+    ledger, stored = open_ledger(folder)
+    ledger.close()
     return stored
 
 
-def harmed(folder: Path, harm: str) -> None:
-    """A store with three entries, two starts, then the harm."""
+def create_damaged(folder: Path, damage: str) -> None:
+    """Creates a store with three entries and two restarts, then damages it."""
     path = folder / "register.db"
-    made, _ = opened(folder)
+    ledger, _ = open_ledger(folder)
     entries = tuple(Entry(n, 1, Kind.DATA, b"precious" * 200) for n in (2, 3, 4))
-    made.save(Output(hard_state=HardState(1, ME), first_index=2, entries=entries))
-    made.close()
+    ledger.save(Output(hard_state=HardState(1, ME), first_index=2, entries=entries))
+    ledger.close()
     shutil.copyfile(path, path.with_suffix(".older"))
     for _ in range(2):
-        begun(folder)
-    HARMS[harm][0](path)
+        start_ledger(folder)
+    DAMAGES[damage][0](path)
 
 
-@pytest.mark.parametrize("harm", HARMS)
-def test_a_harmed_or_foreign_file_is_refused_in_one_line(harm: str, tmp_path: Path) -> None:
-    harmed(tmp_path, harm)
+@pytest.mark.parametrize("damage", DAMAGES)
+def test_damaged_or_foreign_file_is_rejected_with_a_one_line_error(damage: str, tmp_path: Path) -> None:
+    create_damaged(tmp_path, damage)
     for _ in range(2):
-        with pytest.raises(LedgerError, match=HARMS[harm][1]) as caught:
-            begun(tmp_path)
+        with pytest.raises(LedgerError, match=DAMAGES[damage][1]) as caught:
+            start_ledger(tmp_path)
         assert "\n" not in str(caught.value)
 
 
 @pytest.mark.parametrize(
-    ("harm", "guard", "without"),
+    ("damage", "guard", "without"),
     [
         ("a bit", "sound", lambda self, body, crc, what: body),
         ("older", "compare", lambda self, old, noted: None),
     ],
 )
-def test_without_its_guard_a_harmed_file_is_taken(
-    harm: str, guard: str, without: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_without_the_check_a_damaged_file_is_accepted(
+    damage: str, guard: str, without: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What the tests above find is what these guards keep out."""
+    """Shows that the test above exercises these checks."""
     monkeypatch.setattr(Ledger, guard, without)
-    harmed(tmp_path, harm)
-    assert begun(tmp_path).entries
+    create_damaged(tmp_path, damage)
+    assert start_ledger(tmp_path).entries
--- a/tests/configstore/test_store_node.py
+++ b/tests/configstore/test_store_node.py
@@ -1,4 +1,4 @@
-"""Registers in virtual time: single stories, schedules drawn by chance, and guards taken out."""
+"""Config store nodes in virtual time: single cases, random fault schedules, and mutations."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return next(name for name in cluster.names if name != cluster.leader().name)
 
 
-def test_all_of_a_first_start_vote_and_anybody_takes_orders(cluster: Cluster) -> None:
+def test_all_founders_vote_and_every_node_accepts_commands(cluster: Cluster) -> None:
     assert names(cluster.voters()) == set(cluster.names)
     for n, name in enumerate(cluster.names):
         assert cluster.submit_and_wait(name, replace_command(n + 1, n)).kind == TAKEN
@@ -37,21 +37,26 @@
     assert cluster.submit_and_wait(cluster.names[0], replace_command(1, 0)).kind == REPEATED
 
 
-def test_a_minority_says_soon_that_nothing_is_known(cluster: Cluster) -> None:
-    few, many = cluster.names[:2], cluster.names[2:]
-    cluster.blocked_links = {(a, b) for a in few for b in many} | {(b, a) for a in few for b in many}
+def test_minority_soon_reports_an_unknown_outcome(cluster: Cluster) -> None:
+    minority, majority = cluster.names[:2], cluster.names[2:]
+    cluster.blocked_links = {(a, b) for a in minority for b in majority} | {
+        (b, a) for a in minority for b in majority
+    }
     cluster.run(3.0)
     before = cluster.now
-    assert cluster.submit_and_wait(few[0], replace_command(1, 0)).kind == UNKNOWN
-    assert cluster.read_and_wait(few[1]) is None
+    assert cluster.submit_and_wait(minority[0], replace_command(1, 0)).kind == UNKNOWN
+    assert cluster.read_and_wait(minority[1]) is None
     assert cluster.now - before < 0.6
-    assert cluster.submit_and_wait(many[0], replace_command(2, 0)).kind == TAKEN
+    assert cluster.submit_and_wait(majority[0], replace_command(2, 0)).kind == TAKEN
     cluster.blocked_links.clear()
     cluster.run(3.0)
-    assert cluster.is_converged() and cluster.submit_and_wait(few[0], replace_command(1, 0)).kind == CONFLICT
+    assert (
+        cluster.is_converged()
+        and cluster.submit_and_wait(minority[0], replace_command(1, 0)).kind == CONFLICT
+    )
 
 
-def test_orders_go_on_while_the_leader_dies_and_while_it_hands_over(cluster: Cluster) -> None:
+def test_commands_are_accepted_after_a_crash_and_a_transfer_of_the_leader(cluster: Cluster) -> None:
     leader = cluster.leader().name
     other = follower(cluster)
     cluster.kill(leader)
@@ -60,9 +65,9 @@
     assert cluster.submit_and_wait(other, modify_command(2, 1, a=1)).kind == TAKEN
 
 
-def test_members_far_apart_that_start_at_once_do_not_share_the_votes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Three that stood within one way of each other cost a second and more, once in eleven such starts."""
-    monkeypatch.setattr(simulation, "LINK_DELAY_S", 0.014)  # s, to twice that
+def test_simultaneous_start_over_slow_links_does_not_split_the_vote(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Candidates that start within one network delay of each other would split the vote."""
+    monkeypatch.setattr(simulation, "LINK_DELAY_S", 0.014)  # minimum; the maximum is twice that
     for seed in range(20):
         cluster = Cluster(seed)
         cluster.run(3.0)
@@ -74,7 +79,7 @@
         assert any(node.is_leader for node in cluster.running.values()), f"nobody leads with seed {seed}"
 
 
-def test_a_wiped_disk_comes_in_anew_and_votes_only_once_it_has_caught_up(cluster: Cluster) -> None:
+def test_wiped_node_joins_anew_and_votes_only_once_caught_up(cluster: Cluster) -> None:
     name = follower(cluster)
     cluster.submit_and_wait(name, replace_command(1, 0))
     old = next(identity for identity in cluster.voters() if identity.startswith(name))
@@ -87,7 +92,7 @@
     assert cluster.running[name].state.version == 1
 
 
-def test_a_spare_follows_and_takes_the_place_of_one_that_is_gone(cluster: Cluster) -> None:
+def test_non_voter_replaces_a_lost_voter(cluster: Cluster) -> None:
     spare, lost = "10.9.0.1:7600", follower(cluster)
     cluster.create_disk(spare)
     cluster.start(spare)
@@ -106,7 +111,7 @@
     assert lost not in names(cluster.voters()) and cluster.read_and_wait(lost) is not None
 
 
-def test_the_log_stays_short_and_one_far_behind_is_sent_the_state(cluster: Cluster) -> None:
+def test_log_is_compacted_and_a_lagging_node_gets_a_snapshot(cluster: Cluster) -> None:
     name = follower(cluster)
     cluster.kill(name)
     other = next(n for n in cluster.running if n != name)
@@ -118,7 +123,7 @@
     assert cluster.running[name].state.version == 120
 
 
-def test_an_order_held_up_for_long_does_not_undo_a_later_one(cluster: Cluster) -> None:
+def test_long_delayed_command_does_not_override_a_later_one(cluster: Cluster) -> None:
     leader, name = cluster.leader().name, follower(cluster)
     zone = {"zone": "z"}
     cluster.submit(name, {"do": "evacuate", **zone}, lambda answer: None, limit=0.1)
@@ -135,18 +140,18 @@
 
 
 @pytest.mark.parametrize("seed", range(9))
-def test_schedules_drawn_by_chance(seed: int) -> None:
+def test_random_fault_schedules_violate_no_invariant(seed: int) -> None:
     print(f"seed {seed}: python -m latchspoke.configstore.fault_schedules {seed} {seed + 1}")
-    play = Schedule(seed)
-    play.run()
-    assert play.definite_answers > 3, "calls had clear answers"
+    schedule = Schedule(seed)
+    schedule.run()
+    assert schedule.definite_answers > 3, "calls had definite answers"
 
 
 @pytest.mark.parametrize("name", [name for name, guard in MUTATIONS.items() if not guard.covered_by])
-def test_the_schedules_find_a_guard_that_is_missing(name: str) -> None:
+def test_fault_schedules_detect_each_mutation(name: str) -> None:
     assert first_detecting_seed(MUTATIONS[name], range(20))
 
 
-@pytest.mark.parametrize("scene", SCENARIOS)
-def test_with_all_guards_a_scene_breaks_nothing(scene: str) -> None:
-    Schedule(1, scenario=scene).run()
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_scenario_violates_no_invariant(scenario: str) -> None:
+    Schedule(1, scenario=scenario).run()
--- a/tests/consensus/test_member.py
+++ b/tests/consensus/test_member.py
@@ -1,4 +1,4 @@
-"""Members of a replicated log, message by message on a clock set by hand."""
+"""Raft members exchanging messages in virtual time."""
 
 from __future__ import annotations
 
@@ -25,37 +25,37 @@
 
 
 class Group:
-    """Members that hear one another at once, but for those set apart."""
+    """Members that exchange messages without delay, except for those in ``isolated``."""
 
     def __init__(self, count: int = 3, timing: Timing = TIMING) -> None:
         self.timing = timing
         self.names = [f"m{n}#{n}" for n in range(count)]
         members = Members(tuple(self.names))
         self.now = 0.0
-        self.apart: set[str] = set()
+        self.isolated: set[str] = set()
         self.stored = {name: Stored(name, 1, snapshot=Snapshot(members=members)) for name in self.names}
-        self.members = {name: self.made(name) for name in self.names}
+        self.members = {name: self.create_member(name) for name in self.names}
         self.applied: dict[str, list[Entry]] = {name: [] for name in self.names}
         self.outputs: dict[str, Output] = {}
 
-    def made(self, name: str) -> Member:
+    def create_member(self, name: str) -> Member:
         return Member(self.stored[name], self.timing, random.Random(name), self.now)
 
     def settle(self) -> None:
-        """Until nobody has anything to say."""
-        said = True
-        while said:
-            said = False
+        """Delivers messages until no member sends any."""
+        sent_any = True
+        while sent_any:
+            sent_any = False
             for name, member in self.members.items():
                 output = member.take_output()
-                self.keep(name, output)
+                self.store_output(name, output)
                 for message in output.messages:
-                    said = True
-                    if not {name, message.target} & self.apart and message.target in self.members:
-                        heard = records.decode(records.encode(message))
-                        self.members[message.target].receive(heard, self.now)
+                    sent_any = True
+                    if not {name, message.target} & self.isolated and message.target in self.members:
+                        decoded = records.decode(records.encode(message))
+                        self.members[message.target].receive(decoded, self.now)
 
-    def keep(self, name: str, output: Output) -> None:
+    def store_output(self, name: str, output: Output) -> None:
         old = self.stored[name]
         entries = (
             tuple(e for e in old.entries if not output.first_index or e.index < output.first_index)
@@ -77,27 +77,31 @@
         old = self.stored[name]
         self.stored[name] = Stored(name, old.boot + 1, old.hard_state, old.snapshot, old.entries)
         self.applied[name] = []
-        self.members[name] = self.made(name)
+        self.members[name] = self.create_member(name)
         return self.members[name]
 
-    def leader(self, among: Iterable[str] | None = None) -> Member:
-        found = [m for n, m in self.members.items() if m.role is Role.LEADER and n in (among or self.names)]
+    def leader(self, candidates: Iterable[str] | None = None) -> Member:
+        found = [
+            m for n, m in self.members.items() if m.role is Role.LEADER and n in (candidates or self.names)
+        ]
         assert len(found) == 1
         return found[0]
 
 
-def test_who_starts_before_the_others_asks_again_soon() -> None:
-    """A majority that comes up 0.4 s after the first has a leader within two of its short waits."""
+def test_member_started_before_the_others_retries_pre_vote_soon() -> None:
+    """A majority that starts 0.4 s after the first member has a leader within two startup timeouts."""
     group = Group(3, Timing(heartbeat_interval=0.1, election_timeout=1.0, startup_timeout=0.1))
-    group.apart = set(group.names)
+    group.isolated = set(group.names)
     group.run(0.4)
-    group.apart = set()
+    group.isolated = set()
     group.run(0.25)
-    assert group.leader().term == 1, "trials that failed moved no term"
+    assert group.leader().term == 1, "failed pre-votes do not change the term"
     one = next(n for n, m in group.members.items() if m.role is not Role.LEADER)
-    group.apart = {one}
+    group.isolated = {one}
     group.run(3.0)
-    assert group.members[one].election_at - group.now > 0.25, "who has heard a leader waits as ever"
+    assert group.members[one].election_at - group.now > 0.25, (
+        "after contact with a leader the normal timeout applies"
+    )
 
 
 @pytest.fixture
@@ -111,7 +115,7 @@
     return [entry.body for entry in entries if entry.kind is Kind.DATA]
 
 
-def test_one_leader_and_all_apply_the_same(group: Group) -> None:
+def test_one_leader_is_elected_and_all_members_apply_the_same_entries(group: Group) -> None:
     leader = group.leader()
     leader.propose(b"one", group.now)
     leader.propose(b"two", group.now)
@@ -122,26 +126,26 @@
         others[0].propose(b"three", group.now)
 
 
-def test_a_calm_group_elects_nobody_again(group: Group) -> None:
+def test_stable_group_keeps_its_leader(group: Group) -> None:
     term = group.leader().term
     group.run(60.0)
     assert group.leader().term == term
 
 
-def test_a_member_long_cut_off_comes_back_without_an_election(group: Group) -> None:
-    """It has asked in vain all the while, and its term has not moved."""
+def test_partitioned_member_returns_without_an_election(group: Group) -> None:
+    """Its failed pre-votes do not increase its term."""
     leader = group.leader()
     lost = next(name for name in group.names if name != leader.identity)
-    group.apart = {lost}
+    group.isolated = {lost}
     group.run(20.0)
-    group.apart = set()
+    group.isolated = set()
     group.run(1.0)
     assert group.leader() is leader and group.members[lost].term == leader.term
 
 
-def test_a_leader_without_a_majority_steps_back_and_its_reads_are_refused(group: Group) -> None:
+def test_leader_without_quorum_steps_down(group: Group) -> None:
     leader = group.leader()
-    group.apart = {leader.identity}
+    group.isolated = {leader.identity}
     leader.request_read(7, group.now)
     group.run(1.2)
     assert leader.role is not Role.LEADER
@@ -149,7 +153,7 @@
     assert group.leader(set(group.names) - {leader.identity}).term > leader.term
 
 
-def test_a_read_is_confirmed_only_by_a_turn_that_began_after_it(group: Group) -> None:
+def test_read_is_confirmed_only_by_a_round_begun_after_it(group: Group) -> None:
     leader = group.leader()
     leader.propose(b"x", group.now)
     group.settle()
@@ -165,22 +169,22 @@
     assert leader.output.confirmed_reads == [(1, leader.commit_index)]
 
 
-def test_an_entry_of_no_majority_is_replaced_by_the_next_leaders(group: Group) -> None:
+def test_uncommitted_entry_is_overwritten_by_the_next_leader(group: Group) -> None:
     leader = group.leader()
-    group.apart = {leader.identity}
+    group.isolated = {leader.identity}
     leader.propose(b"lost", group.now)
     group.run(4.0)
     other = group.leader(set(group.names) - {leader.identity})
     other.propose(b"kept", group.now)
-    group.apart = set()
+    group.isolated = set()
     group.run(2.0)
     assert {tuple(bodies(applied)) for applied in group.applied.values()} == {(b"kept",)}
 
 
-def test_an_earlier_terms_entry_is_not_committed_by_its_count(group: Group) -> None:
-    """A later leader may still replace it; one entry of the leader's own term commits both."""
+def test_entry_of_an_earlier_term_is_not_committed_by_counting_replicas(group: Group) -> None:
+    """A later leader may still overwrite it; an entry of the leader's own term commits both."""
     leader = group.leader()
-    group.apart = {name for name in group.names if name != leader.identity}
+    group.isolated = {name for name in group.names if name != leader.identity}
     leader.propose(b"earlier", group.now)
     entry = leader.log.last_index
     group.settle()
@@ -191,7 +195,7 @@
     member = group.restart(leader.identity)
     member.boot_unverified = False
     member.start_election(group.now)
-    other, third = group.apart
+    other, third = group.isolated
     member.receive(records.VoteReply(other, member.identity, 1, 6, True), group.now)
     assert member.role is Role.LEADER
     for name in (other, third):
@@ -201,7 +205,7 @@
     assert member.commit_index == entry + 1
 
 
-def test_a_vote_is_stored_and_not_given_twice_in_a_term_over_a_restart(group: Group) -> None:
+def test_vote_is_stored_and_not_cast_twice_in_a_term_over_a_restart(group: Group) -> None:
     leader = group.leader()
     other = next(name for name in group.names if name != leader.identity)
     third = next(name for name in group.names if name not in (leader.identity, other))
@@ -210,26 +214,26 @@
     group.members[other].receive(ask, group.now)
     output = group.members[other].take_output()
     assert output.hard_state == HardState(leader.term + 1, third)
-    group.keep(other, output)
+    group.store_output(other, output)
     member = group.restart(other)
     member.boot_unverified = False
     member.receive(VoteRequest(leader.identity, other, 1, leader.term + 1, 99, 99), group.now)
     assert [m.granted for m in member.take_output().messages if isinstance(m, records.VoteReply)] == [False]
 
 
-def test_a_restarted_member_votes_only_once_a_majority_knows_no_later_start(group: Group) -> None:
+def test_restarted_member_votes_only_after_a_majority_confirmed_its_boot(group: Group) -> None:
     leader = group.leader()
     others = [name for name in group.names if name != leader.identity]
-    group.apart = set(others)
+    group.isolated = set(others)
     member = group.restart(others[0])
     group.run(4.0)
     assert member.boot_unverified and member.role is Role.FOLLOWER
-    group.apart = set()
+    group.isolated = set()
     group.run(2.0)
     assert not member.boot_unverified
 
 
-def test_an_old_copy_of_a_disk_is_found_out(group: Group) -> None:
+def test_member_with_an_old_copy_of_its_disk_halts(group: Group) -> None:
     other = next(name for name in group.names if name != group.leader().identity)
     copy = group.stored[other]
     group.restart(other)
@@ -243,7 +247,7 @@
     assert member.next_tick_at() == float("inf")
 
 
-def test_one_that_knows_of_a_later_start_says_so(group: Group) -> None:
+def test_message_from_an_earlier_boot_is_answered_with_the_latest_boot(group: Group) -> None:
     leader = group.leader()
     other = next(name for name in group.names if name != leader.identity)
     leader.receive(VoteRequest(other, leader.identity, 5, 0), group.now)
@@ -252,23 +256,23 @@
     assert [m.latest for m in leader.take_output().messages if isinstance(m, BootReply)] == [5]
 
 
-def test_members_are_changed_one_by_one(group: Group) -> None:
+def test_configuration_changes_one_voter_at_a_time(group: Group) -> None:
     leader = group.leader()
     first, second = [name for name in group.names if name != leader.identity]
     with pytest.raises(ChangeError, match="one voter"):
         leader.change_members(Members((leader.identity,)), group.now)
-    group.apart = {second}
+    group.isolated = {second}
     leader.change_members(Members((leader.identity, first)), group.now)
     with pytest.raises(ChangeError, match="under way"):
         leader.change_members(Members((leader.identity, first, "x#1")), group.now)
     group.run(1.0)
     assert leader.members.voters == (leader.identity, first)
-    group.apart = set()
+    group.isolated = set()
     group.run(5.0)
-    assert group.leader() is leader, "one that was removed disturbs nobody"
+    assert group.leader() is leader, "a removed member does not disrupt the leader"
 
 
-def test_a_new_member_follows_first_and_votes_once_it_has_caught_up(group: Group) -> None:
+def test_learner_is_promoted_once_it_has_caught_up(group: Group) -> None:
     leader = group.leader()
     for n in range(20):
         leader.propose(b"%d" % n, group.now)
@@ -278,7 +282,7 @@
     name = "m9#9"
     group.names.append(name)
     group.stored[name], group.applied[name] = Stored(name, 1), []
-    group.members[name] = group.made(name)
+    group.members[name] = group.create_member(name)
     leader.change_members(Members(leader.members.voters, (name,)), group.now)
     group.run(2.0)
     assert name in leader.members.voters
@@ -286,7 +290,7 @@
     assert group.members[name].members == leader.members
 
 
-def test_a_leader_that_leaves_hands_over_at_once(group: Group) -> None:
+def test_leadership_transfer_needs_no_election_timeout(group: Group) -> None:
     leader, before = group.leader(), group.now
     leader.transfer_leadership(group.now)
     group.run(0.2)
@@ -294,28 +298,26 @@
     assert group.now - before < TIMING.election_timeout
 
 
-def test_damaged_messages_are_refused_with_one_line() -> None:
+def test_malformed_message_is_rejected_with_a_one_line_error() -> None:
     with pytest.raises(records.RecordsError, match="not a consensus message"):
         records.decode(b"\x81\xa1t\xa3abc")
 
 
-def test_what_is_for_another_identity_of_the_same_name_is_dropped(group: Group) -> None:
+def test_message_for_another_identity_of_the_same_name_is_dropped(group: Group) -> None:
     member = group.members[group.names[0]]
     member.receive(Append("m1#1", "m0#other", 1, 99), group.now)
     assert member.term < 99
 
 
-def test_a_message_holds_no_more_than_its_bytes_and_the_rest_follows(
-    group: Group, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_large_batches_are_split_over_several_messages(group: Group, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("latchspoke.consensus.member.BATCH_MAX_BYTES", 10)
     leader = group.leader()
     other = next(name for name in group.names if name != leader.identity)
-    group.apart = {other}
+    group.isolated = {other}
     for _ in range(5):
         leader.propose(b"123456", group.now)
     group.run(0.3)
-    group.apart = set()
+    group.isolated = set()
     group.run(1.0)
     assert bodies(group.applied[other]) == [b"123456"] * 5
     assert [
