--- a/latchspoke/configstore/mutations.py
+++ b/latchspoke/configstore/mutations.py
@@ -97,7 +97,7 @@
 def read_without_round(node: StoreNode, name: str, request_id: int, deferrable: bool = False) -> None:
     """Answers a read-index request without confirming the leadership."""
     index = node.member.commit_index if node.is_leader else -1
-    node.reply(name, ReadIndexReply(request_id, index))
+    node.send_to(name, ReadIndexReply(request_id, index))
 
 
 def same_identity(cluster: Cluster, name: str, first_start: bool = False) -> None:
@@ -147,7 +147,7 @@
     """Replies to a command as soon as it is proposed."""
     ON_COMMAND_REQUEST(node, name, request_id, command)
     if (name, request_id) in node.in_progress:
-        node.reply(name, CommandReply(request_id, Verdict(TAKEN)))
+        node.send_to(name, CommandReply(request_id, Verdict(TAKEN)))
 
 
 def proposes_duplicates(node: StoreNode, name: str, request_id: int, command: Command) -> None:
--- a/latchspoke/configstore/store_node.py
+++ b/latchspoke/configstore/store_node.py
@@ -275,9 +275,11 @@
         return self.is_leader and bool(self.member.transfer_leadership(now))
 
     def fail_pending(self) -> None:
-        """The disk failed: the outcome of all pending calls is unknown."""
+        """Answers all pending calls with an unknown outcome, after a failure or at the stop."""
         for request_id in self.pending_commands:
-            self.answers.append((request_id, Verdict(UNKNOWN, "the disk write failed", self.state.version)))
+            self.answers.append(
+                (request_id, Verdict(UNKNOWN, "the replica is unavailable", self.state.version))
+            )
         self.pending_commands.clear()
         for read_id in list(self.read_deadlines):
             self.finish_read(read_id, None)
@@ -383,12 +385,12 @@
             self.drop_proposal(proposal)
             return
         self.in_progress.discard((proposal.requester, proposal.request_id))
-        self.reply(proposal.requester, CommandReply(proposal.request_id, verdict))
+        self.send_to(proposal.requester, CommandReply(proposal.request_id, verdict))
 
     def drop_proposal(self, proposal: Proposal) -> None:
         """Tells the sender of a command that its outcome is unknown, so that it asks the next leader."""
         self.in_progress.discard((proposal.requester, proposal.request_id))
-        self.reply(proposal.requester, NotLeaderReply(proposal.request_id))
+        self.send_to(proposal.requester, NotLeaderReply(proposal.request_id))
 
     def release_reads(self) -> None:
         """Answers the reads whose read index is applied."""
@@ -426,7 +428,7 @@
                 command = call.command
                 if command.get("do") in ("evacuate", "restore"):
                     command = {**command, "after": self.applied_index}
-                self.reply(name_of(leader), CommandRequest(request_id, command))
+                self.send_to(name_of(leader), CommandRequest(request_id, command))
         self.request_read_index(leader)
 
     def on_command_reply(self, request_id: int, verdict: Verdict) -> None:
@@ -465,7 +467,7 @@
             ReadIndexBatch(self.last_request_id, self.queued_reads, leader, now),
             [],
         )
-        self.reply(name_of(leader), ReadIndexRequest(self.last_request_id, deferrable))
+        self.send_to(name_of(leader), ReadIndexRequest(self.last_request_id, deferrable))
 
     def on_read_index_reply(self, request_id: int, index: int) -> None:
         """The reply to a read-index request; ``index`` is -1 if the receiver is not the leader."""
@@ -489,7 +491,7 @@
 
     # Leader.
 
-    def reply(self, name: str, message: Message) -> None:
+    def send_to(self, name: str, message: Message) -> None:
         """Sends a message to a process, which may be this one."""
         if name == self.name:
             self.dispatch(name, message)
@@ -505,7 +507,7 @@
                 raise NotLeaderError("")
             entry = self.member.propose(msgspec.json.encode(command), self.now)
         except NotLeaderError:
-            self.reply(name, NotLeaderReply(request_id))
+            self.send_to(name, NotLeaderReply(request_id))
             return
         self.in_progress.add((name, request_id))
         superseded = self.proposals.pop(entry.index, None)
@@ -526,7 +528,7 @@
     def reply_read_index(self, read_id: int, index: int) -> None:
         """Replies to the read-index request that this read was started for."""
         name, request_id = self.served_reads.pop(read_id)
-        self.reply(name, ReadIndexReply(request_id, index))
+        self.send_to(name, ReadIndexReply(request_id, index))
 
     # Membership.
 
--- a/latchspoke/configstore/voters.py
+++ b/latchspoke/configstore/voters.py
@@ -152,7 +152,7 @@
         same_name = [identity for identity in members.all if name_of(identity) == candidate.name]
         if candidate.identity in same_name:
             continue
-        rest = without(members, same_name)
+        rest = without_members(members, same_name)
         if len(set(rest.voters) ^ set(current.voters)) > 1:
             continue
         members = msgspec.structs.replace(rest, non_voters=(*rest.non_voters, candidate.identity))
@@ -163,7 +163,7 @@
     """Removes non-voters that have been silent for long; they ask to join again when they return."""
     expired = [identity for identity in view.members.all if identity in view.expired]
     expired = [identity for identity in expired if identity not in view.members.voters]
-    return without(view.members, expired) if expired else None
+    return without_members(view.members, expired) if expired else None
 
 
 def next_voters(view: MembershipView) -> Members | None:
@@ -185,13 +185,13 @@
 
 def promote(view: MembershipView, non_voter: str) -> Members:
     """Makes a non-voter a voter."""
-    rest = without(view.members, (non_voter,))
+    rest = without_members(view.members, (non_voter,))
     return msgspec.structs.replace(rest, voters=(*rest.voters, non_voter))
 
 
 def demote(view: MembershipView, voter: str) -> Members:
     """Removes a lost voter; makes a live one a non-voter."""
-    rest = without(view.members, (voter,))
+    rest = without_members(view.members, (voter,))
     if voter in view.lost:
         return rest
     return msgspec.structs.replace(rest, non_voters=(*rest.non_voters, voter))
@@ -209,11 +209,11 @@
     """The candidate whose region, then zone, has the fewest voters."""
     regions, zones = voter_counts(view)
 
-    def crowd(candidate: str) -> tuple[int, int, str]:
+    def crowding(candidate: str) -> tuple[int, int, str]:
         location = view.location(candidate)
         return regions[location.region], zones[location.zone], candidate
 
-    return min(candidates, key=crowd)
+    return min(candidates, key=crowding)
 
 
 def most_crowded(view: MembershipView) -> str:
@@ -223,11 +223,11 @@
     """
     regions, zones = voter_counts(view)
 
-    def crowd(voter: str) -> tuple[bool, int, int, str]:
+    def crowding(voter: str) -> tuple[bool, int, int, str]:
         location = view.location(voter)
         return voter in view.lost, regions[location.region], zones[location.zone], voter
 
-    return max((voter for voter in view.members.voters if voter != view.leader), key=crowd)
+    return max((voter for voter in view.members.voters if voter != view.leader), key=crowding)
 
 
 def better_located(view: MembershipView, candidates: Collection[str]) -> str:
@@ -240,11 +240,15 @@
     candidate_location, crowded_location = view.location(candidate), view.location(crowded_voter)
     if regions[crowded_location.region] - regions[candidate_location.region] > 1:
         return candidate
-    even = (
+    regions_balanced = (
         regions[crowded_location.region] == regions[candidate_location.region]
         or candidate_location.region == crowded_location.region
     )
-    return candidate if even and zones[crowded_location.zone] - zones[candidate_location.zone] > 1 else ""
+    return (
+        candidate
+        if regions_balanced and zones[crowded_location.zone] - zones[candidate_location.zone] > 1
+        else ""
+    )
 
 
 def region_outweighs_rest(view: MembershipView) -> bool:
@@ -255,7 +259,7 @@
     return len(regions) > 1 and voters > 2 and voters - largest < voters // 2 + 1 <= voters - largest + 1
 
 
-def without(members: Members, removed: Collection[str]) -> Members:
+def without_members(members: Members, removed: Collection[str]) -> Members:
     """The configuration without these identities."""
     voters, learners, non_voters = (
         tuple(identity for identity in group if identity not in removed)
--- a/latchspoke/consensus/member.py
+++ b/latchspoke/consensus/member.py
@@ -175,14 +175,17 @@
 
     @property
     def members(self) -> Members:
+        """The configuration in force, committed or not."""
         return self.log.members
 
     @property
     def term(self) -> int:
+        """The current term."""
         return self.hard_state.term
 
     @property
     def is_voter(self) -> bool:
+        """Whether this member votes in the configuration in force."""
         return self.identity in self.members.voters
 
     @property
@@ -273,6 +276,7 @@
     # Timers.
 
     def tick(self, now: float) -> None:
+        """Runs the timers that are due: heartbeats, the check for a quorum, elections, boot queries."""
         if self.boot_unverified and now >= self.boot_query_at and self.role is not Role.HALTED:
             self.query_boots(now)
         if self.role is Role.LEADER:
@@ -286,6 +290,7 @@
             self.start_pre_vote(now)
 
     def reset_election_timer(self, now: float) -> None:
+        """Draws a new election timeout."""
         self.election_at = now + self.timing.election_timeout * (1 + self.rng.random())
 
     def schedule_startup_election(self, now: float, timeouts: float = 1.0) -> None:
@@ -300,15 +305,18 @@
             self.election_at = now + timeouts * self.timing.startup_timeout * (1 + stagger)
 
     def responded_recently(self, peer: Peer, now: float) -> bool:
+        """Whether a peer has replied within the minimum election timeout."""
         return now - peer.last_heard_at < self.timing.election_timeout
 
     def query_boots(self, now: float) -> None:
+        """Asks the other members whether they have seen a later boot of this store."""
         self.boot_query_at = now + BOOT_QUERY_INTERVAL_ELECTIONS * self.timing.election_timeout
         for name in self.other_members():
             self.send_message(BootQuery, name)
         self.check_boot_confirmed()
 
     def check_boot_confirmed(self) -> None:
+        """Lets this member vote once a majority has confirmed that its boot is the latest."""
         if self.boot_unverified and self.members.has_quorum(self.boot_confirmed_by | {self.identity}):
             self.boot_unverified = False
 
@@ -328,6 +336,7 @@
         self.count_votes(now)
 
     def start_election(self, now: float) -> None:
+        """Becomes a candidate in the next term and requests votes."""
         self.role, self.votes_received = Role.CANDIDATE, {self.identity}
         self.hard_state = HardState(self.term + 1, self.identity)
         self.reset_election_timer(now)
@@ -338,6 +347,7 @@
         self.count_votes(now)
 
     def request_vote(self, name: str, pre_vote: bool) -> None:
+        """Sends a vote or pre-vote request with the position of the last log entry."""
         last_entry = self.log.last_index, self.log.last_term
         self.output.messages.append(
             VoteRequest(
@@ -346,6 +356,7 @@
         )
 
     def count_votes(self, now: float) -> None:
+        """With a majority, proceeds from the pre-vote to the election, or to leadership."""
         if not self.members.has_quorum(self.votes_received):
             return
         if self.role is Role.PRE_CANDIDATE:
@@ -354,6 +365,7 @@
             self.become_leader(now)
 
     def become_leader(self, now: float) -> None:
+        """Starts a term as leader with a no-op entry."""
         self.role, self.leader, self.elected_at = Role.LEADER, self.identity, now
         self.peers = {name: Peer(self.log.last_index + 1, now) for name in self.other_members()}
         self.pending_reads, self.deferred_reads, self.reads_by_round = [], [], {}
@@ -363,6 +375,7 @@
         self.append_entry(Entry(self.term_start_index, self.term), now)
 
     def on_vote_request(self, message: VoteRequest, now: float) -> None:
+        """Grants a vote to a candidate with an up-to-date log, at most one per term but any pre-votes."""
         log_up_to_date = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
         if message.pre_vote:
             granted = log_up_to_date and message.term > self.term and not self.boot_unverified
@@ -381,6 +394,7 @@
         )
 
     def on_vote_reply(self, message: VoteReply, now: float) -> None:
+        """Counts a vote if it belongs to the current election or pre-vote."""
         expected_role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
         term = self.term + message.pre_vote
         if message.granted and self.role is expected_role and message.term == term:
@@ -388,6 +402,7 @@
             self.count_votes(now)
 
     def on_timeout_now(self, message: TimeoutNow, now: float) -> None:
+        """Starts an election at the request of the leader."""
         if self.is_voter and not self.boot_unverified and message.term == self.term:
             # The leader asked for this, so no pre-vote is needed.
             self.start_election(now)
@@ -456,9 +471,11 @@
             self.send_message(VoteReply, message.source, pre_vote=message.pre_vote)
 
     def reply_boot(self, target: str, latest_boot: int) -> None:
+        """Tells a member its latest boot known here."""
         self.send_message(BootReply, target, latest=latest_boot)
 
     def on_boot_reply(self, message: BootReply) -> None:
+        """Halts if another member has seen a later boot; otherwise counts the confirmation."""
         if message.latest > self.boot:
             self.role, self.leader = Role.HALTED, ""
             self.record_event(
@@ -469,6 +486,7 @@
         self.check_boot_confirmed()
 
     def on_append(self, message: Append, now: float) -> None:
+        """Appends the leader's entries if the preceding entry matches, overwriting conflicting ones."""
         self.record_leader_contact(message.source, now)
         before_index = message.before_index
         if before_index < self.log.snapshot.index:
@@ -506,11 +524,13 @@
         return index
 
     def on_install(self, message: Install, now: float) -> None:
+        """Installs a snapshot that arrived in one message."""
         self.record_leader_contact(message.source, now)
         self.install_snapshot(message.snapshot)
         self.acknowledge(message.source, self.commit_index, message.round_number)
 
     def on_install_part(self, message: InstallPart, now: float) -> None:
+        """Adds a snapshot chunk; installs the snapshot once it is complete."""
         self.record_leader_contact(message.source, now)
         if message.index > self.commit_index:
             if self.incoming_snapshot is None or not self.incoming_snapshot.accepts(message):
@@ -541,27 +561,32 @@
         self.record_event("snapshot", f"up to {snapshot.index}")
 
     def record_leader_contact(self, leader: str, now: float) -> None:
+        """Follows the sender of a leader's message and resets the election timer."""
         if self.leader != leader or self.role is not Role.FOLLOWER:
             self.become_follower(leader, now)
         self.leader_heard_at = now
         self.reset_election_timer(now)
 
     def acknowledge(self, leader: str, index: int, round_number: int) -> None:
+        """Tells the leader that the log matches up to ``index``."""
         self.send_message(AppendReply, leader, ok=True, index=index, round_number=round_number)
 
     # Leader.
 
     def require_leader(self) -> None:
+        """Raises NotLeaderError unless this member is the leader."""
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
 
     def append_command(self, kind: Kind, body: bytes, now: float) -> Entry:
+        """Appends an entry with the next index. Raises NotLeaderError."""
         self.require_leader()
         entry = Entry(self.log.last_index + 1, self.term, kind, body)
         self.append_entry(entry, now)
         return entry
 
     def append_entry(self, entry: Entry, now: float) -> None:
+        """Appends an entry as leader and replicates it."""
         self.log.append(entry)
         self.mark_unstored(entry.index)
         if entry.kind is Kind.MEMBERS:
@@ -592,6 +617,7 @@
         return peer.next_index > self.log.last_index and peer.sent_commit_index >= self.commit_index
 
     def send_entries(self, name: str, peer: Peer, now: float) -> None:
+        """Sends a peer its next entries, or a snapshot if they have been compacted."""
         peer.sent_at = now
         if peer.next_index < self.log.first_index:
             if now >= peer.snapshot_retry_at:
@@ -632,6 +658,7 @@
     def send_append(
         self, name: str, before_index: int, entries: tuple[Entry, ...], commit_index: int
     ) -> None:
+        """Sends an Append with the entries after ``before_index``."""
         term = self.log.term_at(before_index)
         assert term is not None
         self.send_message(
@@ -653,6 +680,7 @@
         return peer
 
     def on_install_progress(self, message: InstallProgress, now: float) -> None:
+        """Sends the next snapshot chunk."""
         peer = self.record_response(message, now)
         if peer is None or peer.outgoing_snapshot is None:
             return
@@ -661,6 +689,7 @@
             self.send_entries(message.source, peer, now)
 
     def on_append_reply(self, message: AppendReply, now: float) -> None:
+        """Advances the follower's match index, or retries further back after a mismatch."""
         peer = self.record_response(message, now)
         if peer is None:
             return
@@ -723,18 +752,23 @@
     # Helpers.
 
     def other_members(self) -> list[str]:
+        """All members except this one."""
         return [name for name in self.members.all if name != self.identity]
 
     def other_voters(self) -> list[str]:
+        """All voters except this one."""
         return [name for name in self.members.voters if name != self.identity]
 
     def send_message(self, message_type: Callable[..., AnyMessage], target: str, **fields: object) -> None:
+        """Queues a message with this member's identity, boot and term."""
         self.output.messages.append(message_type(self.identity, target, self.boot, self.term, **fields))
 
     def mark_unstored(self, index: int) -> None:
+        """Marks the entries from ``index`` on for the next output."""
         self.first_unstored = min(self.first_unstored or index, index)
 
     def record_event(self, code: str, detail: str = "") -> None:
+        """Queues an event for the operators' log."""
         self.output.events.append(MemberEvent(code, detail))
 
 
--- a/tests/configstore/test_voters.py
+++ b/tests/configstore/test_voters.py
@@ -67,7 +67,7 @@
     cluster = start_cluster(size)
     assert len(cluster.voters()) == MAX_VOTERS and max(regions(cluster).values()) <= 3
     entries = cluster.leader().member.log.last_index
-    assert entries <= 16, f"newcomers come in together: {entries} entries"
+    assert entries <= 16, f"candidates come in together: {entries} entries"
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -89,27 +89,27 @@
         ).ok
 
 
-def view(votes: str, guests: str = "", lost: str = "", **more: frozenset[str]) -> MembershipView:
+def view(votes: str, non_voters: str = "", lost: str = "", **more: frozenset[str]) -> MembershipView:
     """Members like "a1 a2 b1", where the letter is the region."""
-    known = frozenset(guests.split())
-    at = {name: Location(name, name[0]) for name in (votes + " " + guests).split()}
+    known = frozenset(non_voters.split())
+    locations = {name: Location(name, name[0]) for name in (votes + " " + non_voters).split()}
     return MembershipView(
         leader=votes.split()[0],
-        members=Members(tuple(votes.split()), (), (), tuple(guests.split())),
+        members=Members(tuple(votes.split()), (), (), tuple(non_voters.split())),
         caught_up=more.get("ready", known),
         lost=frozenset(lost.split()),
         expired=more.get("forgotten", frozenset()),
-        locations=at,
+        locations=locations,
     )
 
 
-def step(seen: MembershipView, *newcomers: str) -> tuple[str, str] | None:
-    wanted = next_members(seen, [JoinCandidate(identity) for identity in newcomers])
+def step(membership: MembershipView, *candidates: str) -> tuple[str, str] | None:
+    wanted = next_members(membership, [JoinCandidate(identity) for identity in candidates])
     return (" ".join(wanted.voters), " ".join(wanted.non_voters)) if wanted else None
 
 
 @pytest.mark.parametrize(
-    ("seen", "wanted"),
+    ("membership", "wanted"),
     [
         (view("a1 b1 c1"), None),
         (view("a1 b1 c1", "a2"), None),  # four voters tolerate no more losses than three
@@ -136,14 +136,14 @@
         (view("a1 a2 b1 b2 c1 c2"), None),
     ],
 )
-def test_next_configuration_change(seen: MembershipView, wanted: tuple[str, str] | None) -> None:
-    assert step(seen) == wanted
+def test_next_configuration_change(membership: MembershipView, wanted: tuple[str, str] | None) -> None:
+    assert step(membership) == wanted
 
 
 def test_candidates_join_together_but_replace_at_most_one_voter() -> None:
     assert step(view("a1 b1 c1"), "d1", "e1", "f1") == ("a1 b1 c1", "d1 e1 f1")
-    both = step(view("a1#x b1#x c1#x"), "b1#new", "c1#new", "d1#new")
-    assert both == ("a1#x c1#x", "b1#new d1#new"), "c1 joins with the next change"
+    after_change = step(view("a1#x b1#x c1#x"), "b1#new", "c1#new", "d1#new")
+    assert after_change == ("a1#x c1#x", "b1#new d1#new"), "c1 joins with the next change"
     assert step(view("a1#x b1#x c1#x"), "b1#x") is None
 
 
@@ -151,12 +151,14 @@
     """Seven voters become evenly spread over three regions within a few changes."""
     for spread in ("aaaaaaa", "aaaaabb", "aaaabbb", "aabbbcc"):
         members = Members(tuple(f"{region}{n}" for n, region in enumerate(spread)))
-        guests = tuple(f"{region}{n}" for region in "abc" for n in (7, 8, 9))
-        members = Members(members.voters, non_voters=guests)
-        at = {name: Location(name, name[0]) for name in members.all}
+        non_voters = tuple(f"{region}{n}" for region in "abc" for n in (7, 8, 9))
+        members = Members(members.voters, non_voters=non_voters)
+        locations = {name: Location(name, name[0]) for name in members.all}
         for _ in range(12):
-            free = frozenset(members.non_voters)
-            wanted = next_members(MembershipView("a0", members, free, frozenset(), frozenset(), at), [])
+            caught_up = frozenset(members.non_voters)
+            wanted = next_members(
+                MembershipView("a0", members, caught_up, frozenset(), frozenset(), locations), []
+            )
             if wanted is None:
                 break
             members = wanted
@@ -193,9 +195,16 @@
 
 
 def test_unknown_location_causes_no_change() -> None:
-    seen = view("a1 a2 a3 b1 b2 b3 b4", "c1 c2")
-    places = dict(seen.locations) | {"b4": UNKNOWN_LOCATION}
-    unknown = MembershipView(seen.leader, seen.members, seen.caught_up, seen.lost, seen.expired, places)
+    membership = view("a1 a2 a3 b1 b2 b3 b4", "c1 c2")
+    locations = dict(membership.locations) | {"b4": UNKNOWN_LOCATION}
+    unknown = MembershipView(
+        membership.leader,
+        membership.members,
+        membership.caught_up,
+        membership.lost,
+        membership.expired,
+        locations,
+    )
     assert step(unknown) is None
 
 
@@ -203,7 +212,7 @@
     cluster = start_cluster(12)
     leader = cluster.leader()
     votes = {name_of(voter) for voter in cluster.voters()} - {leader.name}
-    guest = next(name for name in cluster.names if name not in votes | {leader.name})
+    non_voter = next(name for name in cluster.names if name not in votes | {leader.name})
     sent: Counter[str] = Counter()
     send = cluster.send
 
@@ -213,7 +222,9 @@
 
     monkeypatch.setattr(cluster, "send", count_messages)
     cluster.run(6.0)
-    assert sent[guest] < 0.6 * sent[min(votes)] and cluster.running[guest].leader, "and it knows the leader"
+    assert sent[non_voter] < 0.6 * sent[min(votes)] and cluster.running[non_voter].leader, (
+        "and it knows the leader"
+    )
     assert cluster.submit_and_wait(min(votes), replace_command(1, 0)).ok
     cluster.run(0.1)
-    assert cluster.running[guest].state.version == 1
+    assert cluster.running[non_voter].state.version == 1
