--- a/tests/configstore/test_store.py
+++ b/tests/configstore/test_store.py
@@ -156,16 +156,16 @@
 
 
 @pytest.mark.parametrize(
-    ("damage", "guard", "without"),
+    ("damage", "check", "without"),
     [
         ("a bit", "sound", lambda self, body, crc, what: body),
         ("older", "compare", lambda self, old, noted: None),
     ],
 )
 def test_without_the_check_a_damaged_file_is_accepted(
-    damage: str, guard: str, without: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    damage: str, check: str, without: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Shows that the test above exercises these checks."""
-    monkeypatch.setattr(Ledger, guard, without)
+    monkeypatch.setattr(Ledger, check, without)
     create_damaged(tmp_path, damage)
     assert start_ledger(tmp_path).entries
--- a/tests/configstore/test_store_node.py
+++ b/tests/configstore/test_store_node.py
@@ -147,7 +147,7 @@
     assert schedule.definite_answers > 3, "calls had definite answers"
 
 
-@pytest.mark.parametrize("name", [name for name, guard in MUTATIONS.items() if not guard.covered_by])
+@pytest.mark.parametrize("name", [name for name, mutation in MUTATIONS.items() if not mutation.covered_by])
 def test_fault_schedules_detect_each_mutation(name: str) -> None:
     assert first_detecting_seed(MUTATIONS[name], range(20))
 
