--- a/latchspoke/controlplane/evacuations.py
+++ b/latchspoke/controlplane/evacuations.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from latchspoke.configstore.orders import Orders
+from latchspoke.configstore.config_state import ConfigState
 
 REPEAT_WINDOW_FRACTION = 0.75  # of ``ackS``; covers a retry interval with one or two unresponsive nodes
 
@@ -48,10 +48,10 @@
         self.changes: dict[str, EvacuationChange] = {}
         self.begin_acknowledged_at: dict[str, float] = {}
 
-    def record_applied(self, orders: Orders, now: float, observed: bool) -> None:
+    def record_applied(self, orders: ConfigState, now: float, observed: bool) -> None:
         """The store has applied commands. ``observed``: at about the time of their commit."""
         for zone in orders.zones:
-            active = orders.standing(zone)
+            active = orders.evacuation_count(zone)
             previous = self.active_counts.get(zone, 0)
             if active == previous:
                 continue
@@ -64,9 +64,9 @@
         """A begin was acknowledged at ``now``."""
         self.begin_acknowledged_at[zone] = max(self.begin_acknowledged_at.get(zone, -math.inf), now)
 
-    def classify(self, zone: str, is_begin: bool, orders: Orders, ack_s: float, now: float) -> CallKind:
+    def classify(self, zone: str, is_begin: bool, orders: ConfigState, ack_s: float, now: float) -> CallKind:
         """Classify a call that arrives now. ``ack_s``: the longest time over which a call is repeated."""
-        if not orders.standing(zone):
+        if not orders.evacuation_count(zone):
             return CallKind.FIRST
         log_index = orders.zones[zone][0]
         change = self.changes.get(zone)
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -11,10 +11,10 @@
 
 from latchspoke import node_process
 from latchspoke.agent.ledger import LedgerError
-from latchspoke.configstore.orders import UNCHECKED, Verdict
-from latchspoke.configstore.orders import Orders as StoredState
+from latchspoke.configstore.config_state import UNCHECKED, Verdict
+from latchspoke.configstore.config_state import ConfigState as StoredState
 from latchspoke.configstore.replica import Replica
-from latchspoke.configstore.voters import CATCH_UP, Place
+from latchspoke.configstore.voters import DEFAULT_CATCH_UP_S, Location
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.consensus.records import name_of
 from latchspoke.controlplane.calls import (
@@ -101,7 +101,7 @@
             self.send_store_message,  # type: ignore[arg-type]
             apply_patch,  # type: ignore[arg-type]
             self.store_applied, self.clock.now, lambda event, fields: log(event, **fields),
-            catch_up=s.bound("catchUpS", CATCH_UP),
+            catch_up=s.bound("catchUpS", DEFAULT_CATCH_UP_S),
         )  # fmt: skip
         meta = {
             "role": "core",
@@ -146,13 +146,13 @@
 
     def store_applied(self, stored: StoredState) -> None:
         """The replicated store has applied committed commands; only committed state is published."""
-        self.evacuations.record_applied(stored, self.clock.now(), self.replica.proven)
-        if self.replica.proven:
+        self.evacuations.record_applied(stored, self.clock.now(), self.replica.read_confirmed)
+        if self.replica.read_confirmed:
             self.publish_committed()
 
     def publish_committed(self) -> None:
         """Publish the newest committed state to gateways, unless they have it."""
-        stored = self.replica.orders
+        stored = self.replica.state
         committed = CommittedState(stored.index, stored.version, stored.document, stored.evacuated)
         if self.published_state.update_committed(committed, self.clock.now()):
             log(
@@ -197,8 +197,8 @@
     async def confirm_index(self) -> int | None:
         """The index up to which this node is confirmed to be current; None without a quorum."""
         try:
-            return await self.replica.confirm(
-                STORE_TIMEOUT_S, patient=self.published_state.committed.index > 0
+            return await self.replica.confirm_read(
+                STORE_TIMEOUT_S, deferrable=self.published_state.committed.index > 0
             )
         except Exception as error:  # a failed round must not end the proof rounds
             log("proof-failed", why=repr(error))
@@ -245,7 +245,7 @@
         """Handle a message of a peer, direct or relayed; False if it is of another kind."""
         match message.get("k"):
             case "reg":
-                self.replica.heard(name, message["m"])
+                self.replica.receive(name, message["m"])
             case "roster":
                 reply({"k": "got", "n": message["n"]} if "n" in message else RECEIPT)
                 self.merge_servers(message, now)
@@ -493,7 +493,7 @@
         for _ in range(MAX_CHECK_ATTEMPTS):
             try:
                 command, faults = self.parse_command(body)
-                if command.get("unchecked") and await self.replica.confirm(STORE_TIMEOUT_S) is None:
+                if command.get("unchecked") and await self.replica.confirm_read(STORE_TIMEOUT_S) is None:
                     return 503, {"errorText": "no majority can be reached"}
                 if command.get("unchecked"):
                     # The base version may have been applied here meanwhile.
@@ -514,7 +514,7 @@
         ``unchecked`` marks a patch whose base is not the version known here, so that its result could not be
         checked.
         """
-        stored = self.replica.orders
+        stored = self.replica.state
         command, faults = parse_configuration(body, stored.document, stored.version)
         if command["do"] == "modify" and command["base"] != stored.version:
             command["unchecked"] = True
@@ -540,16 +540,16 @@
 
     async def handle_configuration_read(self) -> Response:
         """The newest configuration; 503 without a quorum."""
-        if await self.replica.confirm(STORE_TIMEOUT_S) is None:
+        if await self.replica.confirm_read(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
-        stored = self.replica.orders
+        stored = self.replica.state
         if stored.document is None:
             return 503, {"errorText": "there is no configuration yet"}
         return 200, stored.document
 
     async def export_state(self) -> Response:
         """An export of the committed state, with every acknowledged command; 503 without a quorum."""
-        if await self.replica.confirm(STORE_TIMEOUT_S) is None:
+        if await self.replica.confirm_read(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
         return self.show_view("copy")
 
@@ -568,11 +568,11 @@
         zone, is_begin = call.subject, call.name.endswith("begin")
         if zone not in self.settings.regions_by_zone:
             return 400, {"errorText": f"zone {zone[:60]!r} is not known"}
-        if await self.replica.confirm(STORE_TIMEOUT_S) is None:
+        if await self.replica.confirm_read(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
         if caller.gone:
             return 503, {"errorText": "the caller has disconnected"}
-        stored, ack_s = self.replica.orders, self.settings.bound("ackS", DEFAULT_ACK_TIMEOUT_S)
+        stored, ack_s = self.replica.state, self.settings.bound("ackS", DEFAULT_ACK_TIMEOUT_S)
         call_kind = self.evacuations.classify(zone, is_begin, stored, ack_s, self.clock.now())
         if call_kind is CallKind.UNCLEAR:
             return 503, {
@@ -580,12 +580,12 @@
             }
         command: dict[str, Any] = {"do": "evacuate" if is_begin else "restore", "zone": zone}
         if call_kind is CallKind.ANOTHER:
-            command["stand"] = stored.standing(zone)
+            command["stand"] = stored.evacuation_count(zone)
         status, response = await self.submit_command(command)
         if status == 200 and is_begin:
             self.evacuations.record_acknowledged_begin(zone, self.clock.now())
             self.peers.broadcast({"k": "moved", "z": {}, "a": {}, "c": {zone: 0.0}})
-        return status, response | {"standing": self.replica.orders.standing(zone)}
+        return status, response | {"standing": self.replica.state.evacuation_count(zone)}
 
     # Membership.
 
@@ -599,13 +599,13 @@
     def control_nodes_changed(self) -> None:
         """Pass the live control-plane nodes to the peer links and the replicated store."""
         alive = {
-            f"{m.host}:{m.port}": Place(str(m.meta.get("zone", "")), str(m.meta.get("region", "")))
+            f"{m.host}:{m.port}": Location(str(m.meta.get("zone", "")), str(m.meta.get("region", "")))
             for m in self.membership_transport.membership.alive.values()
             if m.meta.get("role") == "core"
         }
-        configured = {name_of(identity) for identity in self.replica.register.member.members.all}
+        configured = {name_of(identity) for identity in self.replica.node.member.members.all}
         self.peers.update_nodes(alive, configured)
-        self.replica.peers(alive)
+        self.replica.update_peers(alive)
 
     # Lifecycle.
 
@@ -638,7 +638,7 @@
         changed = self.registry.sweep(now, detect_silence=now - self.connected_since > ISOLATION_GRACE_S)
         self.gateway_updates.add(changed, now)
         self.ledger.sweep(now)
-        if self.replica.proven and self.published_state.committed.index < self.replica.orders.index:
+        if self.replica.read_confirmed and self.published_state.committed.index < self.replica.state.index:
             self.publish_committed()
         self.control_nodes_changed()
         self.settings_watch.poll(now)
--- a/latchspoke/controlplane/peers.py
+++ b/latchspoke/controlplane/peers.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 
-from latchspoke.configstore.voters import Place
+from latchspoke.configstore.voters import Location
 from latchspoke.controlplane.fanout import FORWARD_FIELD, RegionTopology
 from latchspoke.controlplane.relays import GatewayRelays
 from latchspoke.transport.connection import Message, MessageConnection, dial
@@ -103,7 +103,7 @@
         self.links: dict[str, PeerLink] = {}
         self.alive: set[str] = set()
 
-    def update_nodes(self, places: Mapping[str, Place], keep_names: set[str]) -> None:
+    def update_nodes(self, places: Mapping[str, Location], keep_names: set[str]) -> None:
         """Update the live nodes. ``keep_names``: members of the replicated store, whose links are kept."""
         names = self.alive = set(places)
         self.topology.region_by_node.update((name, place.region) for name, place in places.items())
--- a/latchspoke/controlplane/view.py
+++ b/latchspoke/controlplane/view.py
@@ -43,7 +43,7 @@
 
 def history_view(node: Node) -> list[dict[str, Any]]:
     """The configuration versions in the replicated store, newest first, with the digests of the requests."""
-    stored = node.replica.orders
+    stored = node.replica.state
     return [
         {"version": f"{version:08x}", "digest": digest, "current": version == stored.version}
         for version, digest in reversed(stored.history.items())
@@ -84,7 +84,7 @@
 
 def status_view(node: Node) -> dict[str, Any]:
     """The status of the node and the fleet."""
-    now, settings, stored = node.clock.now(), node.settings, node.replica.orders
+    now, settings, stored = node.clock.now(), node.settings, node.replica.state
     return {
         "name": settings.name,
         "role": "core",
@@ -168,8 +168,8 @@
     """The committed state for ``store restore``. Contains the tenants' API keys."""
     from latchspoke.configstore import copies
 
-    register = node.replica.register
-    return copies.write(copies.take(register.orders, register.applied, node.settings.name))
+    register = node.replica.node
+    return copies.write(copies.make_copy(register.state, register.applied_index, node.settings.name))
 
 
 def render_view(node: Node, what: str) -> Any:
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -12,7 +12,15 @@
 
 import pytest
 
-from latchspoke.configstore.orders import CONFLICT, INVALID, REPEATED, TAKEN, UNCHECKED, UNKNOWN, Verdict
+from latchspoke.configstore.config_state import (
+    CONFLICT,
+    INVALID,
+    REPEATED,
+    TAKEN,
+    UNCHECKED,
+    UNKNOWN,
+    Verdict,
+)
 from latchspoke.controlplane import node
 from latchspoke.controlplane.calls import parse_call, select_gateways
 from latchspoke.lab.virtual import Network, VirtualLoop
@@ -29,8 +37,8 @@
     def __init__(self, *args: Any, catch_up: float) -> None:
         self.active_evacuations: dict[str, int] = {}
         self.evacuation_index: dict[str, int] = {}
-        self.orders = self.build_state(0, 0, None)
-        self.proven, self.verdict = True, Verdict(TAKEN)
+        self.state = self.build_state(0, 0, None)
+        self.read_confirmed, self.verdict = True, Verdict(TAKEN)
         self.commands: list[dict[str, Any]] = []
         self.confirm_count = 0
         self.has_quorum: bool = True
@@ -41,7 +49,7 @@
         self.raises_error = False
 
     def commit(self, version: int, doc: dict[str, Any] | None) -> None:
-        self.orders = self.build_state(self.orders.index + 1, version, doc)
+        self.state = self.build_state(self.state.index + 1, version, doc)
 
     def build_state(self, index: int, version: int, doc: dict[str, Any] | None) -> Any:
         return SimpleNamespace(
@@ -50,17 +58,17 @@
                 zone: (self.evacuation_index.get(zone, 0), count)
                 for zone, count in self.active_evacuations.items()
             },
-            standing=lambda zone: self.active_evacuations.get(zone, 0),
+            evacuation_count=lambda zone: self.active_evacuations.get(zone, 0),
         )  # fmt: skip
 
     def start(self) -> None:
         self.start_order.append("register")
 
-    async def confirm(self, limit: float, **more: Any) -> int | None:
+    async def confirm_read(self, limit: float, **more: Any) -> int | None:
         self.confirm_count += 1
         if self.raises_error:
             raise RuntimeError("injected fault")
-        index = cast(int, self.orders.index)
+        index = cast(int, self.state.index)
         await asyncio.sleep(0.01)
         self.during_confirm()
         return index if self.has_quorum else None
@@ -145,8 +153,8 @@
     if replica.active_evacuations.get("waw-a", 0) != active_count:
         replica.evacuation_index["waw-a"] = replica.evacuation_index.get("waw-a", 0) + 1
     replica.active_evacuations["waw-a"] = active_count
-    replica.orders = replica.build_state(replica.orders.index, 0, None)
-    harness.node.store_applied(cast(Any, replica.orders))
+    replica.state = replica.build_state(replica.state.index, 0, None)
+    harness.node.store_applied(cast(Any, replica.state))
     return status, {key: value for key, value in replica.commands[-1].items() if key != "zone"}
 
 
@@ -198,11 +206,11 @@
     harness: NodeHarness, peer_message: Any, is_known: bool
 ) -> None:
     """EVAC: after a restart, a second operator's evacuation was taken for a repeat of the first."""
-    harness.replica.proven = False  # found on disk, of unknown age
+    harness.replica.read_confirmed = False  # found on disk, of unknown age
     harness.replica.active_evacuations["waw-a"], harness.replica.evacuation_index["waw-a"] = 1, 7
-    harness.replica.orders = harness.replica.build_state(9, 0, None)
-    harness.node.store_applied(cast(Any, harness.replica.orders))
-    harness.replica.proven = True
+    harness.replica.state = harness.replica.build_state(9, 0, None)
+    harness.node.store_applied(cast(Any, harness.replica.state))
+    harness.replica.read_confirmed = True
     connection = harness.connection()
     harness.node.peer_connected(connection)
     assert [message["k"] for message in connection.sent] == ["roster"], "no observed change to send"
