--- a/latchspoke/ctl/app.py
+++ b/latchspoke/ctl/app.py
@@ -518,10 +518,10 @@
     target = f"/rpc?call={call}" + (f"&of={of}" if of else "")
     match control(where).call("POST", target, body):
         case Success(Reply(status=200) as reply):
-            standing = reply.body.get("standing") if isinstance(reply.body, dict) else None
-            more = {} if standing is None else {"standing": standing}
-            if call == "evacuation.finish" and standing:
-                done = f"one evacuation of {of} is taken back; {standing} more, by others, stands"
+            current_share = reply.body.get("standing") if isinstance(reply.body, dict) else None
+            more = {} if current_share is None else {"standing": current_share}
+            if call == "evacuation.finish" and current_share:
+                done = f"one evacuation of {of} is taken back; {current_share} more, by others, stands"
             return show(where, done, {"by": reply.by} | more)
         case Success(Reply(status=412) as reply):
             raise Ended(CONFLICT, f"not taken: {reply.reason}", by=reply.by)
@@ -548,16 +548,22 @@
 ) -> int:
     """Whether a plan can be followed, and where its route stands now. Changes nothing."""
     from latchspoke.ctl import rollouts
-    from latchspoke.rollouts.engine import standing
+    from latchspoke.rollouts.engine import current_share
 
-    found = got(rollouts.plan_of(file_of(plan)))
+    found = got(rollouts.parse_plan(file_of(plan)))
     doc: Document = got(reviews.configuration(file_of(config))) if config is not None else current(where)
-    if faults := rollouts.fits(found, doc):
+    if faults := rollouts.check_plan(found, doc):
         raise Ended(INVALID, "\n".join(map(str, faults)), faults=told_faults(faults))
-    stand = standing(doc, found)
+    stand = current_share(doc, found)
     assert not isinstance(stand, str)
-    told = {"route": found.route, "from": found.old, "to": found.new, "share": stand, "steps": found.steps}
-    return show(where, rollouts.begins(found, stand), told)
+    told = {
+        "route": found.route,
+        "from": found.old_service,
+        "to": found.new_service,
+        "share": stand,
+        "steps": found.steps,
+    }
+    return show(where, rollouts.describe_start(found, stand), told)
 
 
 @rollout_app.command(name="run")
@@ -576,23 +582,24 @@
     from latchspoke.ctl import rollouts
     from latchspoke.rollouts.drive import drive
     from latchspoke.rollouts.engine import Event, Outcome, Rollout
-    from latchspoke.rollouts.evidence import able
+    from latchspoke.rollouts.evidence import available_servers
 
-    found = got(rollouts.plan_of(file_of(file)))
-    if not back and not able(heard(where, "/status").body).get(found.new):
-        raise Ended(INVALID, f"to: no server of {found.new!r:.60} may be sent to")
-    tool = rollouts.Tool(found, control(where), every_gateway)
+    found = got(rollouts.parse_plan(file_of(file)))
+    if not back and not available_servers(heard(where, "/status").body).get(found.new_service):
+        raise Ended(INVALID, f"to: no server of {found.new_service!r:.60} is available")
+    tool = rollouts.LiveEnvironment(found, control(where), every_gateway)
 
     def told(event: Event) -> None:
         if where.json:
             print(json.dumps({"event": event.code, "at": round(event.at, 3), **event.fields}), flush=True)
         else:
-            print(rollouts.line(event), flush=True)
+            print(rollouts.format_event(event), flush=True)
 
     end = drive(Rollout(found, tool.now(), back), tool, told)
     codes = {
-        Outcome.DONE: DONE, Outcome.TURNED_BACK: DONE if back else FINDINGS, Outcome.UNJUDGED: FINDINGS,
-        Outcome.LEFT: CONFLICT, Outcome.REFUSED: INVALID, Outcome.UNCLEAR: UNCLEAR,
+        Outcome.COMPLETED: DONE, Outcome.ROLLED_BACK: DONE if back else FINDINGS,
+        Outcome.INCONCLUSIVE: FINDINGS, Outcome.SUPERSEDED: CONFLICT, Outcome.REJECTED: INVALID,
+        Outcome.UNKNOWN: UNCLEAR,
     }  # fmt: skip
     return codes[end.outcome]
 
--- a/latchspoke/ctl/rollouts.py
+++ b/latchspoke/ctl/rollouts.py
@@ -14,47 +14,47 @@
 from latchspoke.ctl import reviews
 from latchspoke.ctl.callers import Control, Reply
 from latchspoke.rollouts import plan as plans
-from latchspoke.rollouts.engine import Answer, Event, aim_of, standing
-from latchspoke.rollouts.evidence import Evidence, able, gather
+from latchspoke.rollouts.engine import CommandResult, Event, current_share, target_latency
+from latchspoke.rollouts.evidence import Evidence, aggregate, available_servers
 from latchspoke.rollouts.plan import Plan
 
-Views = Callable[
+GatewayQuery = Callable[
     [Any, str], Mapping[str, Any]
 ]  # a control machine's view and a target: what each gateway says
 
 
-def plan_of(data: bytes) -> Result[Plan, list[Fault]]:
+def parse_plan(data: bytes) -> Result[Plan, list[Fault]]:
     """Written in YAML, of which JSON is a part."""
     import yaml
 
     try:
-        found = yaml.load(data, getattr(yaml, "CSafeLoader", yaml.SafeLoader))
+        document = yaml.load(data, getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except yaml.YAMLError as e:
         return Failure([Fault("", f"can't be read: {' '.join(str(e).split())}")])
-    plan, faults = plans.read(found)
+    plan, faults = plans.read_plan(document)
     return Success(plan) if plan is not None else Failure(faults)
 
 
-def fits(plan: Plan, doc: Document) -> list[Fault]:
+def check_plan(plan: Plan, doc: Document) -> list[Fault]:
     """What keeps the plan from being followed under this configuration."""
-    found = standing(doc, plan)
-    if isinstance(found, str):
-        return [Fault("", found)]
-    if plan.old not in {cluster["name"] for cluster in doc["clusterList"]}:
-        return [Fault("from", f"there is no service {plan.old!r:.60}")]
+    share = current_share(doc, plan)
+    if isinstance(share, str):
+        return [Fault("", share)]
+    if plan.old_service not in {cluster["name"] for cluster in doc["clusterList"]}:
+        return [Fault("from", f"there is no service {plan.old_service!r:.60}")]
     return []
 
 
 @dataclass(slots=True)
-class Tool:
+class LiveEnvironment:
     """``Hands`` of a roll-out, by control machines and gateways."""
 
     plan: Plan
     control: Control
-    views: Views
+    query_gateways: GatewayQuery
     clock: Callable[[], float] = lambda: time.monotonic()
     sleep: Callable[[float], None] = lambda s: time.sleep(s)
-    aim: float | None = None
+    target_latency_s: float | None = None
 
     def now(self) -> float:
         return self.clock()
@@ -62,14 +62,14 @@
     def wait(self, until: float) -> None:
         self.sleep(max(until - self.clock(), 0.0))
 
-    def read(self) -> Document | str:
+    def read_configuration(self) -> Document | str:
         match self.control.call("POST", "/rpc?call=configuration.read"):
             case Success(Reply(status=200) as reply):
                 match reviews.configuration(reply.raw):
                     case Success(doc):
-                        found: Document = doc
-                        self.aim = aim_of(found, self.plan.route)
-                        return found
+                        configuration: Document = doc
+                        self.target_latency_s = target_latency(configuration, self.plan.route)
+                        return configuration
                     case Failure(faults):
                         return f"the configuration in force can't be used: {faults[0]}"
             case Success(Reply() as reply):
@@ -78,38 +78,45 @@
                 return f"no control machine answers: {fault}"
         raise AssertionError
 
-    def order(self, patch: dict[str, Any]) -> tuple[Answer, str]:
+    def submit_patch(self, patch: dict[str, Any]) -> tuple[CommandResult, str]:
         match self.control.call("POST", "/rpc?call=configuration.modify", json.dumps(patch).encode()):
             case Success(Reply(status=200)):
-                return Answer.TAKEN, ""
+                return CommandResult.ACCEPTED, ""
             case Success(Reply(status=412) as reply):
-                return Answer.CONFLICT, reply.reason
+                return CommandResult.CONFLICT, reply.reason
             case Success(Reply() as reply):
-                return Answer.REFUSED, f"{reply.by}: {reply.reason}"
+                return CommandResult.REJECTED, f"{reply.by}: {reply.reason}"
             case Failure(fault):
-                return Answer.UNCLEAR, str(fault)
+                return CommandResult.UNKNOWN, str(fault)
         raise AssertionError
 
-    def look(self, since: float) -> Evidence | None:
+    def collect_evidence(self, window_s: float) -> Evidence | None:
         match self.control.call("GET", "/status"):
             case Success(Reply(status=200) as reply):
-                seen = reply.body
-                found = gather(self.views(seen, f"/reach?since={since:g}"), self.plan.route, self.aim)
-                return replace(found, able=able(seen))
+                status = reply.body
+                evidence = aggregate(
+                    self.query_gateways(status, f"/reach?since={window_s:g}"),
+                    self.plan.route,
+                    self.target_latency_s,
+                )
+                return replace(evidence, available_servers=available_servers(status))
         return None
 
 
-def line(event: Event) -> str:
+def format_event(event: Event) -> str:
     """One line an event, key=value."""
-    told = (f"{key}={quoted(value)}" for key, value in event.fields.items())
-    return f"event=rollout-{event.code} {' '.join(told)}"
+    fields = (f"{key}={quote_value(value)}" for key, value in event.fields.items())
+    return f"event=rollout-{event.code} {' '.join(fields)}"
 
 
-def quoted(value: Any) -> str:
+def quote_value(value: Any) -> str:
     text = f"{value:g}" if isinstance(value, float) else str(value)
     return json.dumps(text) if not text or any(c in ' "=' for c in text) else text
 
 
-def begins(plan: Plan, stand: float) -> str:
+def describe_start(plan: Plan, share: float) -> str:
     steps = ", ".join(f"{step:g}%" for step in plan.steps)
-    return f"{plan.route}: {plan.new} has {stand:g}%, {plan.old} the rest; the plan's steps: {steps}"
+    return (
+        f"{plan.route}: {plan.new_service} has {share:g}%, {plan.old_service} the rest;"
+        f" the plan's steps: {steps}"
+    )
--- a/latchspoke/lab/system/operators.py
+++ b/latchspoke/lab/system/operators.py
@@ -16,9 +16,9 @@
 from latchspoke.lab.system.records import Deployment, Kind
 from latchspoke.lab.virtual import Address
 from latchspoke.rollouts import plan as rollouts
-from latchspoke.rollouts.engine import Answer, Look, Read, Rollout, Wait
-from latchspoke.rollouts.engine import Order as Move
-from latchspoke.rollouts.evidence import gather
+from latchspoke.rollouts.engine import ApplyPatch as Move
+from latchspoke.rollouts.engine import CollectEvidence, CommandResult, ReadConfiguration, Rollout, Wait
+from latchspoke.rollouts.evidence import aggregate
 
 STOP = frozenset((400, 409, 412, 413, 422))
 LIMIT = 1.0  # s for an answer
@@ -318,34 +318,34 @@
     async def rollout(self, plan: rollouts.Plan, doors: Callable[[], list[Address]]) -> None:
         """A roll-out by its real state machine; what happens is told in the record."""
         rollout = Rollout(plan, self.world.now)
-        while rollout.end is None:
-            match rollout.next(self.world.now):
+        while rollout.result is None:
+            match rollout.next_action(self.world.now):
                 case Wait(until):
                     await asyncio.sleep(max(until - self.world.now, 0.01))
-                case Read():
+                case ReadConfiguration():
                     found = await self.read(2.0)
                     if found is None:
-                        rollout.unread("nobody answers", self.world.now)
+                        rollout.on_read_failed("nobody answers", self.world.now)
                     else:
-                        rollout.read(cast(Any, found), self.world.now)
+                        rollout.on_configuration(cast(Any, found), self.world.now)
                 case Move(_, patch):
                     answer = await self.put_rule(patch)
-                    rollout.answered(answer, self.world.now)
-                case Look(since):
+                    rollout.on_command_result(answer, self.world.now)
+                case CollectEvidence(since):
                     views = await asyncio.gather(*(self.reach(door, since) for door in doors()))
                     aim = next(k.aim_ms for k in self.deployment.kinds if k.name == plan.route) / 1000
                     told = {str(n): view for n, view in enumerate(views)}
                     found = await self.read(2.0)
-                    rollout.seen(gather(told, plan.route, aim), cast(Any, found), self.world.now)
+                    rollout.on_evidence(aggregate(told, plan.route, aim), cast(Any, found), self.world.now)
             for event in rollout.take_events():
                 self.record.told.append((event.at, "operator", f"rollout-{event.code}", event.fields))
 
-    async def put_rule(self, patch: Doc) -> Answer:
+    async def put_rule(self, patch: Doc) -> CommandResult:
         """A change of one rule, on top of whatever version it names."""
         async with self.lock:
             version, base = int(patch["version"], 16), int(patch["baseVersion"], 16)
             if base not in self.docs or version in self.docs:
-                return Answer.CONFLICT
+                return CommandResult.CONFLICT
             whole = copy.deepcopy(self.docs[base])
             (new,) = patch["upsert"]["listenerList"][0]["ruleSet"]
             for listener in whole["listenerList"]:
@@ -359,8 +359,8 @@
             status = await self.send(order, target, json.dumps(patch).encode(), until)
             if status == 200:
                 self.doc = whole
-                return Answer.TAKEN
-            return {412: Answer.CONFLICT, 0: Answer.UNCLEAR}.get(status, Answer.REFUSED)
+                return CommandResult.ACCEPTED
+            return {412: CommandResult.CONFLICT, 0: CommandResult.UNKNOWN}.get(status, CommandResult.REJECTED)
 
     async def reach(self, door: Address, since: float) -> Doc | None:
         status, _, body = await call(self.loop, door, "GET", f"/reach?since={since:g}", None, LIMIT)
--- a/latchspoke/rollouts/drive.py
+++ b/latchspoke/rollouts/drive.py
@@ -1,4 +1,4 @@
-"""Runs a roll-out: does what its state machine asks for, by whatever hands it is given."""
+"""Runs a roll-out: performs the actions of its state machine in an environment."""
 
 from __future__ import annotations
 
@@ -6,54 +6,72 @@
 from typing import Any, Protocol
 
 from latchspoke.configuration.shape import Document
-from latchspoke.rollouts.engine import Answer, End, Event, Look, Order, Read, Rollout, Wait
+from latchspoke.rollouts.engine import (
+    ApplyPatch,
+    CollectEvidence,
+    CommandResult,
+    Event,
+    Finished,
+    ReadConfiguration,
+    Rollout,
+    Wait,
+)
 from latchspoke.rollouts.evidence import Evidence
 
 
-class Hands(Protocol):
-    """What a roll-out needs of the world. Nothing here raises."""
+class Environment(Protocol):
+    """The clock and the calls that a roll-out needs. No method raises."""
 
     def now(self) -> float:
-        """Monotonic, in s."""
+        """Monotonic time in seconds."""
 
-    def wait(self, until: float) -> None: ...
+    def wait(self, until: float) -> None:
+        """Sleep until this time."""
 
-    def read(self) -> Document | str:
-        """The configuration in force, or why there is none."""
+    def read_configuration(self) -> Document | str:
+        """The current configuration, or why it could not be read."""
 
-    def order(self, patch: dict[str, Any]) -> tuple[Answer, str]:
-        """Sent until there is a clear answer, or for some seconds."""
+    def submit_patch(self, patch: dict[str, Any]) -> tuple[CommandResult, str]:
+        """Submit the patch, with retries; the result, and the reason unless it was accepted."""
 
-    def look(self, since: float) -> Evidence | None:
-        """What gateways tell of the last ``since`` s; None: nobody does."""
+    def collect_evidence(self, window_s: float) -> Evidence | None:
+        """The gateways' counts of the last ``window_s`` seconds; None if they could not be had."""
 
 
-def drive(rollout: Rollout, hands: Hands, heard: Callable[[Event], None] = lambda event: None) -> End:
-    """To its end. ``heard`` gets what happens, as it happens."""
+def drive(
+    rollout: Rollout, environment: Environment, on_event: Callable[[Event], None] = lambda event: None
+) -> Finished:
+    """Run the roll-out to its end; ``on_event`` gets each event as it occurs."""
     while True:
-        now = hands.now()
-        match rollout.next(now):
-            case End() as end:
+        now = environment.now()
+        match rollout.next_action(now):
+            case Finished() as end:
                 for event in rollout.take_events():
-                    heard(event)
+                    on_event(event)
                 return end
             case Wait(until):
-                hands.wait(until)
-            case Read():
-                read(rollout, hands)
-            case Order(_, patch):
-                answer, text = hands.order(patch)
-                rollout.answered(answer, hands.now(), text)
-            case Look(since):
-                evidence, found = hands.look(since), hands.read()
-                rollout.seen(evidence, None if isinstance(found, str) else found, hands.now())
+                environment.wait(until)
+            case ReadConfiguration():
+                read_configuration(rollout, environment)
+            case ApplyPatch(_, patch):
+                result, text = environment.submit_patch(patch)
+                rollout.on_command_result(result, environment.now(), text)
+            case CollectEvidence(window_s):
+                evidence, configuration = (
+                    environment.collect_evidence(window_s),
+                    environment.read_configuration(),
+                )
+                rollout.on_evidence(
+                    evidence, None if isinstance(configuration, str) else configuration, environment.now()
+                )
         for event in rollout.take_events():
-            heard(event)
+            on_event(event)
 
 
-def read(rollout: Rollout, hands: Hands) -> None:
-    found = hands.read()
-    if isinstance(found, str):
-        rollout.unread(found, hands.now())
+def read_configuration(rollout: Rollout, environment: Environment) -> None:
+    """Perform a ``ReadConfiguration`` and report its result."""
+    configuration = environment.read_configuration()
+    if isinstance(configuration, str):
+        rollout.on_read_failed(configuration, environment.now())
     else:
-        rollout.read(found, hands.now())
+        rollout.on_configuration(configuration, environment.now())
--- a/latchspoke/rollouts/engine.py
+++ b/latchspoke/rollouts/engine.py
@@ -1,8 +1,8 @@
-"""One roll-out as a state machine: what is read and seen goes in, what is to be done comes out. Pure.
+"""State machine of one roll-out. It does no I/O: it names the next action and is told the result.
 
-Where a roll-out stands is told by the operator's configuration alone: the weights of the route. So it is gone
-on with by whoever runs it next, and two who run it find each other out, as each order builds on the version
-that it was made from. Turning back is an order like any other: a new version with the route as it was.
+The only persistent state of a roll-out is the weights of the route in the configuration. Whoever runs the
+plan next continues from there, and concurrent runs conflict, because each patch names its base version. A
+rollback is an ordinary patch that gives all requests of the route to the old service.
 """
 
 from __future__ import annotations
@@ -15,74 +15,80 @@
 from latchspoke.configuration.check import number
 from latchspoke.configuration.shape import Document
 from latchspoke.reach.graph import KEPT, SPAN
-from latchspoke.rollouts.evidence import NOBODY, Evidence
-from latchspoke.rollouts.judge import Counted, judge
-from latchspoke.rollouts.plan import BACK, Plan
+from latchspoke.rollouts.evidence import NO_REQUESTS, Evidence
+from latchspoke.rollouts.judge import RequestCounts, compare_services
+from latchspoke.rollouts.plan import ROLL_BACK, Plan
 
-SETTLE = 4.0  # s after an order is taken in which requests may still go by the version before
-POLL = 2.0  # s between looks
-AGAIN = 0.5  # s until it is read again after an order that lost its race or had no clear answer
-TRIES = 20  # so often an order is sent anew before it is given up
-WINDOW = KEPT - 4 * SPAN  # s back that are asked for at most; gateways can tell of KEPT
-STEP_LEAST = 0.1  # s back that are asked for at least
-NEAR = 0.01  # percent; shares closer than that are the same
+SETTLE_S = 4.0  # after a patch is accepted, gateways may use the previous version for this long
+POLL_INTERVAL_S = 2.0
+RETRY_DELAY_S = 0.5  # before the configuration is read again after a conflict or an unknown outcome
+MAX_ATTEMPTS = 20
+MAX_WINDOW_S = KEPT - 4 * SPAN  # gateways keep the counts of the last KEPT seconds
+MIN_WINDOW_S = 0.1
+SHARE_TOLERANCE = 0.01  # percent; shares that differ by less are equal
 
 
-class Answer(Enum):
-    """What became of an order."""
+class CommandResult(Enum):
+    """Result of submitting a patch."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     CONFLICT = "conflict"  # another version is current
-    REFUSED = "refused"
-    UNCLEAR = "unclear"  # it may stand or not
+    REJECTED = "refused"
+    UNKNOWN = "unclear"  # it may have been applied or not
 
 
 class Outcome(Enum):
-    DONE = "done"  # the new service has all that the plan gives it
-    TURNED_BACK = "turned-back"
-    UNJUDGED = "unjudged"  # it stays where it stands
-    LEFT = "left"  # somebody else has changed the route: nothing more is done
-    REFUSED = "refused"
-    UNCLEAR = "unclear"
+    """How a roll-out ended."""
+
+    COMPLETED = "done"  # the new service has the share of the last step
+    ROLLED_BACK = "turned-back"
+    INCONCLUSIVE = "unjudged"  # too little evidence in time; the route keeps its current split
+    SUPERSEDED = "left"  # somebody else changed the route; it is left as it is
+    REJECTED = "refused"
+    UNKNOWN = "unclear"
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
-    """The configuration in force is wanted."""
+class ReadConfiguration:
+    """Read the current configuration."""
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """``patch``: the body of ``configuration.modify``."""
+class ApplyPatch:
+    """Submit ``patch`` by ``configuration.modify``; it gives the new service ``share`` percent."""
 
     share: float
     patch: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """What gateways tell of the last ``since`` s is wanted, and the configuration in force."""
+class CollectEvidence:
+    """Collect the gateways' counts of the last ``window_s`` seconds, and read the current configuration."""
 
-    since: float
+    window_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
+    """Do nothing until this time."""
+
     until: float
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class Finished:
+    """The roll-out has ended; there is nothing more to do."""
+
     outcome: Outcome
-    text: str
+    reason: str
 
 
-Action = Read | Order | Look | Wait | End
+Action = ReadConfiguration | ApplyPatch | CollectEvidence | Wait | Finished
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """For people and logs."""
+    """An event for logs and the operator's output; ``at`` is the monotonic time."""
 
     at: float
     code: str
@@ -90,207 +96,250 @@
 
 
 class Rollout:
-    """``next`` tells what is to be done; the caller does it, and hands in what came. Times: monotonic s."""
+    """One run of a plan. All times are monotonic seconds.
+
+    The caller performs the action that ``next_action`` returns and reports the result to the matching ``on_``
+    method.
+    """
 
-    def __init__(self, plan: Plan, now: float, back: bool = False) -> None:
-        """``back``: turn back, whatever is seen."""
+    def __init__(self, plan: Plan, now: float, rollback: bool = False) -> None:
+        """With ``rollback``, all requests go back to the old service, whatever the evidence."""
         self.plan = plan
-        self.why = "asked for" if back else ""  # it is turned back, and why
+        self.rollback_reason = "asked for" if rollback else ""  # set while rolling back
         self.doc: Document | None = None
-        self.stand: float | None = None  # percent that the new service has
-        self.wanted: float | None = None  # that was ordered last, and is not known to be taken
-        self.tries = 0
-        self.begun_at = now  # of the step
-        self.counted_from = now  # what ran sooner is not asked for
-        self.before: dict[str, Counted] = {}  # of this step, by service, sooner than that
+        self.share: float | None = None  # current percentage of the new service
+        self.target_share: float | None = None  # of the patch that is not yet known to be accepted
+        self.attempts = 0
+        self.step_started_at = now
+        self.counting_since = now  # earlier requests are not queried any more
+        self.earlier_counts: dict[str, RequestCounts] = {}  # of this step before that time, by service
         self.wait_until = now
-        self.reading = True
-        self.baseline: Counted | None = None  # of the old service, the last that was enough
-        self.missing = False  # at the last look the new service had no server that may be sent to
-        self.end: End | None = None
+        self.needs_configuration = True
+        self.baseline: RequestCounts | None = None  # latest sufficient counts of the old service
+        self.was_unavailable = False  # the new service had no available server in the last evidence
+        self.result: Finished | None = None
         self.events: list[Event] = []
 
-    def next(self, now: float) -> Action:
-        if self.end is not None:
-            return self.end
+    def next_action(self, now: float) -> Action:
+        """What the caller has to do next."""
+        if self.result is not None:
+            return self.result
         if now < self.wait_until:
             return Wait(self.wait_until)
-        if self.reading or self.doc is None:
-            return Read()
-        if self.wanted is not None:
-            return Order(self.wanted, patch_of(self.doc, self.plan, self.wanted))
-        if self.early(now):
-            return Look(now - self.begun_at + SPAN)
-        return Look(max(now - self.counted_from, STEP_LEAST))
-
-    def early(self, now: float) -> bool:
-        """What is told may yet be of the step before: enough to turn back by, not to go on."""
-        return now < self.counted_from + SPAN and not self.before
-
-    def step_begins(self, now: float) -> None:
-        """Gateways tell spans whole: what they tell from ``counted_from`` on ran at this step."""
-        self.begun_at, self.counted_from = now, now + SETTLE + SPAN
-        self.before = {}
-        self.wait_until = now + POLL
-
-    # What comes in.
-
-    def read(self, doc: Document, now: float) -> None:
-        """The configuration in force."""
-        self.reading, self.doc = False, doc
-        found = standing(doc, self.plan)
-        if isinstance(found, str):
-            self.finish(Outcome.LEFT if self.stand is not None else Outcome.REFUSED, found, now)
+        if self.needs_configuration or self.doc is None:
+            return ReadConfiguration()
+        if self.target_share is not None:
+            return ApplyPatch(self.target_share, build_patch(self.doc, self.plan, self.target_share))
+        if self.is_settling(now):
+            return CollectEvidence(now - self.step_started_at + SPAN)
+        return CollectEvidence(max(now - self.counting_since, MIN_WINDOW_S))
+
+    def is_settling(self, now: float) -> bool:
+        """Whether the counts may include the previous step; they can cause a rollback, but no advance."""
+        return now < self.counting_since + SPAN and not self.earlier_counts
+
+    def start_step(self, now: float) -> None:
+        """Reset the counts; gateways report whole spans, so this step's begin at ``counting_since``."""
+        self.step_started_at, self.counting_since = now, now + SETTLE_S + SPAN
+        self.earlier_counts = {}
+        self.wait_until = now + POLL_INTERVAL_S
+
+    # Results of actions.
+
+    def on_configuration(self, doc: Document, now: float) -> None:
+        """Handle the current configuration; end if somebody else has changed the route."""
+        self.needs_configuration, self.doc = False, doc
+        share = current_share(doc, self.plan)
+        if isinstance(share, str):
+            self.finish(Outcome.SUPERSEDED if self.share is not None else Outcome.REJECTED, share, now)
             return
-        if self.wanted is not None:
-            if abs(found - self.wanted) < NEAR:
-                self.taken(now)
-            elif self.stand is None or abs(found - self.stand) >= NEAR:
-                self.finish(Outcome.LEFT, f"somebody else has set {self.plan.new} to {found:g}%", now)
+        if self.target_share is not None:
+            if abs(share - self.target_share) < SHARE_TOLERANCE:
+                self.on_accepted(now)
+            elif self.share is None or abs(share - self.share) >= SHARE_TOLERANCE:
+                self.finish(
+                    Outcome.SUPERSEDED, f"somebody else has set {self.plan.new_service} to {share:g}%", now
+                )
             return
-        if self.stand is None:
-            self.begin(found, now)
-        elif abs(found - self.stand) >= NEAR:
-            self.finish(Outcome.LEFT, f"somebody else has set {self.plan.new} to {found:g}%", now)
-
-    def unread(self, text: str, now: float) -> None:
-        """Nobody answers ``Read``. What was begun is not let go at once."""
-        self.tries += 1
-        self.wait_until = now + POLL
-        if self.stand is None or self.tries >= TRIES:
-            self.finish(Outcome.UNCLEAR, text, now)
-
-    def begin(self, found: float, now: float) -> None:
-        self.stand = found
-        self.step_begins(now)
-        self.tell(now, "begins", stands=found)
-        if self.why:
-            self.turn_back(self.why, now)
-        elif found == 0:
-            self.wanted, self.wait_until = self.plan.steps[0], now
-        elif found >= self.plan.steps[-1] - NEAR:
-            self.finish(Outcome.DONE, f"{self.plan.new} has {found:g}% already", now)
-
-    def answered(self, answer: Answer, now: float, text: str = "") -> None:
-        """What became of the order that ``next`` asked for."""
-        assert self.wanted is not None
-        if answer is Answer.TAKEN:
-            self.taken(now)
+        if self.share is None:
+            self.start(share, now)
+        elif abs(share - self.share) >= SHARE_TOLERANCE:
+            self.finish(
+                Outcome.SUPERSEDED, f"somebody else has set {self.plan.new_service} to {share:g}%", now
+            )
+
+    def on_read_failed(self, text: str, now: float) -> None:
+        """Handle a failed read: retried if the roll-out has started, else the roll-out ends."""
+        self.attempts += 1
+        self.wait_until = now + POLL_INTERVAL_S
+        if self.share is None or self.attempts >= MAX_ATTEMPTS:
+            self.finish(Outcome.UNKNOWN, text, now)
+
+    def start(self, share: float, now: float) -> None:
+        """Start from the current share of the new service."""
+        self.share = share
+        self.start_step(now)
+        self.record_event(now, "begins", stands=share)
+        if self.rollback_reason:
+            self.roll_back(self.rollback_reason, now)
+        elif share == 0:
+            self.target_share, self.wait_until = self.plan.steps[0], now
+        elif share >= self.plan.steps[-1] - SHARE_TOLERANCE:
+            self.finish(Outcome.COMPLETED, f"{self.plan.new_service} has {share:g}% already", now)
+
+    def on_command_result(self, command_result: CommandResult, now: float, text: str = "") -> None:
+        """Handle the result of an ``ApplyPatch``."""
+        assert self.target_share is not None
+        if command_result is CommandResult.ACCEPTED:
+            self.on_accepted(now)
             return
-        self.tries += 1
-        if answer is Answer.REFUSED or self.tries >= TRIES:
-            outcome = Outcome.REFUSED if answer is Answer.REFUSED else Outcome.UNCLEAR
-            self.finish(outcome, text or f"no answer to {self.tries} orders", now)
+        self.attempts += 1
+        if command_result is CommandResult.REJECTED or self.attempts >= MAX_ATTEMPTS:
+            outcome = Outcome.REJECTED if command_result is CommandResult.REJECTED else Outcome.UNKNOWN
+            self.finish(outcome, text or f"no answer to {self.attempts} orders", now)
             return
-        # Read first: an order with no clear answer may stand, and what won a race may be another route's.
-        self.reading, self.wait_until = True, now + AGAIN
-        self.tell(now, "again", answer=answer.value, why=text)
-
-    def taken(self, now: float) -> None:
-        assert self.wanted is not None
-        self.stand, self.wanted, self.tries = self.wanted, None, 0
-        self.step_begins(now)
-        self.tell(now, "stands", share=self.stand)
-        if self.why:
-            self.finish(Outcome.TURNED_BACK, self.why, now)
+        # Read first: a patch with unknown outcome may be applied, and a conflict may concern another route.
+        self.needs_configuration, self.wait_until = True, now + RETRY_DELAY_S
+        self.record_event(now, "again", answer=command_result.value, why=text)
+
+    def on_accepted(self, now: float) -> None:
+        """Start the next step, or end if this was the rollback."""
+        assert self.target_share is not None
+        self.share, self.target_share, self.attempts = self.target_share, None, 0
+        self.start_step(now)
+        self.record_event(now, "stands", share=self.share)
+        if self.rollback_reason:
+            self.finish(Outcome.ROLLED_BACK, self.rollback_reason, now)
             return
 
-    def seen(self, evidence: Evidence | None, doc: Document | None, now: float) -> None:
-        """What a look has brought; None: nobody told. A judgement needs enough gateways."""
-        assert self.stand is not None
-        self.wait_until = now + POLL
+    def on_evidence(self, evidence: Evidence | None, doc: Document | None, now: float) -> None:
+        """Handle the result of ``CollectEvidence``; each part is None if it could not be obtained."""
+        assert self.share is not None
+        self.wait_until = now + POLL_INTERVAL_S
         if doc is not None:
-            self.read(doc, now)
-            if self.end is not None:
+            self.on_configuration(doc, now)
+            if self.result is not None:
                 return
-        # A control machine that has just begun knows no servers, or some of them until they have all beaten.
-        able = evidence.able if evidence is not None else None
-        missing = bool(able) and able is not None and not able.get(self.plan.new)
-        if missing and self.missing:
-            # Its part of the requests is refused, and reaches nobody who could tell.
-            self.turn_back(f"no server of {self.plan.new} may be sent to", now)
+        # A control-plane node that has just started knows only the servers that have sent a heartbeat.
+        available = evidence.available_servers if evidence is not None else None
+        unavailable = bool(available) and available is not None and not available.get(self.plan.new_service)
+        if unavailable and self.was_unavailable:
+            # Its share of the requests is refused without an attempt, so no counts would show it.
+            self.roll_back(f"no server of {self.plan.new_service} is available", now)
             return
-        self.missing = missing
-        if evidence is not None and evidence.heard >= self.plan.heard * max(evidence.gateways, 1):
-            self.judged(evidence, now)
-        if self.end is None and self.wanted is None and now - self.begun_at >= self.plan.longest:
-            seen = f"{self.plan.new} at {self.stand:g}% can't be judged within {self.plan.longest:g} s"
-            if self.plan.unjudged == BACK:
-                self.turn_back(seen, now)
+        self.was_unavailable = unavailable
+        if evidence is not None and evidence.reporting_gateways >= self.plan.min_reporting_share * max(
+            evidence.gateways, 1
+        ):
+            self.evaluate(evidence, now)
+        if (
+            self.result is None
+            and self.target_share is None
+            and now - self.step_started_at >= self.plan.max_step_s
+        ):
+            reason = (
+                f"{self.plan.new_service} at {self.share:g}% can't be judged"
+                f" within {self.plan.max_step_s:g} s"
+            )
+            if self.plan.on_inconclusive == ROLL_BACK:
+                self.roll_back(reason, now)
             else:
-                self.finish(Outcome.UNJUDGED, seen, now)
+                self.finish(Outcome.INCONCLUSIVE, reason, now)
 
-    def judged(self, evidence: Evidence, now: float) -> None:
+    def evaluate(self, evidence: Evidence, now: float) -> None:
+        """Compare the two services, then roll back, advance or wait for more requests."""
         plan = self.plan
-        assert self.stand is not None
-        new, old = (evidence.of(s) + self.before.get(s, NOBODY) for s in (plan.new, plan.old))
-        early = self.early(now)
-        if now - self.counted_from >= WINDOW:
-            # Gateways forget; what they have told is kept here, and a span that both would tell is left out.
-            self.before = {plan.new: new, plan.old: old}
-            self.counted_from = now + SPAN
-            self.wait_until = self.counted_from + SPAN
-        if old.requests >= plan.requests and not early:
+        assert self.share is not None
+        new, old = (
+            evidence.counts_for(s) + self.earlier_counts.get(s, NO_REQUESTS)
+            for s in (plan.new_service, plan.old_service)
+        )
+        settling = self.is_settling(now)
+        if now - self.counting_since >= MAX_WINDOW_S:
+            # Gateways drop old spans, so their counts are kept here. One span is skipped, not counted twice.
+            self.earlier_counts = {plan.new_service: new, plan.old_service: old}
+            self.counting_since = now + SPAN
+            self.wait_until = self.counting_since + SPAN
+        if old.requests >= plan.min_requests and not settling:
             self.baseline = old
         elif self.baseline is not None:
             old = self.baseline
-        part = min((step for step in plan.steps if step > self.stand + NEAR), default=self.stand) / 100
-        found = judge(new, old, plan.failed_more, plan.late_more, part)
-        self.tell(
-            now, "sees", share=self.stand, heard=evidence.heard, gateways=evidence.gateways,
-            new=told(new), old=told(old), fails_more=round(found.fails, 3), late_more=round(found.late, 3),
-            may_fail=round(found.may_fail, 3), may_be_late=round(found.may_be_late, 3),
+        next_fraction = (
+            min((step for step in plan.steps if step > self.share + SHARE_TOLERANCE), default=self.share)
+            / 100
+        )
+        comparison = compare_services(
+            new, old, plan.max_failure_increase, plan.max_late_increase, next_fraction
+        )
+        self.record_event(
+            now, "sees", share=self.share, heard=evidence.reporting_gateways, gateways=evidence.gateways,
+            new=describe_counts(new), old=describe_counts(old),
+            fails_more=round(comparison.failure_probability, 3),
+            late_more=round(comparison.late_probability, 3),
+            may_fail=round(comparison.uninformed_failure_probability, 3),
+            may_be_late=round(comparison.uninformed_late_probability, 3),
         )  # fmt: skip
-        if found.worse(plan.sure):
-            what = "fails" if found.fails >= plan.sure else "is late"
-            chance = max(found.fails, found.late)
-            self.turn_back(
-                f"{plan.new} {what} more often than {plan.old} by over what is borne, at {chance:.1%}:"
-                f" {told(new)} against {told(old)}",
+        if comparison.is_worse(plan.confidence):
+            symptom = "fails" if comparison.failure_probability >= plan.confidence else "is late"
+            probability = max(comparison.failure_probability, comparison.late_probability)
+            self.roll_back(
+                f"{plan.new_service} {symptom} more often than {plan.old_service} by more than the plan"
+                f" tolerates, with probability {probability:.1%}:"
+                f" {describe_counts(new)} against {describe_counts(old)}",
                 now,
             )
-        elif found.well(plan.sure) and new.requests >= plan.requests and now - self.begun_at >= plan.hold:
-            if not early:
-                self.go_on(now)
-
-    def go_on(self, now: float) -> None:
-        assert self.stand is not None
-        stand = self.stand
-        further = [step for step in self.plan.steps if step > stand + NEAR]
-        if further:
-            self.wanted, self.wait_until = further[0], now
+        elif (
+            comparison.is_acceptable(plan.confidence)
+            and new.requests >= plan.min_requests
+            and now - self.step_started_at >= plan.min_step_s
+        ):
+            if not settling:
+                self.advance(now)
+
+    def advance(self, now: float) -> None:
+        """Go to the next step of the plan, or end after the last one."""
+        assert self.share is not None
+        share = self.share
+        remaining = [step for step in self.plan.steps if step > share + SHARE_TOLERANCE]
+        if remaining:
+            self.target_share, self.wait_until = remaining[0], now
         else:
-            self.finish(Outcome.DONE, f"{self.plan.new} has {stand:g}%", now)
-
-    def turn_back(self, why: str, now: float) -> None:
-        self.why = why
-        self.tell(now, "turns-back", why=why)
-        if self.stand == 0:
-            self.finish(Outcome.TURNED_BACK, why, now)
+            self.finish(Outcome.COMPLETED, f"{self.plan.new_service} has {share:g}%", now)
+
+    def roll_back(self, reason: str, now: float) -> None:
+        """Give all requests back to the old service."""
+        self.rollback_reason = reason
+        self.record_event(now, "turns-back", why=reason)
+        if self.share == 0:
+            self.finish(Outcome.ROLLED_BACK, reason, now)
         else:
-            self.wanted, self.tries, self.wait_until = 0.0, 0, now
+            self.target_share, self.attempts, self.wait_until = 0.0, 0, now
 
     def finish(self, outcome: Outcome, text: str, now: float) -> None:
-        self.end = End(outcome, text)
-        self.tell(now, "ends", outcome=outcome.value, why=text)
+        """End the roll-out."""
+        self.result = Finished(outcome, text)
+        self.record_event(now, "ends", outcome=outcome.value, why=text)
 
-    def tell(self, now: float, code: str, **fields: Any) -> None:
+    def record_event(self, now: float, code: str, **fields: Any) -> None:
+        """Queue an event; the code and the field names appear in the output."""
         self.events.append(Event(now, code, {"route": self.plan.route, **fields}))
 
     def take_events(self) -> list[Event]:
+        """Return the queued events and clear the queue."""
         events, self.events = self.events, []
         return events
 
 
-def told(counted: Counted) -> str:
-    return f"{counted.failed:.0f} failed and {counted.late:.0f} late of {counted.requests:.0f}"
+def describe_counts(counts: RequestCounts) -> str:
+    """Counts in words, for messages."""
+    return f"{counts.failed:.0f} failed and {counts.late:.0f} late of {counts.requests:.0f}"
 
 
-# The configuration.
+# Reading and changing the configuration.
 
 
-def rule_of(doc: Document, route: str) -> tuple[str, Mapping[str, Any]] | None:
-    """The host and the rule of that name."""
+def find_rule(doc: Document, route: str) -> tuple[str, Mapping[str, Any]] | None:
+    """The host and the rule of the route; None if there is no such route."""
     for listener in doc["listenerList"]:
         for rule in listener["ruleSet"]:
             if rule["name"] == route:
@@ -298,34 +347,35 @@
     return None
 
 
-def aim_of(doc: Document, route: str) -> float | None:
-    found = rule_of(doc, route)
+def target_latency(doc: Document, route: str) -> float | None:
+    """Target latency of the route in seconds, if it has one."""
+    found = find_rule(doc, route)
     return None if found is None else found[1].get("targetLatencyS")
 
 
-def standing(doc: Document, plan: Plan) -> float | str:
-    """What share (percent) of the route's requests the new service has; or why this plan can't tell."""
-    found = rule_of(doc, plan.route)
+def current_share(doc: Document, plan: Plan) -> float | str:
+    """Percentage of the route's requests that the new service gets, or why the plan does not fit."""
+    found = find_rule(doc, plan.route)
     if found is None:
         return f"there is no route {plan.route!r:.60}"
     services = {cluster["name"] for cluster in doc["clusterList"]}
-    if plan.new not in services:
-        return f"there is no service {plan.new!r:.60}"
+    if plan.new_service not in services:
+        return f"there is no service {plan.new_service!r:.60}"
     action = found[1]["actionSpec"]
     shares: dict[str, float] = {}
     for share in action.get("weightedSplit") or [{"service": action.get("service"), "weight": 1}]:
         shares[share["service"]] = shares.get(share["service"], 0.0) + share["weight"]
-    pair = plan.old, plan.new
+    pair = plan.old_service, plan.new_service
     others = sorted(str(name) for name, weight in shares.items() if weight and name not in pair)
     total = sum(shares.values())
     if others or total <= 0:
-        return f"{plan.route} goes to {', '.join(others) or 'nobody'}, not to {' and '.join(pair)} alone"
-    return 100.0 * shares.get(plan.new, 0.0) / total
+        return f"{plan.route} goes to {', '.join(others) or 'no service'}, not to {' and '.join(pair)} alone"
+    return 100.0 * shares.get(plan.new_service, 0.0) / total
 
 
-def patch_of(doc: Document, plan: Plan, share: float) -> dict[str, Any]:
-    """The change that gives the new service that share (percent), on top of ``doc``."""
-    found = rule_of(doc, plan.route)
+def build_patch(doc: Document, plan: Plan, share: float) -> dict[str, Any]:
+    """The patch of ``doc`` that gives the new service that percentage of the route's requests."""
+    found = find_rule(doc, plan.route)
     assert found is not None
     host, rule = found
     action = {
@@ -334,13 +384,13 @@
         if field not in ("service", "weightedSplit")
     }
     if share <= 0:
-        action["service"] = plan.old
+        action["service"] = plan.old_service
     elif share >= 100:
-        action["service"] = plan.new
+        action["service"] = plan.new_service
     else:
         action["weightedSplit"] = [
-            {"service": plan.old, "weight": round(100 - share, 4)},
-            {"service": plan.new, "weight": round(share, 4)},
+            {"service": plan.old_service, "weight": round(100 - share, 4)},
+            {"service": plan.new_service, "weight": round(share, 4)},
         ]
     version = doc["version"]
     return {
--- a/latchspoke/rollouts/judge.py
+++ b/latchspoke/rollouts/judge.py
@@ -1,13 +1,12 @@
-"""Whether a new service fares worse than the old one, and how sure that is. Pure.
+"""Bayesian comparison of the failure and lateness rates of a new service with those of the old one. No I/O.
 
-Shares of failed (or late) requests are unknown; what was counted tells where they may lie: of f failures in n
-the share is Beta(a + f, b + n - f). Of two such shares the chance that one is above the other by more than a
-margin is added up over a grid. So no number of requests has to be set beforehand: with few, neither "surely
-worse" nor "surely not" comes out.
+With f failures in n requests the failure rate has the posterior Beta(a + f, b + n - f). The probability that
+one rate exceeds the other by more than a margin is summed over a grid. No sample size has to be fixed in
+advance: with few requests the probability is neither high nor low.
 
-Two beliefs go before the counts. Whether it is worse is asked of a sceptic, who takes the new service to be
-like the old one until some requests say otherwise: else the first failure of ten would do. Whether it is well
-is asked of somebody who knows nothing, so that no step goes on for want of requests.
+Two priors are used. The test for a rollback uses a sceptical prior, equal to the old service's rate, so that
+the first failure among ten requests is not enough. The test for an advance uses an uninformed prior, so that
+no step advances on too few requests.
 """
 
 from __future__ import annotations
@@ -15,89 +14,111 @@
 from dataclasses import dataclass
 from math import exp, lgamma, log, sqrt
 
-GRID = 160  # points over one share
-WIDE = 9.0  # standard deviations on either side
-PRIOR = 0.5  # failures, and as many that were none, of whoever knows nothing
-SCEPTIC = 40.0  # requests like the old service's
+GRID_POINTS = 160
+GRID_HALF_WIDTH_SD = 9.0
+PRIOR_COUNT = 0.5  # of failures, and of successes, in the uninformed (Jeffreys) prior
+SCEPTICAL_PRIOR_REQUESTS = 40.0  # weight of the sceptical prior
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
-    """Of one service and route: requests that ended there, and of these how many failed or were late."""
+class RequestCounts:
+    """Finished requests of one service and route, and how many of them failed or were late."""
 
     requests: float = 0.0
     failed: float = 0.0
-    late: float = 0.0  # answered, and only after the route's aim
+    late: float = 0.0  # answered after the route's target latency
 
-    def __add__(self, other: Counted) -> Counted:
-        return Counted(self.requests + other.requests, self.failed + other.failed, self.late + other.late)
+    def __add__(self, other: RequestCounts) -> RequestCounts:
+        return RequestCounts(
+            self.requests + other.requests, self.failed + other.failed, self.late + other.late
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
-    """The chances that the new service fails, or is late, more often than is borne."""
-
-    fails: float  # to a sceptic
-    late: float
-    may_fail: float  # to whoever knows nothing
-    may_be_late: float
-
-    def worse(self, sure: float) -> bool:
-        return max(self.fails, self.late) >= sure
-
-    def well(self, sure: float) -> bool:
-        return max(self.may_fail, self.may_be_late) <= 1 - sure
-
-
-def judge(new: Counted, old: Counted, failed_more: float, late_more: float, part: float = 1.0) -> Judgement:
-    """``failed_more``, ``late_more``: what is borne, of all requests of the route.
-
-    Worse is who fails so much more often himself; well is who would do no such harm with ``part`` of them.
+class Comparison:
+    """Probabilities that the new service fails, or is late, more often than is tolerated."""
+
+    failure_probability: float  # with the sceptical prior, as is the next one
+    late_probability: float
+    uninformed_failure_probability: float
+    uninformed_late_probability: float
+
+    def is_worse(self, confidence: float) -> bool:
+        """Whether the new service is worse with at least this probability."""
+        return max(self.failure_probability, self.late_probability) >= confidence
+
+    def is_acceptable(self, confidence: float) -> bool:
+        """Whether the new service is not worse with at least this probability."""
+        return max(self.uninformed_failure_probability, self.uninformed_late_probability) <= 1 - confidence
+
+
+def compare_services(
+    new: RequestCounts,
+    old: RequestCounts,
+    max_failure_increase: float,
+    max_late_increase: float,
+    fraction: float = 1.0,
+) -> Comparison:
+    """Compare two services; the two increases are the tolerated ones, as shares of the route's requests.
+
+    The test for a rollback compares the rates themselves. The test for an advance allows for the ``fraction``
+    of the route's requests that the new service would get.
     """
-    failed = new.requests, new.failed, old.requests, old.failed
-    late = new.requests, new.late, old.requests, old.late
-    return Judgement(
-        above(*failed, failed_more, SCEPTIC),
-        above(*late, late_more, SCEPTIC),
-        above(*failed, failed_more / part),
-        above(*late, late_more / part),
+    failure_counts = new.requests, new.failed, old.requests, old.failed
+    late_counts = new.requests, new.late, old.requests, old.late
+    return Comparison(
+        probability_above(*failure_counts, max_failure_increase, SCEPTICAL_PRIOR_REQUESTS),
+        probability_above(*late_counts, max_late_increase, SCEPTICAL_PRIOR_REQUESTS),
+        probability_above(*failure_counts, max_failure_increase / fraction),
+        probability_above(*late_counts, max_late_increase / fraction),
     )
 
 
-def above(
-    many: float, bad: float, other_many: float, other_bad: float, margin: float, like: float = 0.0
+def probability_above(
+    requests: float,
+    failed: float,
+    other_requests: float,
+    other_failed: float,
+    margin: float,
+    prior_requests: float = 0.0,
 ) -> float:
-    """The chance that the first share is above the second by more than ``margin``.
+    """Probability that the first failure rate is above the second by more than ``margin``.
 
-    ``like``: so many requests are taken for granted to be as the second's.
+    The first one's prior is ``prior_requests`` requests at the second one's rate; 0 is the uninformed prior.
     """
-    share = (other_bad + PRIOR) / (other_many + 2 * PRIOR)
-    first = points(bad + like * share + PRIOR * (like == 0), many - bad + like * (1 - share) + PRIOR)
-    second = points(other_bad + PRIOR, other_many - other_bad + PRIOR)
+    share = (other_failed + PRIOR_COUNT) / (other_requests + 2 * PRIOR_COUNT)
+    first = beta_grid(
+        failed + prior_requests * share + PRIOR_COUNT * (prior_requests == 0),
+        requests - failed + prior_requests * (1 - share) + PRIOR_COUNT,
+    )
+    second = beta_grid(other_failed + PRIOR_COUNT, other_requests - other_failed + PRIOR_COUNT)
     tails, total = [], 0.0
-    for place, weight in reversed(first):
+    for value, weight in reversed(first):
         total += weight
-        tails.append((place, total))
-    tails.reverse()  # the weight at a place and above
-    chance, at = 0.0, 0
-    for place, weight in second:
-        while at < len(tails) and tails[at][0] <= place + margin:
-            at += 1
-        if at == len(tails):
+        tails.append((value, total))
+    tails.reverse()  # each value with the total weight at or above it
+    probability, index = 0.0, 0
+    for value, weight in second:
+        while index < len(tails) and tails[index][0] <= value + margin:
+            index += 1
+        if index == len(tails):
             break
-        chance += weight * tails[at][1]
-    return min(chance, 1.0)
+        probability += weight * tails[index][1]
+    return min(probability, 1.0)
 
 
-def points(a: float, b: float) -> list[tuple[float, float]]:
-    """Where a share that is Beta(a, b) may lie, with the weight of each place; the weights add up to 1."""
-    b = max(b, PRIOR)
+def beta_grid(a: float, b: float) -> list[tuple[float, float]]:
+    """Values on a grid over Beta(a, b), each with its weight; the weights add up to 1."""
+    b = max(b, PRIOR_COUNT)
     mean = a / (a + b)
-    spread = sqrt(mean * (1 - mean) / (a + b + 1))
-    low, high = max(mean - WIDE * spread, 0.0), min(mean + WIDE * spread, 1.0)
-    step = (high - low) / GRID
+    deviation = sqrt(mean * (1 - mean) / (a + b + 1))
+    low, high = (
+        max(mean - GRID_HALF_WIDTH_SD * deviation, 0.0),
+        min(mean + GRID_HALF_WIDTH_SD * deviation, 1.0),
+    )
+    step = (high - low) / GRID_POINTS
     norm = lgamma(a + b) - lgamma(a) - lgamma(b)
-    places = [low + (n + 0.5) * step for n in range(GRID)]
-    weights = [exp(norm + (a - 1) * log(x) + (b - 1) * log(1 - x)) for x in places]
+    values = [low + (n + 0.5) * step for n in range(GRID_POINTS)]
+    weights = [exp(norm + (a - 1) * log(x) + (b - 1) * log(1 - x)) for x in values]
     total = sum(weights)
-    return [(x, weight / total) for x, weight in zip(places, weights, strict=True)]
+    return [(x, weight / total) for x, weight in zip(values, weights, strict=True)]
--- a/latchspoke/rollouts/plan.py
+++ b/latchspoke/rollouts/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a roll-out, as people write it, and what it is read into. Pure."""
+"""The plan of a roll-out: its file format and validation. No I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from latchspoke.configuration.check import Fault
 
-STEPS = (1.0, 5.0, 25.0, 50.0, 100.0)  # percent
-STAY, BACK = "stay", "back"
-SURE_LEAST = 0.5
+DEFAULT_STEPS = (1.0, 5.0, 25.0, 50.0, 100.0)  # percent
+STAY, ROLL_BACK = "stay", "back"
+MIN_CONFIDENCE = 0.5
 
 
-class Written(TypedDict):
+class PlanDocument(TypedDict):
     """The file. Times in seconds, shares from 0 to 1, steps in percent of the route's requests."""
 
     route: str
-    # "from" is a word of the language: read by its name.
+    # There is also "from", which is a Python keyword.
     to: str
     steps: NotRequired[list[float]]
     holdS: NotRequired[float]
@@ -32,93 +32,97 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is to move where, and what is borne on the way."""
+    """Which requests move to which service, in which steps, and which increase in failures is tolerated."""
 
     route: str
-    old: str  # the service that has the requests now
-    new: str  # the one that is to get them
-    steps: tuple[float, ...] = STEPS
-    hold: float = 20.0  # s at each step, at the least
-    longest: float = 600.0  # s after which a step is not waited for any more
-    requests: int = 20  # at the new service, before a step is judged to be well
-    failed_more: float = 0.01  # of the route's requests: so many more may fail than at the old service
-    late_more: float = 0.05  # and so many more may take longer than the route's aim
-    sure: float = 0.95  # of a judgement
-    heard: float = 0.6  # of the gateways have to tell
-    unjudged: str = BACK  # where a step can't be judged in time
-
-
-# Field of the file, of the plan, least, most (of which the bound itself is good).
-NUMBERS = (
-    ("holdS", "hold", 1.0, 86_400.0),
-    ("longestS", "longest", 1.0, 604_800.0),
-    ("requests", "requests", 1, 1_000_000),
-    ("failedMore", "failed_more", 0.0001, 1.0),
-    ("lateMore", "late_more", 0.0001, 1.0),
-    ("sure", "sure", SURE_LEAST, 0.9999),
-    ("heard", "heard", 0.0, 1.0),
+    old_service: str
+    new_service: str
+    steps: tuple[float, ...] = DEFAULT_STEPS
+    min_step_s: float = 20.0  # time at each step
+    max_step_s: float = 600.0  # without a decision after this time, ``on_inconclusive`` applies
+    min_requests: int = 20  # of the new service, before a step can succeed
+    max_failure_increase: float = 0.01  # tolerated, as a share of the route's requests
+    max_late_increase: float = 0.05  # tolerated, of requests over the route's target latency
+    confidence: float = 0.95  # probability at which a step is decided
+    min_reporting_share: float = 0.6  # of the gateways
+    on_inconclusive: str = ROLL_BACK
+
+
+# Field of the file, attribute of Plan, minimum and maximum (both inclusive).
+NUMBER_FIELDS = (
+    ("holdS", "min_step_s", 1.0, 86_400.0),
+    ("longestS", "max_step_s", 1.0, 604_800.0),
+    ("requests", "min_requests", 1, 1_000_000),
+    ("failedMore", "max_failure_increase", 0.0001, 1.0),
+    ("lateMore", "max_late_increase", 0.0001, 1.0),
+    ("sure", "confidence", MIN_CONFIDENCE, 0.9999),
+    ("heard", "min_reporting_share", 0.0, 1.0),
 )
-TEXTS = ("route", "from", "to")
-KNOWN = {*TEXTS, "steps", "unjudged", *(field for field, *_ in NUMBERS)}
+TEXT_FIELDS = ("route", "from", "to")
+KNOWN_FIELDS = {*TEXT_FIELDS, "steps", "unjudged", *(field for field, *_ in NUMBER_FIELDS)}
 
 
-def read(found: object) -> tuple[Plan | None, list[Fault]]:
-    """The plan, or all that is wrong with it."""
-    if not isinstance(found, dict):
+def read_plan(document: object) -> tuple[Plan | None, list[Fault]]:
+    """The plan in a parsed file, or all its faults."""
+    if not isinstance(document, dict):
         return None, [Fault("", "a plan is an object")]
-    faults = [Fault(str(field), "is not known") for field in found if field not in KNOWN]
+    faults = [Fault(str(field), "is an unknown field") for field in document if field not in KNOWN_FIELDS]
     values: dict[str, Any] = {}
-    for field in TEXTS:
-        value = found.get(field)
+    for field in TEXT_FIELDS:
+        value = document.get(field)
         if not isinstance(value, str) or not value:
-            faults.append(Fault(field, "a name is wanted"))
+            faults.append(Fault(field, "must be a name"))
         values[field] = value
     if not faults and values["from"] == values["to"]:
-        faults.append(Fault("to", "is the service that has the requests already"))
-    faults += numbers_of(found, values)
-    faults += steps_of(found.get("steps"), values)
-    unjudged = found.get("unjudged")
+        faults.append(Fault("to", "must differ from the old service"))
+    faults += read_numbers(document, values)
+    faults += read_steps(document.get("steps"), values)
+    unjudged = document.get("unjudged")
     if unjudged is not None:
-        if unjudged in (STAY, BACK):
-            values["unjudged"] = unjudged
+        if unjudged in (STAY, ROLL_BACK):
+            values["on_inconclusive"] = unjudged
         else:
-            faults.append(Fault("unjudged", f"{STAY} or {BACK}"))
+            faults.append(Fault("unjudged", f"{STAY} or {ROLL_BACK}"))
     if faults:
         return None, faults
     old, new = values.pop("from"), values.pop("to")
-    plan = Plan(old=old, new=new, **values)
-    if plan.longest < plan.hold:
+    plan = Plan(old_service=old, new_service=new, **values)
+    if plan.max_step_s < plan.min_step_s:
         return None, [Fault("longestS", "must not be below holdS")]
     return plan, []
 
 
-def numbers_of(found: dict[str, Any], values: dict[str, Any]) -> list[Fault]:
+def read_numbers(document: dict[str, Any], values: dict[str, Any]) -> list[Fault]:
+    """Copy the numeric fields into ``values`` under their attribute names; the faults found."""
     faults = []
-    for field, name, least, most in NUMBERS:
-        value = found.get(field)
+    for field, attribute, minimum, maximum in NUMBER_FIELDS:
+        value = document.get(field)
         if value is None:
             continue
-        whole = isinstance(value, int) and not isinstance(value, bool)
-        if not whole and not (isinstance(value, float) and isfinite(value) and not isinstance(least, int)):
-            faults.append(Fault(field, f"a {'whole ' if isinstance(least, int) else ''}number is wanted"))
-        elif not least <= value <= most:
-            faults.append(Fault(field, f"must be from {least:g} to {most:g}"))
+        is_integer = isinstance(value, int) and not isinstance(value, bool)
+        if not is_integer and not (
+            isinstance(value, float) and isfinite(value) and not isinstance(minimum, int)
+        ):
+            faults.append(Fault(field, f"must be {'an integer' if isinstance(minimum, int) else 'a number'}"))
+        elif not minimum <= value <= maximum:
+            faults.append(Fault(field, f"must be from {minimum:g} to {maximum:g}"))
         else:
-            values[name] = value
+            values[attribute] = value
     return faults
 
 
-def steps_of(steps: object, values: dict[str, Any]) -> list[Fault]:
+def read_steps(steps: object, values: dict[str, Any]) -> list[Fault]:
+    """Copy the steps into ``values``; the first fault found, if any."""
     if steps is None:
         return []
     if not isinstance(steps, list) or not steps:
-        return [Fault("steps", "a list of percents is wanted")]
-    last = 0.0
-    for place, step in enumerate(steps):
+        return [Fault("steps", "must be a list of percentages")]
+    previous = 0.0
+    for index, step in enumerate(steps):
         if isinstance(step, bool) or not isinstance(step, int | float) or not 0 < step <= 100:
-            return [Fault(f"steps[{place}]", "must be over 0 and up to 100")]
-        if step <= last:
-            return [Fault(f"steps[{place}]", "must be above the one before it")]
-        last = float(step)
+            return [Fault(f"steps[{index}]", "must be over 0 and up to 100")]
+        if step <= previous:
+            return [Fault(f"steps[{index}]", "must be above the previous step")]
+        previous = float(step)
     values["steps"] = tuple(float(cast(float, step)) for step in steps)
     return []
--- a/tests/ctl/test_rollouts.py
+++ b/tests/ctl/test_rollouts.py
@@ -13,13 +13,13 @@
 from latchspoke.configuration import apply_patch
 from latchspoke.ctl import app, callers, rollouts
 from latchspoke.ctl.callers import Reply
-from latchspoke.rollouts.drill import Field, Service
+from latchspoke.rollouts.drill import Service, SimulatedEnvironment
 from tests.ctl.world import CONFIGURATION
 
 PLAN = "route: r-read\nfrom: books\nto: till\nsteps: [10, 100]\n"
 
 
-class System(Field):
+class System(SimulatedEnvironment):
     """One control machine and two gateways, which may be silent; ``lost`` answers to orders get lost."""
 
     def __init__(self, sick: float = 0.0) -> None:
@@ -44,11 +44,11 @@
         elif target.endswith("configuration.modify"):
             code, told = self.modify(json.loads(body))
         elif target.startswith("/reach?since="):
-            found = self.look(float(target.partition("=")[2]))
+            found = self.collect_evidence(float(target.partition("=")[2]))
             assert found is not None
             rows = []
             for name in ("books", "till"):
-                ran = found.of(name)
+                ran = found.counts_for(name)
                 ends = {"ok": ran.requests - ran.failed, "error": ran.failed, "times": {}}
                 rows.append({"service": name, "routes": {"r-read": ends}})
             code, told = None if self.silent else 200, {"servers": rows if address[0] == "127.0.0.1" else []}
@@ -76,7 +76,9 @@
     monkeypatch.setenv("LATCHSPOKE_CONTROL", "127.0.0.2:8200")
     monkeypatch.setattr("time.sleep", lambda s: None)
     sleep = lambda s: made.wait(made.clock + s)  # noqa: E731
-    monkeypatch.setattr(rollouts, "Tool", partial(rollouts.Tool, clock=made.now, sleep=sleep))
+    monkeypatch.setattr(
+        rollouts, "LiveEnvironment", partial(rollouts.LiveEnvironment, clock=made.now, sleep=sleep)
+    )
     return made
 
 
@@ -121,7 +123,7 @@
     system: System, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     system.able = ["books"]
-    assert run(tmp_path, capsys, "run") == (3, "ctl: to: no server of 'till' may be sent to\n")
+    assert run(tmp_path, capsys, "run") == (3, "ctl: to: no server of 'till' is available\n")
     for plan, code, said in (
         (PLAN.replace("till", "mill"), 3, "there is no service 'mill'"),
         (
@@ -129,7 +131,7 @@
             3,
             "goes to books, not to mill and till alone",
         ),
-        (PLAN + "steps: [50, 10]\n", 3, "steps[1]: must be above the one before it"),
+        (PLAN + "steps: [50, 10]\n", 3, "steps[1]: must be above the previous step"),
         ("route: [", 3, "can't be read"),
     ):
         found, told = run(tmp_path, capsys, "check", plan=plan)
--- a/tests/rollouts/test_engine.py
+++ b/tests/rollouts/test_engine.py
@@ -10,45 +10,55 @@
 
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.rollouts import drill
-from latchspoke.rollouts.drill import Field, Service
+from latchspoke.rollouts.drill import Service, SimulatedEnvironment
 from latchspoke.rollouts.drive import drive
-from latchspoke.rollouts.engine import Answer, Look, Order, Outcome, Read, Rollout, Wait, patch_of, standing
-from latchspoke.rollouts.evidence import Evidence, gather
-from latchspoke.rollouts.judge import Counted, above, judge
-from latchspoke.rollouts.plan import Plan, read
+from latchspoke.rollouts.engine import (
+    ApplyPatch,
+    CollectEvidence,
+    CommandResult,
+    Outcome,
+    ReadConfiguration,
+    Rollout,
+    Wait,
+    build_patch,
+    current_share,
+)
+from latchspoke.rollouts.evidence import Evidence, aggregate
+from latchspoke.rollouts.judge import RequestCounts, compare_services, probability_above
+from latchspoke.rollouts.plan import Plan, read_plan
 
 PLAN = Plan("r", "old", "new")
 GOOD, BAD = Service(0.004), Service(0.2)
 
 
-def share(world: Field) -> float:
-    found = standing(world.doc, PLAN)
+def share(world: SimulatedEnvironment) -> float:
+    found = current_share(world.doc, PLAN)
     assert isinstance(found, float)
     return found
 
 
 def test_a_good_service_gets_all_in_the_steps_of_the_plan() -> None:
-    world = Field(200, GOOD, Service(0.004), 1)
+    world = SimulatedEnvironment(200, GOOD, Service(0.004), 1)
     world.wait(20)
     seen: list[float] = []
     end = drive(Rollout(PLAN, world.clock), world, lambda e: seen.append(share(world)))
-    assert end.outcome is Outcome.DONE and sorted(set(seen)) == [0, 1, 5, 25, 50, 100]
+    assert end.outcome is Outcome.COMPLETED and sorted(set(seen)) == [0, 1, 5, 25, 50, 100]
     assert world.doc["listenerList"][0]["ruleSet"][0]["actionSpec"] == {"service": "new", "maxAttempts": 1}
     assert world.doc["version"] == "00000006"
 
 
 @pytest.mark.parametrize("sick", [Service(0.2), Service(0.004, 0.3)])
 def test_one_that_fails_or_is_late_is_turned_back_before_it_has_much(sick: Service) -> None:
-    world = Field(200, GOOD, sick, 1)
+    world = SimulatedEnvironment(200, GOOD, sick, 1)
     world.wait(20)
     end = drive(Rollout(PLAN, world.clock), world)
-    assert end.outcome is Outcome.TURNED_BACK and share(world) == 0
-    assert ("fails" if sick.failed > 0.1 else "is late") in end.text
-    assert world.beyond < 60  # of 200 a second
+    assert end.outcome is Outcome.ROLLED_BACK and share(world) == 0
+    assert ("fails" if sick.failed > 0.1 else "is late") in end.reason
+    assert world.excess_failures < 60  # of 200 a second
 
 
 def test_one_that_turns_bad_late_is_still_turned_back() -> None:
-    world = Field(200, GOOD, Service(0.004), 1)
+    world = SimulatedEnvironment(200, GOOD, Service(0.004), 1)
     world.wait(20)
     rollout = Rollout(PLAN, world.clock)
 
@@ -57,22 +67,22 @@
             world.services["new"].failed = 0.2
 
     # Nothing goes to the old one any more: it is held against what was seen before.
-    assert drive(rollout, world, spoil).outcome is Outcome.TURNED_BACK
+    assert drive(rollout, world, spoil).outcome is Outcome.ROLLED_BACK
     assert share(world) == 0
 
 
 def test_few_requests_are_waited_for_and_then_the_plan_says_what() -> None:
-    for unjudged, outcome, stands in (("back", Outcome.TURNED_BACK, 0), ("stay", Outcome.UNJUDGED, 1)):
-        world = Field(0.5, GOOD, Service(0.0), 3)
-        plan = replace(PLAN, unjudged=unjudged, longest=200.0)
+    for unjudged, outcome, stands in (("back", Outcome.ROLLED_BACK, 0), ("stay", Outcome.INCONCLUSIVE, 1)):
+        world = SimulatedEnvironment(0.5, GOOD, Service(0.0), 3)
+        plan = replace(PLAN, on_inconclusive=unjudged, max_step_s=200.0)
         end = drive(Rollout(plan, 0.0), world)
-        assert end.outcome is outcome and share(world) == stands and "can't be judged" in end.text
+        assert end.outcome is outcome and share(world) == stands and "can't be judged" in end.reason
 
 
 def test_each_request_is_counted_once_over_windows_that_gateways_forget() -> None:
     """With spans and windows alike in length, what is kept and what is told again must not overlap."""
-    world = Field(4, Service(0.0), Service(0.0), 5)
-    plan = replace(PLAN, steps=(50.0,), requests=100_000, longest=900.0, unjudged="stay")
+    world = SimulatedEnvironment(4, Service(0.0), Service(0.0), 5)
+    plan = replace(PLAN, steps=(50.0,), min_requests=100_000, max_step_s=900.0, on_inconclusive="stay")
     seen: list[str] = []
     drive(Rollout(plan, 0.0), world, lambda e: seen.append(e.fields["new"]) if e.code == "sees" else None)
     told = [int(text.rpartition(" ")[2]) for text in seen][10:]  # the first may be of the step before
@@ -84,20 +94,20 @@
     """A rollout at 5% with the configuration at hand, driven step by step."""
 
     def __init__(self) -> None:
-        self.doc = apply_patch(drill.document(), patch_of(drill.document(), PLAN, 5.0))
+        self.doc = apply_patch(drill.initial_document(), build_patch(drill.initial_document(), PLAN, 5.0))
         self.now = 100.0
         self.rollout = Rollout(PLAN, self.now)
-        self.rollout.read(self.doc, self.now)
+        self.rollout.on_configuration(self.doc, self.now)
 
     def looks(self, evidence: Evidence | None = None) -> None:
-        while isinstance(self.rollout.next(self.now), Wait):
+        while isinstance(self.rollout.next_action(self.now), Wait):
             self.now += 1
-        assert isinstance(self.rollout.next(self.now), Look)
-        self.rollout.seen(evidence, self.doc, self.now)
+        assert isinstance(self.rollout.next_action(self.now), CollectEvidence)
+        self.rollout.on_evidence(evidence, self.doc, self.now)
 
-    def orders(self) -> Order:
-        action = self.rollout.next(self.now)
-        assert isinstance(action, Order)
+    def orders(self) -> ApplyPatch:
+        action = self.rollout.next_action(self.now)
+        assert isinstance(action, ApplyPatch)
         return action
 
     def other(self, **upsert: Any) -> None:
@@ -106,8 +116,8 @@
         self.doc = apply_patch(self.doc, {"version": version, "baseVersion": "0", "upsert": upsert})
 
 
-WELL = Evidence(4, 4, {"old": Counted(9500, 30, 0), "new": Counted(500, 1, 0)})
-SICK = Evidence(4, 4, {"old": Counted(9500, 30, 0), "new": Counted(500, 60, 0)})
+WELL = Evidence(4, 4, {"old": RequestCounts(9500, 30, 0), "new": RequestCounts(500, 1, 0)})
+SICK = Evidence(4, 4, {"old": RequestCounts(9500, 30, 0), "new": RequestCounts(500, 60, 0)})
 
 
 def test_it_goes_on_from_where_the_route_stands() -> None:
@@ -122,10 +132,10 @@
     hand.now += 60
     hand.looks(WELL)
     hand.other(limits={"idleTimeoutS": 9})
-    hand.rollout.answered(Answer.CONFLICT, hand.now)
+    hand.rollout.on_command_result(CommandResult.CONFLICT, hand.now)
     hand.now += 1
-    assert isinstance(hand.rollout.next(hand.now), Read)
-    hand.rollout.read(hand.doc, hand.now)
+    assert isinstance(hand.rollout.next_action(hand.now), ReadConfiguration)
+    hand.rollout.on_configuration(hand.doc, hand.now)
     order = hand.orders()
     assert order.patch["baseVersion"] == hand.doc["version"]
     assert apply_patch(hand.doc, order.patch)["limits"] == {"idleTimeoutS": 9}
@@ -135,23 +145,23 @@
     hand = Hand()
     hand.now += 60
     hand.looks(WELL)
-    hand.other(**patch_of(hand.doc, PLAN, 60.0)["upsert"])
-    hand.rollout.answered(Answer.CONFLICT, hand.now)
-    hand.rollout.read(hand.doc, hand.now + 1)
-    assert hand.rollout.end is not None and hand.rollout.end.outcome is Outcome.LEFT
+    hand.other(**build_patch(hand.doc, PLAN, 60.0)["upsert"])
+    hand.rollout.on_command_result(CommandResult.CONFLICT, hand.now)
+    hand.rollout.on_configuration(hand.doc, hand.now + 1)
+    assert hand.rollout.result is not None and hand.rollout.result.outcome is Outcome.SUPERSEDED
     # The same while it only looks, and where the route goes to a third service or is gone.
     for change in (60.0, "service", "gone"):
         hand = Hand()
         if isinstance(change, float):
-            hand.other(**patch_of(hand.doc, PLAN, change)["upsert"])
+            hand.other(**build_patch(hand.doc, PLAN, change)["upsert"])
         elif change == "service":
-            rule = patch_of(hand.doc, PLAN, 100.0)["upsert"]["listenerList"]
+            rule = build_patch(hand.doc, PLAN, 100.0)["upsert"]["listenerList"]
             rule[0]["ruleSet"][0]["actionSpec"]["service"] = "third"
             hand.other(listenerList=rule, clusterList=[{"name": "third"}])
         else:
             hand.doc = apply_patch(hand.doc, {"version": "00000009", "remove": {"routes": ["r"]}})
         hand.looks(WELL)
-        assert hand.rollout.end is not None and hand.rollout.end.outcome is Outcome.LEFT
+        assert hand.rollout.result is not None and hand.rollout.result.outcome is Outcome.SUPERSEDED
 
 
 @pytest.mark.parametrize("stands", [True, False])
@@ -162,12 +172,12 @@
     order = hand.orders()
     if stands:
         hand.doc = apply_patch(hand.doc, order.patch)
-    hand.rollout.answered(Answer.UNCLEAR, hand.now)
+    hand.rollout.on_command_result(CommandResult.UNKNOWN, hand.now)
     hand.now += 1
-    assert isinstance(hand.rollout.next(hand.now), Read)
-    hand.rollout.read(hand.doc, hand.now)
+    assert isinstance(hand.rollout.next_action(hand.now), ReadConfiguration)
+    hand.rollout.on_configuration(hand.doc, hand.now)
     if stands:
-        assert hand.rollout.stand == 25.0 and isinstance(hand.rollout.next(hand.now), Wait)
+        assert hand.rollout.share == 25.0 and isinstance(hand.rollout.next_action(hand.now), Wait)
     else:
         assert hand.orders() == order  # the very same: if it is taken after all, that is known by its number
 
@@ -176,24 +186,24 @@
     hand = Hand()
     hand.looks(SICK)
     assert hand.orders().share == 0.0
-    for answer in (Answer.UNCLEAR, Answer.CONFLICT, Answer.UNCLEAR):
+    for answer in (CommandResult.UNKNOWN, CommandResult.CONFLICT, CommandResult.UNKNOWN):
         hand.other(limits={"idleTimeoutS": 9})
-        hand.rollout.answered(answer, hand.now)
+        hand.rollout.on_command_result(answer, hand.now)
         hand.now += 1
-        hand.rollout.read(hand.doc, hand.now)
+        hand.rollout.on_configuration(hand.doc, hand.now)
         assert hand.orders().patch["baseVersion"] == hand.doc["version"]
-    hand.rollout.answered(Answer.TAKEN, hand.now)
-    assert hand.rollout.end is not None and hand.rollout.end.outcome is Outcome.TURNED_BACK
+    hand.rollout.on_command_result(CommandResult.ACCEPTED, hand.now)
+    assert hand.rollout.result is not None and hand.rollout.result.outcome is Outcome.ROLLED_BACK
 
 
 def test_nothing_is_judged_where_too_few_gateways_tell() -> None:
     for heard, judged in ((2, False), (3, True)):
         hand = Hand()
-        hand.looks(replace(SICK, heard=heard, gateways=4))
-        assert isinstance(hand.rollout.next(hand.now), Order) is judged
+        hand.looks(replace(SICK, reporting_gateways=heard, gateways=4))
+        assert isinstance(hand.rollout.next_action(hand.now), ApplyPatch) is judged
     hand = Hand()
     hand.looks(None)
-    assert isinstance(hand.rollout.next(hand.now), Wait)
+    assert isinstance(hand.rollout.next_action(hand.now), Wait)
 
 
 def test_with_no_server_left_at_two_looks_it_is_turned_back() -> None:
@@ -201,18 +211,18 @@
     looks: list[dict[str, int]] = [{}, {"old": 3}, {"old": 3, "new": 1}, {"old": 1}, {}, {"old": 3}]
     for able in looks:
         hand.looks(Evidence(4, 4, {}, able))  # as of control machines that have just begun
-        assert isinstance(hand.rollout.next(hand.now), Wait)
+        assert isinstance(hand.rollout.next_action(hand.now), Wait)
     hand.looks(Evidence(4, 4, {}, {"old": 3}))
-    assert hand.orders().share == 0.0 and "no server of new" in hand.rollout.why
+    assert hand.orders().share == 0.0 and "no server of new" in hand.rollout.rollback_reason
 
 
 def test_nobody_who_answers_ends_what_has_not_begun_and_not_what_has() -> None:
     rollout = Rollout(PLAN, 0.0)
-    rollout.unread("nobody answers", 0.0)
-    assert rollout.end is not None and rollout.end.outcome is Outcome.UNCLEAR
+    rollout.on_read_failed("nobody answers", 0.0)
+    assert rollout.result is not None and rollout.result.outcome is Outcome.UNKNOWN
     hand = Hand()
-    hand.rollout.unread("nobody answers", hand.now)
-    assert hand.rollout.end is None
+    hand.rollout.on_read_failed("nobody answers", hand.now)
+    assert hand.rollout.result is None
 
 
 def test_judgements_are_right_about_as_often_as_they_say() -> None:
@@ -223,7 +233,7 @@
         old, new, margin = draw.random() * 0.1, draw.random() * 0.1, 0.01
         many, other = draw.choice((30, 200, 1000)), 2000
         bad, other_bad = (sum(draw.random() < p for _ in range(n)) for p, n in ((new, many), (old, other)))
-        chance = above(many, bad, other, other_bad, margin)
+        chance = probability_above(many, bad, other, other_bad, margin)
         if chance > 0.9 or chance < 0.1:
             said += 1
             right += (chance > 0.9) == (new > old + margin)
@@ -231,13 +241,13 @@
 
 
 def test_a_first_failure_is_no_judgement_and_no_requests_are_none() -> None:
-    old = Counted(1000, 4, 0)
-    for new in (Counted(), Counted(10, 1), Counted(3, 1)):
-        found = judge(new, old, 0.01, 0.05, 0.05)
-        assert not found.worse(0.95)
-    assert judge(Counted(5, 4), old, 0.01, 0.05).worse(0.95)
-    assert not judge(Counted(), old, 0.01, 0.05).well(0.95)
-    assert judge(Counted(60, 0), old, 0.01, 0.05, 0.05).well(0.95)
+    old = RequestCounts(1000, 4, 0)
+    for new in (RequestCounts(), RequestCounts(10, 1), RequestCounts(3, 1)):
+        found = compare_services(new, old, 0.01, 0.05, 0.05)
+        assert not found.is_worse(0.95)
+    assert compare_services(RequestCounts(5, 4), old, 0.01, 0.05).is_worse(0.95)
+    assert not compare_services(RequestCounts(), old, 0.01, 0.05).is_acceptable(0.95)
+    assert compare_services(RequestCounts(60, 0), old, 0.01, 0.05, 0.05).is_acceptable(0.95)
 
 
 def test_what_gateways_tell_is_added_up_by_service() -> None:
@@ -253,11 +263,13 @@
         "b": {"servers": [row("new", turned_away=1, unreachable=1, lost=1), {"id": "x", "routes": {}}]},
         "c": None,
     }
-    found = gather(views, "r", 0.128)
-    assert (found.heard, found.gateways) == (2, 3)
+    found = aggregate(views, "r", 0.128)
+    assert (found.reporting_gateways, found.gateways) == (2, 3)
     # Buckets 7 and 8 end at 128 and 256 ms; four fifths of what has a time did not fail.
-    assert found.of("old") == Counted(10, 2, 4.0) and found.of("new") == Counted(4, 3, 0)
-    assert found.of("nobody") == Counted()
+    assert found.counts_for("old") == RequestCounts(10, 2, 4.0) and found.counts_for("new") == RequestCounts(
+        4, 3, 0
+    )
+    assert found.counts_for("nobody") == RequestCounts()
 
 
 @pytest.mark.parametrize(
@@ -271,7 +283,7 @@
 )  # fmt: skip
 def test_what_is_wrong_with_a_plan_is_told_with_its_place(change: dict[str, Any], where: str) -> None:
     good = {"route": "r", "from": "old", "to": "new"}
-    assert read(good) == (PLAN, [])
-    plan, faults = read(good | change)
+    assert read_plan(good) == (PLAN, [])
+    plan, faults = read_plan(good | change)
     assert plan is None and [fault.path for fault in faults] == [where]
-    assert read([])[1][0].reason == "a plan is an object"
+    assert read_plan([])[1][0].reason == "a plan is an object"
