--- a/tests/configuration/test_check.py
+++ b/tests/configuration/test_check.py
@@ -1,4 +1,4 @@
-"""Each reason for which the operator's page calls a configuration invalid, and what it does not forbid."""
+"""Validation of configurations: each kind of fault, and valid boundary cases."""
 
 import json
 from random import Random
@@ -9,19 +9,19 @@
 
 from latchspoke.configuration import InvalidConfigurationError, check, compile_table, parse_version, read
 from latchspoke.configuration.review import review
-from tests.configuration.drawn import page, spoil
+from tests.configuration.documents import corrupt, sample_document
 
 RULE, ACTION = "listenerList.0.ruleSet.0.", "listenerList.0.ruleSet.0.actionSpec."
 
 
-def changed(path: str, value: object) -> dict[str, Any]:
-    """The page's document with one field set."""
-    doc = page()
-    *way, last = path.split(".")
+def with_value(path: str, value: object) -> dict[str, Any]:
+    """The sample document with one field set."""
+    doc = sample_document()
+    *parents, key = path.split(".")
     part: Any = doc
-    for step in way:
-        part = part[int(step) if isinstance(part, list) else step]
-    part[int(last) if isinstance(part, list) else last] = value
+    for parent in parents:
+        part = part[int(parent) if isinstance(part, list) else parent]
+    part[int(key) if isinstance(part, list) else key] = value
     return doc
 
 
@@ -47,8 +47,8 @@
         ("limits.maxBodyBytes", 10**400),
     ],
 )
-def test_an_invalid_item_is_named(path: str, value: object) -> None:
-    found = [fault.path.replace("[", ".").replace("]", "") for fault in check(changed(path, value))]
+def test_an_invalid_field_is_reported_by_its_path(path: str, value: object) -> None:
+    found = [fault.path.replace("[", ".").replace("]", "") for fault in check(with_value(path, value))]
     assert path in found
 
 
@@ -85,8 +85,8 @@
         ),
     ],
 )
-def test_what_the_page_does_not_forbid_is_valid(path: str, value: object) -> None:
-    doc = changed(path, value)
+def test_optional_and_boundary_values_are_valid(path: str, value: object) -> None:
+    doc = with_value(path, value)
     assert check(doc) == []
     compile_table(read(json.dumps(doc)))
 
@@ -116,36 +116,36 @@
         ),
     ],
 )
-def test_what_is_wrong_with_keeping_callers_is_told(value: object, faults: list[str]) -> None:
-    place = "listenerList[0].ruleSet[0].actionSpec.affinity"
-    found = check(changed(ACTION + "affinity", value))
-    assert [fault.path for fault in found] == [place + fault for fault in faults]
+def test_invalid_affinity_is_reported_by_its_path(value: object, faults: list[str]) -> None:
+    prefix = "listenerList[0].ruleSet[0].actionSpec.affinity"
+    found = check(with_value(ACTION + "affinity", value))
+    assert [fault.path for fault in found] == [prefix + fault for fault in faults]
 
 
 @pytest.mark.parametrize("body", ["", "[]", b"\xff", '{"version":"00000007"', "[" * 100_000])
-def test_a_body_that_cannot_be_read_whole(body: str | bytes) -> None:
+def test_malformed_json_is_refused_with_one_line(body: str | bytes) -> None:
     with pytest.raises(InvalidConfigurationError) as caught:
         read(body)
     assert len(str(caught.value).splitlines()) == 1
 
 
-def test_review_gives_a_result_and_shows_no_key() -> None:
-    assert isinstance(review(json.dumps(page())), Success)
-    found = review(json.dumps(changed("tenants.1.apiKeys", ["cuyj"])))
+def test_review_returns_a_result_without_keys() -> None:
+    assert isinstance(review(json.dumps(sample_document())), Success)
+    found = review(json.dumps(with_value("tenants.1.apiKeys", ["cuyj"])))
     assert isinstance(found, Failure) and "cuyj" not in str(found.failure())
 
 
-def test_a_version_is_eight_digits_exactly() -> None:
+def test_a_version_is_exactly_eight_digits() -> None:
     assert parse_version("0000000c") == 12
     for text in ("0x00000c", "0000_00c", "+000000c", " 000000c", "0000000c\n", ""):
         with pytest.raises(ValueError, match="eight"):
             parse_version(text)
 
 
-def test_no_document_breaks_the_check_and_what_passes_compiles() -> None:
-    random, passed = Random(5), 0
+def test_corrupted_documents_never_crash_the_check_and_valid_ones_compile() -> None:
+    rng, passed = Random(5), 0
     for _ in range(800):
-        doc = spoil(random, page())
+        doc = corrupt(rng, sample_document())
         if not check(doc):
             passed += 1
             table = compile_table(doc)
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -19,7 +19,7 @@
 from latchspoke.lab.virtual_run import VirtualClock
 from latchspoke.membership.words import Member
 from latchspoke.transport.http_server import LOCAL_CALLER
-from tests.configuration.drawn import page
+from tests.configuration.documents import sample_document
 from tests.settings.test_node import settings
 
 
@@ -125,7 +125,7 @@
 )
 def test_only_what_the_register_took_is_acknowledged(box: Box, kind: str, status: int) -> None:
     box.replica.verdict = Verdict(kind, version=7)
-    assert box.call("configuration.replace", page())[0] == status
+    assert box.call("configuration.replace", sample_document())[0] == status
     assert box.call("evacuation.begin", of="waw-a")[0] == status
     assert box.replica.commands[-1] == {"do": "evacuate", "zone": "waw-a"}
 
@@ -221,14 +221,14 @@
 
 def test_a_change_is_checked_against_the_version_that_it_is_applied_to(box: Box) -> None:
     """CONFIG: its base was committed after this machine had looked, so that nobody had checked the whole."""
-    shared = page()["tenants"][1] | {"apiKeys": page()["tenants"][0]["apiKeys"]}
+    shared = sample_document()["tenants"][1] | {"apiKeys": sample_document()["tenants"][0]["apiKeys"]}
     change = {"version": "00000009", "baseVersion": "00000007", "upsert": {"tenants": [shared]}}
-    box.replica.commit(5, page() | {"version": "00000005"})
+    box.replica.commit(5, sample_document() | {"version": "00000005"})
     box.replica.verdict = Verdict(UNCHECKED)
 
     def comes_late(command: dict[str, Any]) -> None:
         assert command["unchecked"], "its base is not known here"
-        box.replica.commit(7, page())
+        box.replica.commit(7, sample_document())
 
     box.replica.submitted = comes_late
     assert box.call("configuration.modify", change)[0] == 400
@@ -237,19 +237,19 @@
 
 def test_what_is_invalid_never_reaches_the_register(box: Box) -> None:
     """CONFIG: no acknowledgement for an invalid configuration, whatever is in force."""
-    shared = page()
+    shared = sample_document()
     shared["tenants"][1]["apiKeys"] = ["9anu"]
-    for body in (b"{", [1], {"version": "x"}, shared, page() | {"listenerList": 3}):
+    for body in (b"{", [1], {"version": "x"}, shared, sample_document() | {"listenerList": 3}):
         assert box.call("configuration.replace", body)[0] == 400
     # A change is tried on what it builds on, also where that has not come here yet.
-    box.replica.commit(7, page())
+    box.replica.commit(7, sample_document())
     change = {"version": "00000009", "baseVersion": "00000007", "upsert": {"tenants": shared["tenants"][1:]}}
     assert box.call("configuration.modify", change)[0] == 400
-    box.replica.commit(5, page() | {"version": "00000005"})
-    box.replica.meanwhile = lambda: box.replica.commit(7, page())
+    box.replica.commit(5, sample_document() | {"version": "00000005"})
+    box.replica.meanwhile = lambda: box.replica.commit(7, sample_document())
     assert box.call("configuration.modify", change)[0] == 400
     box.replica.reached = False
-    box.replica.commit(5, page() | {"version": "00000005"})
+    box.replica.commit(5, sample_document() | {"version": "00000005"})
     box.replica.meanwhile = lambda: None
     assert box.call("configuration.modify", change)[0] == 503
     assert box.call("evacuation.begin", of="nowhere")[0] == 400
@@ -280,24 +280,24 @@
 
 
 def test_an_acknowledgement_waits_for_gateways_for_a_while(box: Box) -> None:
-    box.replica.commit(7, page())
+    box.replica.commit(7, sample_document())
     box.node.tell_orders()
     wire = box.wire()
     box.node.inbound_message(wire, {"k": "hello", "name": "g"})
     box.replica.verdict = Verdict(TAKEN, index=1)
     begun = box.loop.now
-    box.call("configuration.replace", page())
+    box.call("configuration.replace", sample_document())
     assert box.loop.now - begun == pytest.approx(node.TOLD, abs=0.02)
     box.node.inbound_message(wire, {"k": "ack", "n": 1, "index": 1})
     begun = box.loop.now
-    box.call("configuration.replace", page())
+    box.call("configuration.replace", sample_document())
     assert box.loop.now - begun < 0.01
 
 
 def test_a_configuration_is_read_back_only_with_a_majority(box: Box) -> None:
     assert box.call("configuration.read")[0] == 503, "there is none yet"
-    box.replica.commit(7, page())
-    assert box.call("configuration.read") == (200, page())
+    box.replica.commit(7, sample_document())
+    assert box.call("configuration.read") == (200, sample_document())
     box.replica.reached = False
     assert box.call("configuration.read")[0] == 503
 
@@ -340,7 +340,7 @@
 def test_a_proof_is_never_older_than_its_question(box: Box) -> None:
     """CONFIG: who asks while a proof is under way gets it with its age, as it holds as of its beginning."""
     wire = box.wire()
-    box.replica.commit(7, page())
+    box.replica.commit(7, sample_document())
     begun = box.node.clock.now()
 
     def commit() -> None:
--- a/tests/ctl/world.py
+++ b/tests/ctl/nodes.py
@@ -1,4 +1,4 @@
-"""A configuration, settings, and programs that hold it without any socket."""
+"""A configuration, settings, and nodes without sockets for the tests of commands and views."""
 
 from __future__ import annotations
 
@@ -46,30 +46,35 @@
     return parse(json.dumps(SETTINGS | fields), "local.yaml")
 
 
-def beat(service: str, port: int, zone: str = "a", **more: Any) -> dict[str, Any]:
-    told = {"service": service, "address": f"127.0.0.9:{port}", "zone": zone, "capacitySlots": 2}
-    return told | {"state": "available", "callSequence": 1} | more
+def heartbeat(service: str, port: int, zone: str = "a", **fields: Any) -> dict[str, Any]:
+    body = {"service": service, "address": f"127.0.0.9:{port}", "zone": zone, "capacitySlots": 2}
+    return body | {"state": "available", "callSequence": 1} | fields
 
 
-def gateway(loop: asyncio.AbstractEventLoop) -> Node:
-    """It knows the configuration, has a proof, and knows four servers."""
+def gateway_node(loop: asyncio.AbstractEventLoop) -> Node:
+    """A gateway with a configuration, a lease and four servers."""
     node = Node(settings(), loop, "local.yaml")
     now = node.clock.now()
     node.published_state.order(Orders(12, 7, CONFIGURATION, frozenset("c")), now)
     node.lease.proven(now)
-    told = {
-        "b1": beat("books", 1), "b2": beat("books", 2, "b"), "b3": beat("books", 3, coldRemainingS=9),
-        "t1": beat("till", 4, "c"),
+    heartbeats = {
+        "b1": heartbeat("books", 1), "b2": heartbeat("books", 2, "b"),
+        "b3": heartbeat("books", 3, coldRemainingS=9),
+        "t1": heartbeat("till", 4, "c"),
     }  # fmt: skip
     node.state_changed(
-        True, [node.registry.heard(read_beat(i, body, now), now)[0] for i, body in told.items()]
+        True,
+        [
+            node.registry.heard(read_beat(instance, body, now), now)[0]
+            for instance, body in heartbeats.items()
+        ],
     )
     node.update_gateways()
     return node
 
 
-def control(loop: asyncio.AbstractEventLoop, home: Path) -> controlplane.Node:
-    """It has applied the configuration and an evacuation, has heard a server, and one gateway follows it."""
+def control_node(loop: asyncio.AbstractEventLoop, home: Path) -> controlplane.Node:
+    """A control-plane node with a configuration, an evacuation, one server and one subscribed gateway."""
     node = controlplane.Node(
         settings(
             nodeName="core-a", servedRoles=["control"], dataDirectory=str(home), ipAddress="127.0.0.2",
@@ -80,7 +85,7 @@
     orders = {"version": 7, "base": 0, "digest": "d1", "doc": CONFIGURATION}
     node.replica.orders.apply(12, {"do": "replace", **orders})
     node.replica.orders.apply(13, {"do": "evacuate", "zone": "b"})
-    node.control("POST", "/rpc?call=instances.heartbeat&of=b1", json.dumps(beat("books", 1)).encode())
+    node.control("POST", "/rpc?call=instances.heartbeat&of=b1", json.dumps(heartbeat("books", 1)).encode())
     node.published_state.join(Reader("edge-a-1", lambda message: None), node.clock.now())
     edge = Member("edge-a-1", "127.0.0.1", 7600, {"role": "edge", "ready": True, "door": 8201}, 0, "l1")
     node.membership_transport.membership.alive["edge-a-1"] = edge
--- a/tests/ctl/test_views.py
+++ b/tests/ctl/test_views.py
@@ -1,4 +1,4 @@
-"""What the programs show of themselves, without sockets; a tenant's key is nowhere in it."""
+"""Status, metrics and explanations of the programs; none of them contains a tenant's key."""
 
 from __future__ import annotations
 
@@ -19,35 +19,39 @@
 from latchspoke.dataplane import view
 from latchspoke.dataplane.explain import ExplainRequest, explain
 from latchspoke.dataplane.node import Node
-from tests.ctl.world import CONFIGURATION, KEY, control, gateway
+from tests.ctl.nodes import CONFIGURATION, KEY, control_node, gateway_node
 
 
 @pytest.fixture
 def node() -> Iterator[Node]:
     loop = asyncio.new_event_loop()
-    yield gateway(loop)
+    yield gateway_node(loop)
     loop.close()
 
 
 def ask(node: Node, **fields: str) -> dict[str, Any]:
-    status, told = node.handle_query("POST", "/explain", json.dumps(fields).encode())
-    assert status == 200, told
-    assert KEY not in json.dumps(told)
-    return dict(told)
-
-
-def test_a_gateway_tells_versions_servers_and_why_they_are_avoided(node: Node) -> None:
-    status, seen = node.handle_query("GET", "/status?x=1", b"")
-    assert status == 200 and KEY not in json.dumps(seen)
-    assert msgspec.json.decode(msgspec.json.encode(seen)) == seen
-    assert (seen["version"], seen["acts_by"], seen["index"]) == ("00000007", "00000007", 12)
-    assert seen["ready"] and seen["lease"]["held"] and 4 < seen["lease"]["left_s"] <= 4.5
-    assert seen["source"] is None and seen["evacuated"] == ["c"] and seen["gateways"] == ["edge-a-1"]
-    why = {each["id"]: each["avoided"] for each in seen["servers"]}
-    assert why == {"b1": [], "b2": [], "b3": ["cold"], "t1": ["evacuated"]}
+    status, result = node.handle_query("POST", "/explain", json.dumps(fields).encode())
+    assert status == 200, result
+    assert KEY not in json.dumps(result)
+    return dict(result)
+
+
+def test_gateway_status_has_versions_servers_and_avoidance_reasons(node: Node) -> None:
+    status, view_data = node.handle_query("GET", "/status?x=1", b"")
+    assert status == 200 and KEY not in json.dumps(view_data)
+    assert msgspec.json.decode(msgspec.json.encode(view_data)) == view_data
+    assert (view_data["version"], view_data["acts_by"], view_data["index"]) == ("00000007", "00000007", 12)
+    assert view_data["ready"] and view_data["lease"]["held"] and 4 < view_data["lease"]["left_s"] <= 4.5
+    assert (
+        view_data["source"] is None
+        and view_data["evacuated"] == ["c"]
+        and view_data["gateways"] == ["edge-a-1"]
+    )
+    reasons = {each["id"]: each["avoided"] for each in view_data["servers"]}
+    assert reasons == {"b1": [], "b2": [], "b3": ["cold"], "t1": ["evacuated"]}
 
 
-def test_refusals_quotas_and_budgets_are_told(node: Node) -> None:
+def test_gateway_status_has_refusals_quotas_and_retry_budgets(node: Node) -> None:
     table = node.downstream.table
     assert table is not None
     tenant, route = table.tenant(KEY), table.routes["r-read"]
@@ -60,22 +64,22 @@
         call = RoutedRequest(f"{number}", "mill", "books", "r-read", 1.0, 2.0, 1, route=route, tenant=tenant)
         sent += node.dispatcher.handle(call, node.clock.now())
     assert any(isinstance(action, api.Refuse) for action in sent)
-    seen = view.status(node)
-    assert seen["quotas"]["mill"]["offered"] == 60 and seen["quotas"]["mill"]["room"] < 10
-    assert seen["budgets"]["books"]["most"] > 0
-    last = seen["refusals"][0]
+    view_data = view.status(node)
+    assert view_data["quotas"]["mill"]["offered"] == 60 and view_data["quotas"]["mill"]["room"] < 10
+    assert view_data["budgets"]["books"]["most"] > 0
+    last = view_data["refusals"][0]
     assert last["reason"] in ("gate", "total") and (last["route"], last["tenant"]) == ("r-read", "mill")
-    page = view.metrics(seen)
+    page = view.metrics(view_data)
     assert '\nlatchspoke_servers_avoided{reason="cold"} 1\n' in page
     assert "\nlatchspoke_config_version 7\n" in page and KEY not in page
     assert all(line[0] == "#" or line.count(" ") == 1 for line in page.splitlines())
 
 
 def test_a_request_is_explained_by_a_running_gateway(node: Node) -> None:
-    told = ask(node, host="A.example:80", path="/read/1?x=2", key=KEY)
-    assert told["route"]["name"] == "r-read" and told["route"]["shorter_prefixes"] == ["r-all"]
-    assert (told["tenant"]["name"], told["homes"], told["outcome"]) == ("mill", None, "forwarded")
-    assert told["servers"]["books"][0]["id"] == "b1"
+    result = ask(node, host="A.example:80", path="/read/1?x=2", key=KEY)
+    assert result["route"]["name"] == "r-read" and result["route"]["shorter_prefixes"] == ["r-all"]
+    assert (result["tenant"]["name"], result["homes"], result["outcome"]) == ("mill", None, "forwarded")
+    assert result["servers"]["books"][0]["id"] == "b1"
     far = ask(node, host="a.example", path="/read/1", tenant="quay")
     barred = {s["id"]: s["barred"] for s in far["servers"]["books"]}
     assert far["homes"] == ["south"] and barred == {
@@ -94,34 +98,34 @@
 
 def test_a_request_is_explained_by_a_configuration_alone() -> None:
     table = compile_table(CONFIGURATION)  # type: ignore[arg-type]
-    told = explain(table, ExplainRequest("a.example", "/read/1", "mill"), 0.0)
-    assert told["outcome"] == "forwarded" and "servers" not in told
+    result = explain(table, ExplainRequest("a.example", "/read/1", "mill"), 0.0)
+    assert result["outcome"] == "forwarded" and "servers" not in result
     assert (
         explain(table, ExplainRequest("a.example", "/read/1"), 0.0)["because"]
         == "no key, and the route needs one"
     )
 
 
-def test_a_control_machine_tells_the_fleet(tmp_path: Path) -> None:
+def test_control_plane_status_metrics_and_history(tmp_path: Path) -> None:
     loop = asyncio.new_event_loop()
-    node = control(loop, tmp_path)
+    node = control_node(loop, tmp_path)
     answers = {path: node.control("GET", path, b"") for path in ("/status", "/metrics", "/history")}
     node.replica.ledger.close()
     loop.close()
-    seen, page, history = (answer[1] for answer in answers.values())  # type: ignore[index]
-    assert KEY not in json.dumps([seen, page, history])
-    assert (seen["version"], seen["index"], seen["evacuated"]) == ("00000007", 13, ["b"])
+    view_data, page, history = (answer[1] for answer in answers.values())  # type: ignore[index]
+    assert KEY not in json.dumps([view_data, page, history])
+    assert (view_data["version"], view_data["index"], view_data["evacuated"]) == ("00000007", 13, ["b"])
     assert history == {"versions": [{"version": "00000007", "digest": "d1", "current": True}]}
-    assert [(s["id"], s["region"], s["avoided"]) for s in seen["servers"]] == [("b1", "north", [])]
-    edge = next(m for m in seen["members"] if m["name"] == "edge-a-1")
+    assert [(s["id"], s["region"], s["avoided"]) for s in view_data["servers"]] == [("b1", "north", [])]
+    edge = next(m for m in view_data["members"] if m["name"] == "edge-a-1")
     assert (edge["status"], edge["ready"], edge["index"]) == ("127.0.0.1:8201", True, 0)
     assert "latchspoke_gateways_following 1\n" in page and "latchspoke_config_version 7\n" in page
     assert 'latchspoke_members{role="edge",state="ready"} 1\n' in page
-    codes = {each["code"] for each in pages.findings(seen, {"edge-a-1": None})}
+    codes = {each["code"] for each in pages.findings(view_data, {"edge-a-1": None})}
     assert codes == {"no_leader", "not_proven", "evacuated", "no_answer"}
 
 
-def test_every_code_stands_in_the_operators_page() -> None:
+def test_every_code_is_documented() -> None:
     page = Path("docs/operating-system.md").read_text()
     sources = {
         "latchspoke/ctl/pages.py": r'finding\(\s*"(\w+)"',
--- a/tests/distribution/test_board.py
+++ b/tests/distribution/test_board.py
@@ -12,7 +12,7 @@
 from latchspoke.configuration.patch import apply_patch, diff
 from latchspoke.distribution.board import Board, Follower, GapError, Lease, Message, Orders, Reader
 from latchspoke.registry.registry import Registry, State, read_beat
-from tests.configuration.drawn import page
+from tests.configuration.documents import sample_document
 
 
 def board() -> Board:
@@ -25,7 +25,7 @@
 
 def order(index: int, version: int, evacuated: str = "") -> Orders:
     """Each version has a key of its own."""
-    doc = page() | {"version": f"{version:08x}", "baseVersion": f"{version - 1:08x}"}
+    doc = sample_document() | {"version": f"{version:08x}", "baseVersion": f"{version - 1:08x}"}
     doc["tenants"][1]["apiKeys"] = [f"k{version}"]
     return Orders(index, version, doc, frozenset(evacuated.split()))
 
--- a/tests/outliers/test_wiring.py
+++ b/tests/outliers/test_wiring.py
@@ -17,7 +17,7 @@
 from latchspoke.dataplane.node import Node
 from latchspoke.dataplane.subscription import Source
 from latchspoke.transport.connection import MessageConnection
-from tests.ctl.world import control, gateway
+from tests.ctl.nodes import control_node, gateway_node
 
 
 class Line(MessageConnection):
@@ -51,7 +51,7 @@
 ) -> None:
     monkeypatch.setattr(dataplane, "EVIDENCE_MIN_GATEWAYS", 1)
     loop = asyncio.new_event_loop()
-    core, edges = control(loop, tmp_path), [gateway(loop) for _ in range(3)]
+    core, edges = control_node(loop, tmp_path), [gateway_node(loop) for _ in range(3)]
     lines = [Line() for _ in edges]
     for number, (edge, line) in enumerate(zip(edges, lines, strict=True)):
         core.inbound_message(line, {"k": "hello", "name": f"edge-{number}", "zone": "a"})
@@ -88,7 +88,7 @@
 
 def test_few_gateways_tell_each_other_nothing() -> None:
     loop = asyncio.new_event_loop()
-    node = gateway(loop)
+    node = gateway_node(loop)
     node.subscription.connection, node.subscription.source = (
         Line(),
         Source("core-a", ("127.0.0.2", 7601), "a", "north"),
@@ -102,7 +102,7 @@
 def test_a_connection_let_go_and_a_far_server_are_no_evidence() -> None:
     """``idle_race``: half of all servers reset a request on an idle connection, and none of them is sick."""
     loop = asyncio.new_event_loop()
-    node = gateway(loop)
+    node = gateway_node(loop)
     fail(node, Code.RESET, {"forgot": 1.0})
     fail(node, Code.UNREACHABLE, {}, "b2")
     fail(node, Code.FULL, {})
--- a/tests/rollouts/test_engine.py
+++ b/tests/rollouts/test_engine.py
@@ -1,4 +1,4 @@
-"""Roll-outs: the state machine under races, lost answers, silent gateways, sick services. No clock."""
+"""State machine of roll-outs: conflicts, unknown outcomes, silent gateways and failing services."""
 
 from __future__ import annotations
 
@@ -28,70 +28,85 @@
 from latchspoke.rollouts.plan import Plan, read_plan
 
 PLAN = Plan("r", "old", "new")
-GOOD, BAD = Service(0.004), Service(0.2)
+HEALTHY, FAILING = Service(0.004), Service(0.2)
 
 
-def share(world: SimulatedEnvironment) -> float:
-    found = current_share(world.doc, PLAN)
-    assert isinstance(found, float)
-    return found
+def route_share(environment: SimulatedEnvironment) -> float:
+    share = current_share(environment.doc, PLAN)
+    assert isinstance(share, float)
+    return share
 
 
-def test_a_good_service_gets_all_in_the_steps_of_the_plan() -> None:
-    world = SimulatedEnvironment(200, GOOD, Service(0.004), 1)
-    world.wait(20)
-    seen: list[float] = []
-    end = drive(Rollout(PLAN, world.clock), world, lambda e: seen.append(share(world)))
-    assert end.outcome is Outcome.COMPLETED and sorted(set(seen)) == [0, 1, 5, 25, 50, 100]
-    assert world.doc["listenerList"][0]["ruleSet"][0]["actionSpec"] == {"service": "new", "maxAttempts": 1}
-    assert world.doc["version"] == "00000006"
+def test_a_healthy_service_gets_all_requests_in_the_planned_steps() -> None:
+    environment = SimulatedEnvironment(200, HEALTHY, Service(0.004), 1)
+    environment.wait(20)
+    shares: list[float] = []
+    end = drive(
+        Rollout(PLAN, environment.clock), environment, lambda event: shares.append(route_share(environment))
+    )
+    assert end.outcome is Outcome.COMPLETED and sorted(set(shares)) == [0, 1, 5, 25, 50, 100]
+    assert environment.doc["listenerList"][0]["ruleSet"][0]["actionSpec"] == {
+        "service": "new",
+        "maxAttempts": 1,
+    }
+    assert environment.doc["version"] == "00000006"
 
 
-@pytest.mark.parametrize("sick", [Service(0.2), Service(0.004, 0.3)])
-def test_one_that_fails_or_is_late_is_turned_back_before_it_has_much(sick: Service) -> None:
-    world = SimulatedEnvironment(200, GOOD, sick, 1)
-    world.wait(20)
-    end = drive(Rollout(PLAN, world.clock), world)
-    assert end.outcome is Outcome.ROLLED_BACK and share(world) == 0
-    assert ("fails" if sick.failure_rate > 0.1 else "is late") in end.reason
-    assert world.excess_failures < 60  # of 200 a second
+@pytest.mark.parametrize("degraded", [Service(0.2), Service(0.004, 0.3)])
+def test_a_failing_or_late_service_is_rolled_back_early(degraded: Service) -> None:
+    environment = SimulatedEnvironment(200, HEALTHY, degraded, 1)
+    environment.wait(20)
+    end = drive(Rollout(PLAN, environment.clock), environment)
+    assert end.outcome is Outcome.ROLLED_BACK and route_share(environment) == 0
+    assert ("fails" if degraded.failure_rate > 0.1 else "is late") in end.reason
+    assert environment.excess_failures < 60  # of 200 a second
 
 
-def test_one_that_turns_bad_late_is_still_turned_back() -> None:
-    world = SimulatedEnvironment(200, GOOD, Service(0.004), 1)
-    world.wait(20)
-    rollout = Rollout(PLAN, world.clock)
+def test_a_service_that_degrades_at_full_share_is_rolled_back() -> None:
+    environment = SimulatedEnvironment(200, HEALTHY, Service(0.004), 1)
+    environment.wait(20)
+    rollout = Rollout(PLAN, environment.clock)
 
-    def spoil(event: Any) -> None:
+    def degrade(event: Any) -> None:
         if event.code == "stands" and event.fields["share"] == 100:
-            world.services["new"].failure_rate = 0.2
+            environment.services["new"].failure_rate = 0.2
 
-    # Nothing goes to the old one any more: it is held against what was seen before.
-    assert drive(rollout, world, spoil).outcome is Outcome.ROLLED_BACK
-    assert share(world) == 0
+    # The old service gets no requests any more, so earlier counts are the baseline.
+    assert drive(rollout, environment, degrade).outcome is Outcome.ROLLED_BACK
+    assert route_share(environment) == 0
 
 
-def test_few_requests_are_waited_for_and_then_the_plan_says_what() -> None:
-    for unjudged, outcome, stands in (("back", Outcome.ROLLED_BACK, 0), ("stay", Outcome.INCONCLUSIVE, 1)):
-        world = SimulatedEnvironment(0.5, GOOD, Service(0.0), 3)
-        plan = replace(PLAN, on_inconclusive=unjudged, max_step_s=200.0)
-        end = drive(Rollout(plan, 0.0), world)
-        assert end.outcome is outcome and share(world) == stands and "can't be judged" in end.reason
+def test_too_few_requests_end_a_step_as_configured() -> None:
+    for on_inconclusive, outcome, share in (
+        ("back", Outcome.ROLLED_BACK, 0),
+        ("stay", Outcome.INCONCLUSIVE, 1),
+    ):
+        environment = SimulatedEnvironment(0.5, HEALTHY, Service(0.0), 3)
+        plan = replace(PLAN, on_inconclusive=on_inconclusive, max_step_s=200.0)
+        end = drive(Rollout(plan, 0.0), environment)
+        assert (
+            end.outcome is outcome and route_share(environment) == share and "can't be judged" in end.reason
+        )
 
 
-def test_each_request_is_counted_once_over_windows_that_gateways_forget() -> None:
-    """With spans and windows alike in length, what is kept and what is told again must not overlap."""
-    world = SimulatedEnvironment(4, Service(0.0), Service(0.0), 5)
+def test_each_request_is_counted_once_across_query_windows() -> None:
+    """Counts that were kept and counts that are reported again must not overlap."""
+    environment = SimulatedEnvironment(4, Service(0.0), Service(0.0), 5)
     plan = replace(PLAN, steps=(50.0,), min_requests=100_000, max_step_s=900.0, on_inconclusive="stay")
-    seen: list[str] = []
-    drive(Rollout(plan, 0.0), world, lambda e: seen.append(e.fields["new"]) if e.code == "sees" else None)
-    told = [int(text.rpartition(" ")[2]) for text in seen][10:]  # the first may be of the step before
-    ran = sum(c.requests for c in world.services["new"].spans.values())
-    assert told == sorted(told) and 0.85 * ran < told[-1] <= ran
+    descriptions: list[str] = []
+    drive(
+        Rollout(plan, 0.0),
+        environment,
+        lambda event: descriptions.append(event.fields["new"]) if event.code == "sees" else None,
+    )
+    # The first reports may include the previous step.
+    reported = [int(text.rpartition(" ")[2]) for text in descriptions][10:]
+    served = sum(counts.requests for counts in environment.services["new"].spans.values())
+    assert reported == sorted(reported) and 0.85 * served < reported[-1] <= served
 
 
-class Hand:
-    """A rollout at 5% with the configuration at hand, driven step by step."""
+class RolloutDriver:
+    """A roll-out at 5%, driven step by step on its own copy of the configuration."""
 
     def __init__(self) -> None:
         self.doc = apply_patch(drill.initial_document(), build_patch(drill.initial_document(), PLAN, 5.0))
@@ -99,163 +114,166 @@
         self.rollout = Rollout(PLAN, self.now)
         self.rollout.on_configuration(self.doc, self.now)
 
-    def looks(self, evidence: Evidence | None = None) -> None:
+    def collect(self, evidence: Evidence | None = None) -> None:
         while isinstance(self.rollout.next_action(self.now), Wait):
             self.now += 1
         assert isinstance(self.rollout.next_action(self.now), CollectEvidence)
         self.rollout.on_evidence(evidence, self.doc, self.now)
 
-    def orders(self) -> ApplyPatch:
+    def expect_patch(self) -> ApplyPatch:
         action = self.rollout.next_action(self.now)
         assert isinstance(action, ApplyPatch)
         return action
 
-    def other(self, **upsert: Any) -> None:
-        """Another operator's change."""
+    def change_concurrently(self, **upsert: Any) -> None:
+        """A change by another operator."""
         version = f"{int(self.doc['version'], 16) + 3:08x}"
         self.doc = apply_patch(self.doc, {"version": version, "baseVersion": "0", "upsert": upsert})
 
 
-WELL = Evidence(4, 4, {"old": RequestCounts(9500, 30, 0), "new": RequestCounts(500, 1, 0)})
-SICK = Evidence(4, 4, {"old": RequestCounts(9500, 30, 0), "new": RequestCounts(500, 60, 0)})
-
-
-def test_it_goes_on_from_where_the_route_stands() -> None:
-    hand = Hand()
-    hand.now += 60
-    hand.looks(WELL)
-    assert hand.orders().share == 25.0
-
-
-def test_a_race_lost_to_a_change_of_something_else_is_run_again_on_top_of_it() -> None:
-    hand = Hand()
-    hand.now += 60
-    hand.looks(WELL)
-    hand.other(limits={"idleTimeoutS": 9})
-    hand.rollout.on_command_result(CommandResult.CONFLICT, hand.now)
-    hand.now += 1
-    assert isinstance(hand.rollout.next_action(hand.now), ReadConfiguration)
-    hand.rollout.on_configuration(hand.doc, hand.now)
-    order = hand.orders()
-    assert order.patch["baseVersion"] == hand.doc["version"]
-    assert apply_patch(hand.doc, order.patch)["limits"] == {"idleTimeoutS": 9}
-
-
-def test_a_race_lost_to_somebody_who_set_the_route_leaves_it_to_him() -> None:
-    hand = Hand()
-    hand.now += 60
-    hand.looks(WELL)
-    hand.other(**build_patch(hand.doc, PLAN, 60.0)["upsert"])
-    hand.rollout.on_command_result(CommandResult.CONFLICT, hand.now)
-    hand.rollout.on_configuration(hand.doc, hand.now + 1)
-    assert hand.rollout.result is not None and hand.rollout.result.outcome is Outcome.SUPERSEDED
-    # The same while it only looks, and where the route goes to a third service or is gone.
+GOOD_EVIDENCE = Evidence(4, 4, {"old": RequestCounts(9500, 30, 0), "new": RequestCounts(500, 1, 0)})
+BAD_EVIDENCE = Evidence(4, 4, {"old": RequestCounts(9500, 30, 0), "new": RequestCounts(500, 60, 0)})
+
+
+def test_a_rollout_continues_from_the_current_share() -> None:
+    driver = RolloutDriver()
+    driver.now += 60
+    driver.collect(GOOD_EVIDENCE)
+    assert driver.expect_patch().share == 25.0
+
+
+def test_a_conflict_with_an_unrelated_change_is_retried_on_the_new_version() -> None:
+    driver = RolloutDriver()
+    driver.now += 60
+    driver.collect(GOOD_EVIDENCE)
+    driver.change_concurrently(limits={"idleTimeoutS": 9})
+    driver.rollout.on_command_result(CommandResult.CONFLICT, driver.now)
+    driver.now += 1
+    assert isinstance(driver.rollout.next_action(driver.now), ReadConfiguration)
+    driver.rollout.on_configuration(driver.doc, driver.now)
+    action = driver.expect_patch()
+    assert action.patch["baseVersion"] == driver.doc["version"]
+    assert apply_patch(driver.doc, action.patch)["limits"] == {"idleTimeoutS": 9}
+
+
+def test_a_concurrent_change_of_the_route_ends_the_rollout() -> None:
+    driver = RolloutDriver()
+    driver.now += 60
+    driver.collect(GOOD_EVIDENCE)
+    driver.change_concurrently(**build_patch(driver.doc, PLAN, 60.0)["upsert"])
+    driver.rollout.on_command_result(CommandResult.CONFLICT, driver.now)
+    driver.rollout.on_configuration(driver.doc, driver.now + 1)
+    assert driver.rollout.result is not None and driver.rollout.result.outcome is Outcome.SUPERSEDED
+    # The same while collecting evidence, and if the route has a third service or was removed.
     for change in (60.0, "service", "gone"):
-        hand = Hand()
+        driver = RolloutDriver()
         if isinstance(change, float):
-            hand.other(**build_patch(hand.doc, PLAN, change)["upsert"])
+            driver.change_concurrently(**build_patch(driver.doc, PLAN, change)["upsert"])
         elif change == "service":
-            rule = build_patch(hand.doc, PLAN, 100.0)["upsert"]["listenerList"]
+            rule = build_patch(driver.doc, PLAN, 100.0)["upsert"]["listenerList"]
             rule[0]["ruleSet"][0]["actionSpec"]["service"] = "third"
-            hand.other(listenerList=rule, clusterList=[{"name": "third"}])
+            driver.change_concurrently(listenerList=rule, clusterList=[{"name": "third"}])
         else:
-            hand.doc = apply_patch(hand.doc, {"version": "00000009", "remove": {"routes": ["r"]}})
-        hand.looks(WELL)
-        assert hand.rollout.result is not None and hand.rollout.result.outcome is Outcome.SUPERSEDED
-
-
-@pytest.mark.parametrize("stands", [True, False])
-def test_an_order_without_a_clear_answer_is_looked_up_before_it_is_sent_anew(stands: bool) -> None:
-    hand = Hand()
-    hand.now += 60
-    hand.looks(WELL)
-    order = hand.orders()
-    if stands:
-        hand.doc = apply_patch(hand.doc, order.patch)
-    hand.rollout.on_command_result(CommandResult.UNKNOWN, hand.now)
-    hand.now += 1
-    assert isinstance(hand.rollout.next_action(hand.now), ReadConfiguration)
-    hand.rollout.on_configuration(hand.doc, hand.now)
-    if stands:
-        assert hand.rollout.share == 25.0 and isinstance(hand.rollout.next_action(hand.now), Wait)
+            driver.doc = apply_patch(driver.doc, {"version": "00000009", "remove": {"routes": ["r"]}})
+        driver.collect(GOOD_EVIDENCE)
+        assert driver.rollout.result is not None and driver.rollout.result.outcome is Outcome.SUPERSEDED
+
+
+@pytest.mark.parametrize("applied", [True, False])
+def test_a_patch_with_unknown_outcome_is_looked_up_before_it_is_repeated(applied: bool) -> None:
+    driver = RolloutDriver()
+    driver.now += 60
+    driver.collect(GOOD_EVIDENCE)
+    action = driver.expect_patch()
+    if applied:
+        driver.doc = apply_patch(driver.doc, action.patch)
+    driver.rollout.on_command_result(CommandResult.UNKNOWN, driver.now)
+    driver.now += 1
+    assert isinstance(driver.rollout.next_action(driver.now), ReadConfiguration)
+    driver.rollout.on_configuration(driver.doc, driver.now)
+    if applied:
+        assert driver.rollout.share == 25.0 and isinstance(driver.rollout.next_action(driver.now), Wait)
     else:
-        assert hand.orders() == order  # the very same: if it is taken after all, that is known by its number
-
-
-def test_turning_back_outlasts_races_and_lost_answers() -> None:
-    hand = Hand()
-    hand.looks(SICK)
-    assert hand.orders().share == 0.0
-    for answer in (CommandResult.UNKNOWN, CommandResult.CONFLICT, CommandResult.UNKNOWN):
-        hand.other(limits={"idleTimeoutS": 9})
-        hand.rollout.on_command_result(answer, hand.now)
-        hand.now += 1
-        hand.rollout.on_configuration(hand.doc, hand.now)
-        assert hand.orders().patch["baseVersion"] == hand.doc["version"]
-    hand.rollout.on_command_result(CommandResult.ACCEPTED, hand.now)
-    assert hand.rollout.result is not None and hand.rollout.result.outcome is Outcome.ROLLED_BACK
-
-
-def test_nothing_is_judged_where_too_few_gateways_tell() -> None:
-    for heard, judged in ((2, False), (3, True)):
-        hand = Hand()
-        hand.looks(replace(SICK, reporting_gateways=heard, gateways=4))
-        assert isinstance(hand.rollout.next_action(hand.now), ApplyPatch) is judged
-    hand = Hand()
-    hand.looks(None)
-    assert isinstance(hand.rollout.next_action(hand.now), Wait)
-
-
-def test_with_no_server_left_at_two_looks_it_is_turned_back() -> None:
-    hand = Hand()
-    looks: list[dict[str, int]] = [{}, {"old": 3}, {"old": 3, "new": 1}, {"old": 1}, {}, {"old": 3}]
-    for able in looks:
-        hand.looks(Evidence(4, 4, {}, able))  # as of control machines that have just begun
-        assert isinstance(hand.rollout.next_action(hand.now), Wait)
-    hand.looks(Evidence(4, 4, {}, {"old": 3}))
-    assert hand.orders().share == 0.0 and "no server of new" in hand.rollout.rollback_reason
-
-
-def test_nobody_who_answers_ends_what_has_not_begun_and_not_what_has() -> None:
+        # An identical patch: its version shows if the first one is accepted after all.
+        assert driver.expect_patch() == action
+
+
+def test_a_rollback_survives_conflicts_and_lost_answers() -> None:
+    driver = RolloutDriver()
+    driver.collect(BAD_EVIDENCE)
+    assert driver.expect_patch().share == 0.0
+    for result in (CommandResult.UNKNOWN, CommandResult.CONFLICT, CommandResult.UNKNOWN):
+        driver.change_concurrently(limits={"idleTimeoutS": 9})
+        driver.rollout.on_command_result(result, driver.now)
+        driver.now += 1
+        driver.rollout.on_configuration(driver.doc, driver.now)
+        assert driver.expect_patch().patch["baseVersion"] == driver.doc["version"]
+    driver.rollout.on_command_result(CommandResult.ACCEPTED, driver.now)
+    assert driver.rollout.result is not None and driver.rollout.result.outcome is Outcome.ROLLED_BACK
+
+
+def test_no_decision_with_too_few_reporting_gateways() -> None:
+    for reporting, decided in ((2, False), (3, True)):
+        driver = RolloutDriver()
+        driver.collect(replace(BAD_EVIDENCE, reporting_gateways=reporting, gateways=4))
+        assert isinstance(driver.rollout.next_action(driver.now), ApplyPatch) is decided
+    driver = RolloutDriver()
+    driver.collect(None)
+    assert isinstance(driver.rollout.next_action(driver.now), Wait)
+
+
+def test_a_service_without_servers_twice_in_a_row_is_rolled_back() -> None:
+    driver = RolloutDriver()
+    availability: list[dict[str, int]] = [{}, {"old": 3}, {"old": 3, "new": 1}, {"old": 1}, {}, {"old": 3}]
+    for available in availability:
+        driver.collect(Evidence(4, 4, {}, available))  # as from a control-plane node that has just started
+        assert isinstance(driver.rollout.next_action(driver.now), Wait)
+    driver.collect(Evidence(4, 4, {}, {"old": 3}))
+    assert driver.expect_patch().share == 0.0 and "no server of new" in driver.rollout.rollback_reason
+
+
+def test_a_failed_read_ends_only_a_rollout_that_has_not_started() -> None:
     rollout = Rollout(PLAN, 0.0)
-    rollout.on_read_failed("nobody answers", 0.0)
+    rollout.on_read_failed("no answer", 0.0)
     assert rollout.result is not None and rollout.result.outcome is Outcome.UNKNOWN
-    hand = Hand()
-    hand.rollout.on_read_failed("nobody answers", hand.now)
-    assert hand.rollout.result is None
+    driver = RolloutDriver()
+    driver.rollout.on_read_failed("no answer", driver.now)
+    assert driver.rollout.result is None
 
 
-def test_judgements_are_right_about_as_often_as_they_say() -> None:
-    """Shares and counts are drawn; of what is said at 90% and more, nine tenths and more are so."""
-    draw = random.Random(7)
-    said = right = 0
+def test_probabilities_are_calibrated() -> None:
+    """Of the statements with a probability of at least 90%, at least 90% are true."""
+    rng = random.Random(7)
+    confident = correct = 0
     for _ in range(400):
-        old, new, margin = draw.random() * 0.1, draw.random() * 0.1, 0.01
-        many, other = draw.choice((30, 200, 1000)), 2000
-        bad, other_bad = (sum(draw.random() < p for _ in range(n)) for p, n in ((new, many), (old, other)))
-        chance = probability_above(many, bad, other, other_bad, margin)
-        if chance > 0.9 or chance < 0.1:
-            said += 1
-            right += (chance > 0.9) == (new > old + margin)
-    assert said > 100 and right / said > 0.9
-
-
-def test_a_first_failure_is_no_judgement_and_no_requests_are_none() -> None:
+        old, new, margin = rng.random() * 0.1, rng.random() * 0.1, 0.01
+        requests, other_requests = rng.choice((30, 200, 1000)), 2000
+        failed, other_failed = (
+            sum(rng.random() < p for _ in range(n)) for p, n in ((new, requests), (old, other_requests))
+        )
+        probability = probability_above(requests, failed, other_requests, other_failed, margin)
+        if probability > 0.9 or probability < 0.1:
+            confident += 1
+            correct += (probability > 0.9) == (new > old + margin)
+    assert confident > 100 and correct / confident > 0.9
+
+
+def test_a_single_failure_or_no_requests_decide_nothing() -> None:
     old = RequestCounts(1000, 4, 0)
     for new in (RequestCounts(), RequestCounts(10, 1), RequestCounts(3, 1)):
-        found = compare_services(new, old, 0.01, 0.05, 0.05)
-        assert not found.is_worse(0.95)
+        comparison = compare_services(new, old, 0.01, 0.05, 0.05)
+        assert not comparison.is_worse(0.95)
     assert compare_services(RequestCounts(5, 4), old, 0.01, 0.05).is_worse(0.95)
     assert not compare_services(RequestCounts(), old, 0.01, 0.05).is_acceptable(0.95)
     assert compare_services(RequestCounts(60, 0), old, 0.01, 0.05, 0.05).is_acceptable(0.95)
 
 
-def test_what_gateways_tell_is_added_up_by_service() -> None:
-    def row(service: str, **ends: Any) -> dict[str, Any]:
+def test_gateway_reports_are_added_up_by_service() -> None:
+    def row(service: str, **outcomes: Any) -> dict[str, Any]:
         return {
             "id": "i",
             "service": service,
-            "routes": {"r": {"times": {}, **ends}, "else": {"times": {}, "ok": 9}},
+            "routes": {"r": {"times": {}, **outcomes}, "else": {"times": {}, "ok": 9}},
         }
 
     views = {
@@ -263,17 +281,17 @@
         "b": {"servers": [row("new", turned_away=1, unreachable=1, lost=1), {"id": "x", "routes": {}}]},
         "c": None,
     }
-    found = aggregate(views, "r", 0.128)
-    assert (found.reporting_gateways, found.gateways) == (2, 3)
-    # Buckets 7 and 8 end at 128 and 256 ms; four fifths of what has a time did not fail.
-    assert found.counts_for("old") == RequestCounts(10, 2, 4.0) and found.counts_for("new") == RequestCounts(
-        4, 3, 0
-    )
-    assert found.counts_for("nobody") == RequestCounts()
+    evidence = aggregate(views, "r", 0.128)
+    assert (evidence.reporting_gateways, evidence.gateways) == (2, 3)
+    # Buckets 7 and 8 end at 128 and 256 ms; four fifths of the timed requests did not fail.
+    assert evidence.counts_for("old") == RequestCounts(10, 2, 4.0) and evidence.counts_for(
+        "new"
+    ) == RequestCounts(4, 3, 0)
+    assert evidence.counts_for("nobody") == RequestCounts()
 
 
 @pytest.mark.parametrize(
-    ("change", "where"),
+    ("change", "path"),
     [
         ({"route": ""}, "route"), ({"to": "old"}, "to"), ({"steps": [5, 5]}, "steps[1]"),
         ({"steps": [0]}, "steps[0]"), ({"steps": 7}, "steps"), ({"holdS": "long"}, "holdS"),
@@ -281,9 +299,9 @@
         ({"holdS": 50, "longestS": 20}, "longestS"), ({"colour": 1}, "colour"), ({"heard": True}, "heard"),
     ],
 )  # fmt: skip
-def test_what_is_wrong_with_a_plan_is_told_with_its_place(change: dict[str, Any], where: str) -> None:
-    good = {"route": "r", "from": "old", "to": "new"}
-    assert read_plan(good) == (PLAN, [])
-    plan, faults = read_plan(good | change)
-    assert plan is None and [fault.path for fault in faults] == [where]
+def test_an_invalid_plan_field_is_reported_by_its_path(change: dict[str, Any], path: str) -> None:
+    valid = {"route": "r", "from": "old", "to": "new"}
+    assert read_plan(valid) == (PLAN, [])
+    plan, faults = read_plan(valid | change)
+    assert plan is None and [fault.path for fault in faults] == [path]
     assert read_plan([])[1][0].reason == "a plan is an object"
--- a/tests/settings/test_node.py
+++ b/tests/settings/test_node.py
@@ -9,7 +9,7 @@
 import pytest
 
 from latchspoke.settings import Settings, SettingsError, Tolerance, load, parse
-from tests.configuration.drawn import spoil
+from tests.configuration.documents import corrupt
 
 NODE: dict[str, Any] = json.loads("""{"nodeName":"core-a-1","role":"controlplane","machineClass":"core",
 "servedRoles":["control","locator"],"ipAddress":"10.1.0.11","zone":"waw-a","region":"mazowsze","zones":{"waw-a":
@@ -82,5 +82,5 @@
     random, taken = Random(7), 0
     for _ in range(300):
         with suppress(SettingsError):
-            taken += bool(parse(json.dumps(spoil(random, NODE)), "node.yaml"))
+            taken += bool(parse(json.dumps(corrupt(random, NODE)), "node.yaml"))
     assert 20 < taken < 280
