--- a/latchspoke/configuration/check.py
+++ b/latchspoke/configuration/check.py
@@ -250,87 +250,87 @@
         self, parent: Fields, field: str, path: str, required: bool = False
     ) -> Iterator[tuple[str, Fields]]:
         list_path = f"{path}.{field}" if path else field
-        found = parent.get(field)
-        if found is None and not required:
+        items = parent.get(field)
+        if items is None and not required:
             return
-        if not isinstance(found, list):
-            self.add_fault(list_path, "is missing" if found is None else "must be a list")
+        if not isinstance(items, list):
+            self.add_fault(list_path, "is missing" if items is None else "must be a list")
             return
-        for index, item in enumerate(found):
+        for index, item in enumerate(items):
             if isinstance(item, dict):
                 yield f"{list_path}[{index}]", item
             else:
                 self.add_fault(f"{list_path}[{index}]", "must be an object")
 
     def object_field(self, parent: Fields, field: str, path: str) -> Fields | None:
-        found = parent.get(field)
-        if isinstance(found, dict):
-            return found
-        self.add_fault(f"{path}.{field}", "is missing" if found is None else "must be an object")
+        value = parent.get(field)
+        if isinstance(value, dict):
+            return value
+        self.add_fault(f"{path}.{field}", "is missing" if value is None else "must be an object")
         return None
 
     def string(self, parent: Fields, field: str, path: str, single_line: bool = False) -> str | None:
         """A non-empty string; with ``single_line`` it must not contain characters forbidden in headers."""
-        found = parent.get(field)
-        if not isinstance(found, str) or not found:
-            self.add_fault(f"{path}.{field}", "is missing" if found is None else "must be a string")
+        value = parent.get(field)
+        if not isinstance(value, str) or not value:
+            self.add_fault(f"{path}.{field}", "is missing" if value is None else "must be a string")
             return None
-        if single_line and _UNSAFE_CHARACTERS.search(found):
+        if single_line and _UNSAFE_CHARACTERS.search(value):
             self.add_fault(f"{path}.{field}", "contains a character that is not allowed in headers")
             return None
-        return found
+        return value
 
     def unique_name(self, parent: Fields, path: str, names: set[str], single_line: bool = False) -> None:
         """A name that is not yet in ``names``, since patches refer to items by name."""
-        found = self.string(parent, "name", path, single_line)
-        if found is None:
+        name = self.string(parent, "name", path, single_line)
+        if name is None:
             return
-        if found in names:
-            self.add_fault(f"{path}.name", f"{found!r:.60} is used twice")
-        names.add(found)
+        if name in names:
+            self.add_fault(f"{path}.name", f"{name!r:.60} is used twice")
+        names.add(name)
 
     def service_reference(self, parent: Fields, path: str, services: set[str]) -> None:
-        found = self.string(parent, "service", path)
-        if found is not None and found not in services:
-            self.add_fault(f"{path}.service", f"{found!r:.60} is not a known service")
+        service = self.string(parent, "service", path)
+        if service is not None and service not in services:
+            self.add_fault(f"{path}.service", f"{service!r:.60} is not a known service")
 
     def strings(self, parent: Fields, field: str, path: str) -> list[str]:
-        found = parent.get(field)
-        if found is None:
+        value = parent.get(field)
+        if value is None:
             return []
-        if not isinstance(found, list) or not all(isinstance(item, str) and item for item in found):
+        if not isinstance(value, list) or not all(isinstance(item, str) and item for item in value):
             self.add_fault(f"{path}.{field}", "must be a list of strings")
             return []
-        return found
+        return value
 
     def number(self, parent: Fields, field: str, path: str, required: bool = False) -> float | None:
-        found = parent.get(field)
-        if found is None:
+        value = parent.get(field)
+        if value is None:
             if required:
                 self.add_fault(f"{path}.{field}", "is missing")
             return None
-        if isinstance(found, bool) or not isinstance(found, int | float) or not _bounded(found):
+        if isinstance(value, bool) or not isinstance(value, int | float) or not _is_finite(value):
             self.add_fault(f"{path}.{field}", "must be a number")
             return None
-        return float(found)
+        return float(value)
 
     def non_negative(self, parent: Fields, field: str, path: str) -> float | None:
-        found = self.number(parent, field, path)
-        if found is not None and found < 0:
+        value = self.number(parent, field, path)
+        if value is not None and value < 0:
             self.add_fault(f"{path}.{field}", "must not be negative")
             return None
-        return found
+        return value
 
     def integer(self, parent: Fields, field: str, path: str) -> int | None:
-        found = self.number(parent, field, path)
-        if found is not None and not found.is_integer():
+        value = self.number(parent, field, path)
+        if value is not None and not value.is_integer():
             self.add_fault(f"{path}.{field}", "must be an integer")
             return None
-        return None if found is None else int(found)
+        return None if value is None else int(value)
 
 
-def _bounded(found: int | float) -> bool:
+def _is_finite(value: int | float) -> bool:
     try:
-        return isfinite(found)
+        return isfinite(value)
     except OverflowError:  # an integer that is too large for a float
         return False
--- a/latchspoke/ctl/app.py
+++ b/latchspoke/ctl/app.py
@@ -14,8 +14,8 @@
 from returns.result import Failure, Result, Success
 
 from latchspoke.configuration import Document, Fault
-from latchspoke.ctl import callers, masks, pages, reviews
-from latchspoke.ctl.callers import ControlPlaneClient, Reply
+from latchspoke.ctl import client, file_checks, formatting, masks
+from latchspoke.ctl.client import ControlPlaneClient, Reply
 from latchspoke.pool.command import pool_app
 
 DONE, NO_ANSWER, USAGE, INVALID, CONFLICT, OUTCOME_UNKNOWN, FINDINGS = range(7)
@@ -76,7 +76,7 @@
 
 
 DEFAULT_OUTPUT, DEFAULT_CONTROL_PLANE = OutputOptions(), ControlPlaneOptions()
-REQUEST_SENDER: list[callers.RequestSender] = [callers.send_request]  # replaced in tests
+REQUEST_SENDER: list[client.RequestSender] = [client.send_request]  # replaced in tests
 
 
 def print_result(options: OutputOptions, text: str, result: dict[str, Any], code: int = DONE) -> int:
@@ -94,9 +94,9 @@
         raise CommandError(USAGE, "no control-plane node is given: use --control or LATCHSPOKE_CONTROL")
     try:
         return ControlPlaneClient(
-            callers.parse_addresses(options.control), REQUEST_SENDER[0], retry_for_s=options.within
+            client.parse_addresses(options.control), REQUEST_SENDER[0], retry_for_s=options.within
         )
-    except callers.AddressError as e:
+    except client.AddressError as e:
         raise CommandError(USAGE, f"--control: {e}") from None
 
 
@@ -114,7 +114,7 @@
 
 def read_input(path: Path) -> bytes:
     """The content of an input file; CommandError if it can't be read."""
-    data: bytes = value_or_fail(reviews.read_file(path), USAGE)
+    data: bytes = value_or_fail(file_checks.read_file(path), USAGE)
     return data
 
 
@@ -162,7 +162,7 @@
 @check_app.command(name="settings")
 def check_settings(file: Path, *, said: OutputOptions = DEFAULT_OUTPUT) -> int:
     """Check the settings file of a process."""
-    node_settings = value_or_fail(reviews.settings(read_input(file), str(file)))
+    node_settings = value_or_fail(file_checks.settings(read_input(file), str(file)))
     result = {
         "file": str(file),
         "name": node_settings.name,
@@ -179,7 +179,7 @@
 @check_app.command(name="configuration")
 def check_configuration(file: Path, *, said: OutputOptions = DEFAULT_OUTPUT) -> int:
     """Check a complete configuration."""
-    doc: Document = value_or_fail(reviews.configuration(read_input(file)))
+    doc: Document = value_or_fail(file_checks.configuration(read_input(file)))
     counts = {
         "routes": len(masks.routes(doc)), "services": len(masks.services(doc)),
         "tenants": len(masks.tenants(doc)),
@@ -192,7 +192,7 @@
 @check_app.command(name="deploy")
 def check_deploy(file: Path, *, said: OutputOptions = DEFAULT_OUTPUT) -> int:
     """Check a deploy file: what is built, and which program runs on which machines."""
-    deployment = value_or_fail(reviews.deploy(read_input(file)))
+    deployment = value_or_fail(file_checks.deploy(read_input(file)))
     roles = {name: fields["on"] for name, fields in deployment["roles"].items()}
     text = ", ".join(f"{name} on {on}" for name, on in roles.items())
     return print_result(said, f"{file}: {text}", {"file": str(file), "roles": roles})
@@ -212,15 +212,15 @@
     """Show the members, their configuration versions and leases, and findings that need attention."""
     if gateway:
         view = query_gateway(gateway)
-        return print_result(where, pages.format_gateway(view), {"gateway": view})
+        return print_result(where, formatting.format_gateway(view), {"gateway": view})
     control_view = query_control_plane(where, "/status").body
     gateway_views = query_gateways(control_view, "/status") if all else {}
-    findings = pages.findings(control_view, gateway_views)
+    findings = formatting.findings(control_view, gateway_views)
     result = {"control": control_view, "gateways": gateway_views, "findings": findings}
     has_problems = any(finding["level"] != "info" for finding in findings)
     return print_result(
         where,
-        pages.format_fleet(control_view, gateway_views),
+        formatting.format_fleet(control_view, gateway_views),
         result,
         FINDINGS if strict and has_problems else DONE,
     )
@@ -228,7 +228,7 @@
 
 def query_gateway(address: str) -> Any:
     """The status of one gateway; CommandError if it does not answer."""
-    (answer,) = callers.query_all([address], "/status", REQUEST_SENDER[0])
+    (answer,) = client.query_all([address], "/status", REQUEST_SENDER[0])
     match answer:
         case Success(Reply(status=200) as reply):
             return reply.body
@@ -280,7 +280,7 @@
     addresses = {
         m["name"]: m["status"] for m in control_view["members"] if m["role"] == "edge" and m.get("status")
     }
-    answers = callers.query_all(list(addresses.values()), target, REQUEST_SENDER[0])
+    answers = client.query_all(list(addresses.values()), target, REQUEST_SENDER[0])
     views: dict[str, Any] = {}
     for name, answer in zip(addresses, answers, strict=True):
         reply = answer.value_or(None)
@@ -320,7 +320,7 @@
         key = sys.stdin.read().strip() if str(key_file) == "-" else read_input(key_file).decode().strip()
     if config is not None:
         result = explain_offline(host, path, tenant, key, caller, config, state) | {"asked_caller": caller}
-        return print_result(where, pages.format_explanation(result), result)
+        return print_result(where, formatting.format_explanation(result), result)
     question = {"host": host, "path": path, "tenant": tenant, "key": key, "caller": caller}
     extra: dict[str, Any] = {}
     if not gateway:
@@ -329,7 +329,7 @@
     match REQUEST_SENDER[0](address, "POST", "/explain", json.dumps(question).encode()):
         case Success(Reply(status=200) as reply):
             result = {**reply.body, **extra, "by": reply.source, "asked_caller": caller}
-            return print_result(where, pages.format_explanation(result), result)
+            return print_result(where, formatting.format_explanation(result), result)
         case Success(Reply() as reply):
             raise CommandError(NO_ANSWER, f"{reply.source}: {reply.reason}")
         case Failure(error):
@@ -337,11 +337,11 @@
     raise AssertionError
 
 
-def parse_address(text: str) -> callers.Address:
+def parse_address(text: str) -> client.Address:
     """One address host:port; CommandError if it is malformed."""
     try:
-        return callers.parse_addresses(text)[0]
-    except callers.AddressError as e:
+        return client.parse_addresses(text)[0]
+    except client.AddressError as e:
         raise CommandError(USAGE, str(e)) from None
 
 
@@ -367,7 +367,7 @@
     from latchspoke.ctl.offline import StateError, load_balancer
     from latchspoke.dataplane.explain import ExplainRequest, explain
 
-    table = compile_table(value_or_fail(reviews.configuration(read_input(config))))
+    table = compile_table(value_or_fail(file_checks.configuration(read_input(config))))
     balancer = None
     if state is not None:
         try:
@@ -438,7 +438,7 @@
         result.get(field) for field in ("at_owner", "at_copy", "record", "hand")
     ):
         raise CommandError(INVALID, f"no route {route!r} that shares session records")
-    return print_result(where, pages.format_caller(result), result)
+    return print_result(where, formatting.format_caller(result), result)
 
 
 @caller_app.command(name="move")
@@ -489,7 +489,7 @@
 def read_current(options: ControlPlaneOptions) -> Document:
     """The current configuration, confirmed by a quorum."""
     doc: Document = value_or_fail(
-        reviews.configuration(query_control_plane(options, "/rpc?call=configuration.read", "POST").raw)
+        file_checks.configuration(query_control_plane(options, "/rpc?call=configuration.read", "POST").raw)
     )
     return doc
 
@@ -507,7 +507,7 @@
     data = read_input(file)
     if on_current:
         data = with_next_version(data, current_version(where))
-    doc = value_or_fail(reviews.configuration(data))
+    doc = value_or_fail(file_checks.configuration(data))
     return submit_command(where, "configuration.replace", data, f"version {doc['version']} is current")
 
 
@@ -520,9 +520,9 @@
     doc = read_current(where)
     if on_current:
         data = with_next_version(data, doc["version"])
-    patch = value_or_fail(reviews.parse_patch(data))
+    patch = value_or_fail(file_checks.parse_patch(data))
     if patch.get("baseVersion") == doc["version"]:
-        value_or_fail(reviews.apply_and_check(doc, data))
+        value_or_fail(file_checks.apply_and_check(doc, data))
     return submit_command(where, "configuration.modify", data, f"version {patch['version']} is current")
 
 
@@ -548,13 +548,13 @@
     file: Path, other: Path | None = None, *, where: ControlPlaneOptions = DEFAULT_CONTROL_PLANE
 ) -> int:
     """Show what FILE would change in the current configuration, or what differs between FILE and OTHER."""
-    new: Document = value_or_fail(reviews.configuration(read_input(file)))
+    new: Document = value_or_fail(file_checks.configuration(read_input(file)))
     if other is not None:
-        old, new = new, value_or_fail(reviews.configuration(read_input(other)))
+        old, new = new, value_or_fail(file_checks.configuration(read_input(other)))
     else:
         old = read_current(where)
     differences = list(masks.differences(old, new))
-    text = "\n".join(map(pages.format_difference, differences)) or "no difference"
+    text = "\n".join(map(formatting.format_difference, differences)) or "no difference"
     return print_result(
         where, text, {"from": old["version"], "to": new["version"], "differences": differences}
     )
@@ -565,7 +565,7 @@
     """List the accepted versions, newest first."""
     versions = query_control_plane(where, "/history").body["versions"]
     rows = [(v["version"], v["digest"], "current" if v["current"] else "") for v in versions]
-    text = pages.format_table(("version", "digest of the message", ""), rows) or "no version yet"
+    text = formatting.format_table(("version", "digest of the message", ""), rows) or "no version yet"
     return print_result(where, text, {"versions": versions})
 
 
@@ -615,7 +615,7 @@
 
     parsed_plan = value_or_fail(rollouts.parse_plan(read_input(plan)))
     doc: Document = (
-        value_or_fail(reviews.configuration(read_input(config)))
+        value_or_fail(file_checks.configuration(read_input(config)))
         if config is not None
         else read_current(where)
     )
--- a/latchspoke/ctl/pages.py
+++ b/latchspoke/ctl/formatting.py
@@ -23,7 +23,7 @@
     """All findings by reason code; ``gateways`` holds the views of the gateways, None without an answer."""
     return [
         *store_findings(control), *member_findings(control), *server_findings(control),
-        *(found for name, view in gateways.items() for found in gateway_findings(name, view, control)),
+        *(entry for name, view in gateways.items() for entry in gateway_findings(name, view, control)),
     ]  # fmt: skip
 
 
--- a/latchspoke/ctl/masks.py
+++ b/latchspoke/ctl/masks.py
@@ -70,14 +70,14 @@
 
 def routes(document: Document) -> dict[str, Fields]:
     """Routes by name, each flattened into one level of fields."""
-    found: dict[str, Fields] = {}
+    routes_by_name: dict[str, Fields] = {}
     for listener in document["listenerList"]:
         for rule in listener["ruleSet"]:
             fields: Fields = {"host": listener["host"]}
             for field, value in rule.items():
                 fields.update(value if isinstance(value, dict) else {field: value})
-            found[rule["name"]] = fields
-    return found
+            routes_by_name[rule["name"]] = fields
+    return routes_by_name
 
 
 def services(document: Document) -> dict[str, Fields]:
--- a/latchspoke/ctl/reach.py
+++ b/latchspoke/ctl/reach.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-from latchspoke.ctl.pages import finding, format_table
+from latchspoke.ctl.formatting import finding, format_table
 from latchspoke.reach.fleet import Reached, findings, gather, timeline
 from latchspoke.reach.graph import quantile
 
--- a/latchspoke/ctl/rollouts.py
+++ b/latchspoke/ctl/rollouts.py
@@ -11,8 +11,8 @@
 from returns.result import Failure, Result, Success
 
 from latchspoke.configuration import Document, Fault
-from latchspoke.ctl import reviews
-from latchspoke.ctl.callers import ControlPlaneClient, Reply
+from latchspoke.ctl import file_checks
+from latchspoke.ctl.client import ControlPlaneClient, Reply
 from latchspoke.rollouts import plan as plans
 from latchspoke.rollouts.engine import CommandResult, Event, current_share, target_latency
 from latchspoke.rollouts.evidence import Evidence, aggregate, available_servers
@@ -67,7 +67,7 @@
         """The current configuration, or why it could not be read."""
         match self.control.call("POST", "/rpc?call=configuration.read"):
             case Success(Reply(status=200) as reply):
-                match reviews.configuration(reply.raw):
+                match file_checks.configuration(reply.raw):
                     case Success(doc):
                         configuration: Document = doc
                         self.target_latency_s = target_latency(configuration, self.plan.route)
--- a/latchspoke/rollouts/__init__.py
+++ b/latchspoke/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs: a route's requests move between services in steps, judged by what really ran."""
+"""Roll-outs: moving the requests of a route to another service in steps, guided by measured failures."""
--- a/latchspoke/rollouts/drill.py
+++ b/latchspoke/rollouts/drill.py
@@ -20,10 +20,10 @@
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.configuration.shape import Document
 from latchspoke.reach.graph import SPAN
+from latchspoke.rollouts.comparison import RequestCounts
 from latchspoke.rollouts.drive import drive
 from latchspoke.rollouts.engine import CommandResult, Outcome, Rollout
 from latchspoke.rollouts.evidence import Evidence
-from latchspoke.rollouts.judge import RequestCounts
 from latchspoke.rollouts.plan import Plan
 
 STEP_S = 0.5  # length of a simulation step
--- a/latchspoke/rollouts/engine.py
+++ b/latchspoke/rollouts/engine.py
@@ -15,8 +15,8 @@
 from latchspoke.configuration.check import parse_version
 from latchspoke.configuration.shape import Document
 from latchspoke.reach.graph import KEPT, SPAN
+from latchspoke.rollouts.comparison import RequestCounts, compare_services
 from latchspoke.rollouts.evidence import NO_REQUESTS, Evidence
-from latchspoke.rollouts.judge import RequestCounts, compare_services
 from latchspoke.rollouts.plan import ROLL_BACK, Plan
 
 SETTLE_S = 4.0  # after a patch is accepted, gateways may use the previous version for this long
--- a/latchspoke/rollouts/evidence.py
+++ b/latchspoke/rollouts/evidence.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from latchspoke.reach.graph import BUCKETS
-from latchspoke.rollouts.judge import RequestCounts
+from latchspoke.rollouts.comparison import RequestCounts
 
 FAILED_OUTCOMES = ("error", "lost", "turned_away", "unreachable")
 TIMED_OUTCOMES = ("ok", "error")  # their latencies are in the histogram
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -22,8 +22,8 @@
 from latchspoke.configstore.register import Register, founding
 from latchspoke.configuration import apply_patch
 from latchspoke.consensus.records import Stored
-from latchspoke.ctl import app, callers
-from latchspoke.ctl.callers import Reply
+from latchspoke.ctl import app, client
+from latchspoke.ctl.client import Reply
 from tests.ctl.nodes import CONFIGURATION, KEY, SETTINGS, gateway_node
 
 FakeAnswer = tuple[int, Any] | str
@@ -54,14 +54,14 @@
     def respond(self, target: str, *answers: FakeAnswer) -> None:
         self.answers[target] = list(answers)
 
-    def ask(self, address: callers.Address, method: str, target: str, body: bytes) -> Result[Reply, str]:
+    def ask(self, address: client.Address, method: str, target: str, body: bytes) -> Result[Reply, str]:
         self.sent.append((target, body))
         answers = self.answers.get(target, ["no response prepared"])
         answer = answers.pop(0) if len(answers) > 1 else answers[0]
         if isinstance(answer, str):
             return Failure(answer)
         raw = answer[1] if isinstance(answer[1], bytes) else json.dumps(answer[1]).encode()
-        return Success(Reply(answer[0], callers.parse_body(raw), raw, f"{address[0]}:{address[1]}"))
+        return Success(Reply(answer[0], client.parse_body(raw), raw, f"{address[0]}:{address[1]}"))
 
 
 Run = Callable[..., tuple[int, str]]
--- a/tests/ctl/test_rollouts.py
+++ b/tests/ctl/test_rollouts.py
@@ -11,8 +11,8 @@
 from returns.result import Failure, Result, Success
 
 from latchspoke.configuration import apply_patch
-from latchspoke.ctl import app, callers, rollouts
-from latchspoke.ctl.callers import Reply
+from latchspoke.ctl import app, client, rollouts
+from latchspoke.ctl.client import Reply
 from latchspoke.rollouts.drill import Service, SimulatedEnvironment
 from tests.ctl.nodes import CONFIGURATION
 
@@ -29,7 +29,7 @@
         self.available, self.lost_answers, self.silent = ["books", "till"], 0, False
         self.patches: list[dict[str, Any]] = []
 
-    def ask(self, address: callers.Address, method: str, target: str, body: bytes) -> Result[Reply, str]:
+    def ask(self, address: client.Address, method: str, target: str, body: bytes) -> Result[Reply, str]:
         status: int | None = 200
         if target == "/status":
             ready = {"state": "ready", "silent": False, "zone": "a"}
--- a/tests/ctl/test_views.py
+++ b/tests/ctl/test_views.py
@@ -15,7 +15,7 @@
 from barleyhub import interface as api
 from barleyhub.line.dispatch import RoutedRequest
 from latchspoke.configuration import compile_table
-from latchspoke.ctl import pages
+from latchspoke.ctl import formatting
 from latchspoke.dataplane import view
 from latchspoke.dataplane.explain import ExplainRequest, explain
 from latchspoke.dataplane.node import Node
@@ -121,14 +121,14 @@
     assert (edge["status"], edge["ready"], edge["index"]) == ("127.0.0.1:8201", True, 0)
     assert "latchspoke_gateways_following 1\n" in page and "latchspoke_config_version 7\n" in page
     assert 'latchspoke_members{role="edge",state="ready"} 1\n' in page
-    codes = {each["code"] for each in pages.findings(view_data, {"edge-a-1": None})}
+    codes = {each["code"] for each in formatting.findings(view_data, {"edge-a-1": None})}
     assert codes == {"no_leader", "not_proven", "evacuated", "no_answer"}
 
 
 def test_every_code_is_documented() -> None:
     page = Path("docs/operating-system.md").read_text()
     sources = {
-        "latchspoke/ctl/pages.py": r'finding\(\s*"(\w+)"',
+        "latchspoke/ctl/formatting.py": r'finding\(\s*"(\w+)"',
         "latchspoke/dataplane/downstream.py": r'reject_request\([^)]*?\d, "(\w+)"',
         "latchspoke/reach/graph.py": r'found.append\("(\w+)"\)',
         "latchspoke/reach/fleet.py": r'found.append\(\s*\("(\w+)"',
--- a/tests/outliers/test_wiring.py
+++ b/tests/outliers/test_wiring.py
@@ -12,7 +12,7 @@
 from barleyhub import interface as api
 from barleyhub.interface import Code
 from barleyhub.line.dispatch import RoutedRequest
-from latchspoke.ctl import pages
+from latchspoke.ctl import formatting
 from latchspoke.dataplane import node as dataplane
 from latchspoke.dataplane.node import Node
 from latchspoke.dataplane.subscription import Source
@@ -74,7 +74,7 @@
     assert seen["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
     assert seen["evidence"]["b1"]["failed"] > 5
     ask = json.dumps({"host": "a.example", "path": "/read/1", "tenant": "mill"}).encode()
-    page = pages.format_explanation(edges[2].handle_query("POST", "/explain", ask)[1])
+    page = formatting.format_explanation(edges[2].handle_query("POST", "/explain", ask)[1])
     assert "by edge-0, edge-1" in page
     fleet: Any = core.control("GET", "/status", b"")
     assert fleet[1]["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
--- a/tests/rollouts/test_engine.py
+++ b/tests/rollouts/test_engine.py
@@ -10,6 +10,7 @@
 
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.rollouts import drill
+from latchspoke.rollouts.comparison import RequestCounts, compare_services, probability_above
 from latchspoke.rollouts.drill import Service, SimulatedEnvironment
 from latchspoke.rollouts.drive import drive
 from latchspoke.rollouts.engine import (
@@ -24,7 +25,6 @@
     current_share,
 )
 from latchspoke.rollouts.evidence import Evidence, aggregate
-from latchspoke.rollouts.judge import RequestCounts, compare_services, probability_above
 from latchspoke.rollouts.plan import Plan, read_plan
 
 PLAN = Plan("r", "old", "new")
