--- a/latchspoke/ctl/file_checks.py
+++ b/latchspoke/ctl/file_checks.py
@@ -109,44 +109,58 @@
         self.faults: Faults = [] if faults is None else faults
 
     def collect(self, field: str, call: Callable[[], T], fallback: T) -> T:
+        """The result of the call; if it raises SettingsError, records the fault and returns the fallback."""
         try:
             return call()
         except SettingsError as e:
-            path, _, reason = str(e).removeprefix(f"{self.path}: ").partition(": ")
-            self.faults.append(Fault(path, reason) if reason else Fault(f"{self.at}{field}", path))
+            field_path, _, reason = str(e).removeprefix(f"{self.path}: ").partition(": ")
+            self.faults.append(
+                Fault(field_path, reason) if reason else Fault(f"{self.at}{field}", field_path)
+            )
             return fallback
 
     def part(self, field: str) -> _Fields:
+        """A reader of a nested mapping that records its faults here."""
         return FaultCollector(self.mapping(field), self.path, f"{self.at}{field}.", self.faults)
 
     def mapping(self, field: str) -> dict[object, object]:
+        """A mapping; empty after a fault."""
         return self.collect(field, lambda: super(FaultCollector, self).mapping(field), {})
 
     def text(self, field: str, default: str | None = None) -> str:
+        """A string; ``?`` after a fault."""
         return self.collect(field, lambda: super(FaultCollector, self).text(field, default), "?")
 
     def texts(self, field: str) -> tuple[str, ...]:
+        """A list of strings; empty after a fault."""
         return self.collect(field, lambda: super(FaultCollector, self).texts(field), ())
 
     def names(self, field: str) -> dict[str, str]:
+        """A mapping of strings; empty after a fault."""
         return self.collect(field, lambda: super(FaultCollector, self).names(field), {})
 
     def flag(self, field: str) -> bool:
+        """A boolean; false after a fault."""
         return self.collect(field, lambda: super(FaultCollector, self).flag(field), False)
 
     def number(self, field: str, default: float | None = None) -> float:
+        """A number; 1 after a fault."""
         return self.collect(field, lambda: super(FaultCollector, self).number(field, default), 1.0)
 
     def listeners(self) -> dict[str, tuple[str, int]]:
+        """Listen addresses by name; none after a fault."""
         return self.collect("listenAddresses", super().listeners, {})
 
     def address(self, field: str, text: object) -> tuple[str, int]:
+        """An address; port 1 on all interfaces after a fault."""
         return self.collect(field, lambda: super(FaultCollector, self).address(field, text), ("0.0.0.0", 1))
 
     def ports(self) -> tuple[int, int]:
+        """The internal port range; ports 1 to 2 after a fault."""
         return self.collect("internalPortRange", super().ports, (1, 2))
 
     def bounds(self) -> dict[str, float | bool]:
+        """The bounds that have no fault; each one is checked separately."""
         value = self.fields.get("bounds")
         texts = value.split(",") if isinstance(value, str) else value
         if not isinstance(texts, list):
