--- a/latchspoke/controlplane/calls.py
+++ b/latchspoke/controlplane/calls.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from latchspoke.configuration.check import base_number, check, number
+from latchspoke.configuration.check import check, parse_base_version, parse_version
 from latchspoke.configuration.patch import apply_patch
 from latchspoke.membership.messages import Member
 
@@ -56,8 +56,8 @@
         raise InvalidRequestError("the body is not a JSON object")
     try:
         new_version, base_version = (
-            number(request.get("version", "")),
-            base_number(request.get("baseVersion")),
+            parse_version(request.get("version", "")),
+            parse_base_version(request.get("baseVersion")),
         )
     except (TypeError, ValueError) as error:
         raise InvalidRequestError(str(error)) from None
--- a/tests/controlplane/test_node.py
+++ b/tests/controlplane/test_node.py
@@ -27,7 +27,7 @@
 from latchspoke.lab.virtual_run import VirtualClock
 from latchspoke.membership.messages import Member
 from latchspoke.transport.http_server import LOCAL_CALLER
-from tests.configuration.drawn import page
+from tests.configuration.documents import sample_document
 from tests.settings.test_node import make_settings
 
 
@@ -138,7 +138,7 @@
 )
 def test_only_committed_commands_are_acknowledged(harness: NodeHarness, kind: str, status: int) -> None:
     harness.replica.verdict = Verdict(kind, version=7)
-    assert harness.call("configuration.replace", page())[0] == status
+    assert harness.call("configuration.replace", sample_document())[0] == status
     assert harness.call("evacuation.begin", subject="waw-a")[0] == status
     assert harness.replica.commands[-1] == {"do": "evacuate", "zone": "waw-a"}
 
@@ -242,14 +242,14 @@
 
 def test_patch_is_checked_against_the_version_it_is_applied_to(harness: NodeHarness) -> None:
     """CONFIG: the base was committed after the check, so that the result was never checked."""
-    shared = page()["tenants"][1] | {"apiKeys": page()["tenants"][0]["apiKeys"]}
+    shared = sample_document()["tenants"][1] | {"apiKeys": sample_document()["tenants"][0]["apiKeys"]}
     change = {"version": "00000009", "baseVersion": "00000007", "upsert": {"tenants": [shared]}}
-    harness.replica.commit(5, page() | {"version": "00000005"})
+    harness.replica.commit(5, sample_document() | {"version": "00000005"})
     harness.replica.verdict = Verdict(UNCHECKED)
 
     def commit_base(command: dict[str, Any]) -> None:
         assert command["unchecked"], "the base is not known here"
-        harness.replica.commit(7, page())
+        harness.replica.commit(7, sample_document())
 
     harness.replica.on_submit = commit_base
     assert harness.call("configuration.modify", change)[0] == 400
@@ -258,19 +258,19 @@
 
 def test_invalid_configuration_is_never_submitted(harness: NodeHarness) -> None:
     """CONFIG: an invalid configuration must not be acknowledged, whatever the current version."""
-    shared = page()
+    shared = sample_document()
     shared["tenants"][1]["apiKeys"] = ["9anu"]
-    for body in (b"{", [1], {"version": "x"}, shared, page() | {"listenerList": 3}):
+    for body in (b"{", [1], {"version": "x"}, shared, sample_document() | {"listenerList": 3}):
         assert harness.call("configuration.replace", body)[0] == 400
     # A patch is checked on its base, also if that is applied here only during the call.
-    harness.replica.commit(7, page())
+    harness.replica.commit(7, sample_document())
     change = {"version": "00000009", "baseVersion": "00000007", "upsert": {"tenants": shared["tenants"][1:]}}
     assert harness.call("configuration.modify", change)[0] == 400
-    harness.replica.commit(5, page() | {"version": "00000005"})
-    harness.replica.during_confirm = lambda: harness.replica.commit(7, page())
+    harness.replica.commit(5, sample_document() | {"version": "00000005"})
+    harness.replica.during_confirm = lambda: harness.replica.commit(7, sample_document())
     assert harness.call("configuration.modify", change)[0] == 400
     harness.replica.has_quorum = False
-    harness.replica.commit(5, page() | {"version": "00000005"})
+    harness.replica.commit(5, sample_document() | {"version": "00000005"})
     harness.replica.during_confirm = lambda: None
     assert harness.call("configuration.modify", change)[0] == 503
     assert harness.call("evacuation.begin", subject="nowhere")[0] == 400
@@ -303,24 +303,24 @@
 
 
 def test_acknowledgement_waits_for_subscribers_up_to_a_timeout(harness: NodeHarness) -> None:
-    harness.replica.commit(7, page())
+    harness.replica.commit(7, sample_document())
     harness.node.publish_committed()
     connection = harness.connection()
     harness.node.inbound_message(connection, {"k": "hello", "name": "g"})
     harness.replica.verdict = Verdict(TAKEN, index=1)
     started_at = harness.loop.now
-    harness.call("configuration.replace", page())
+    harness.call("configuration.replace", sample_document())
     assert harness.loop.now - started_at == pytest.approx(node.SUBSCRIBER_ACK_TIMEOUT_S, abs=0.02)
     harness.node.inbound_message(connection, {"k": "ack", "n": 1, "index": 1})
     started_at = harness.loop.now
-    harness.call("configuration.replace", page())
+    harness.call("configuration.replace", sample_document())
     assert harness.loop.now - started_at < 0.01
 
 
 def test_configuration_read_requires_a_quorum(harness: NodeHarness) -> None:
     assert harness.call("configuration.read")[0] == 503, "no configuration yet"
-    harness.replica.commit(7, page())
-    assert harness.call("configuration.read") == (200, page())
+    harness.replica.commit(7, sample_document())
+    assert harness.call("configuration.read") == (200, sample_document())
     harness.replica.has_quorum = False
     assert harness.call("configuration.read")[0] == 503
 
@@ -367,7 +367,7 @@
 def test_proof_for_a_request_during_a_round_carries_its_age(harness: NodeHarness) -> None:
     """CONFIG: a proof holds as of the start of its round, not of a later request."""
     connection = harness.connection()
-    harness.replica.commit(7, page())
+    harness.replica.commit(7, sample_document())
     started_at = harness.node.clock.now()
 
     def commit() -> None:
--- a/tests/distribution/test_published_state.py
+++ b/tests/distribution/test_published_state.py
@@ -20,7 +20,7 @@
     Subscriber,
 )
 from latchspoke.registry.registry import Registry, State, parse_heartbeat
-from tests.configuration.drawn import page
+from tests.configuration.documents import sample_document
 
 
 def make_state() -> PublishedState:
@@ -33,7 +33,7 @@
 
 def make_committed(index: int, version: int, evacuated: str = "") -> CommittedState:
     """Committed state with a document that has its own API key per version."""
-    doc = page() | {"version": f"{version:08x}", "baseVersion": f"{version - 1:08x}"}
+    doc = sample_document() | {"version": f"{version:08x}", "baseVersion": f"{version - 1:08x}"}
     doc["tenants"][1]["apiKeys"] = [f"k{version}"]
     return CommittedState(index, version, doc, frozenset(evacuated.split()))
 
--- a/tests/outliers/test_wiring.py
+++ b/tests/outliers/test_wiring.py
@@ -12,12 +12,12 @@
 from barleyhub import interface as api
 from barleyhub.interface import Code
 from barleyhub.line.dispatch import RoutedRequest
-from latchspoke.ctl import pages
+from latchspoke.ctl import formatting
 from latchspoke.dataplane import node as dataplane
 from latchspoke.dataplane.node import Node
 from latchspoke.dataplane.subscription import Source
 from latchspoke.transport.connection import MessageConnection
-from tests.ctl.world import control, gateway
+from tests.ctl.nodes import control_node, gateway_node
 
 
 class RecordingWire(MessageConnection):
@@ -53,10 +53,10 @@
 ) -> None:
     monkeypatch.setattr(dataplane, "EVIDENCE_MIN_GATEWAYS", 1)
     loop = asyncio.new_event_loop()
-    control_node, gateways = control(loop, tmp_path), [gateway(loop) for _ in range(3)]
+    control, gateways = control_node(loop, tmp_path), [gateway_node(loop) for _ in range(3)]
     wires = [RecordingWire() for _ in gateways]
     for number, (node, wire) in enumerate(zip(gateways, wires, strict=True)):
-        control_node.inbound_message(wire, {"k": "hello", "name": f"edge-{number}", "zone": "a"})
+        control.inbound_message(wire, {"k": "hello", "name": f"edge-{number}", "zone": "a"})
         node.subscription.connection, node.subscription.source = (
             RecordingWire(),
             Source("core-a", ("127.0.0.2", 7601), "a", "north"),
@@ -66,9 +66,9 @@
         gateways[number].send_evidence(gateways[number].clock.now())
         (report,) = gateways[number].subscription.connection.sent  # type: ignore[union-attr]
         assert report == {"k": "hot", "w": [["b1", 3.0, 3.0]]}
-        control_node.inbound_message(wires[number], report)
-        control_node.evidence_scheduled = False
-        control_node.send_evidence(control_node.clock.now())
+        control.inbound_message(wires[number], report)
+        control.evidence_scheduled = False
+        control.send_evidence(control.clock.now())
     (update,) = [message for message in wires[2].sent if message["k"] == "hot"]
     gateways[2].subscription.handle_message(RecordingWire(), update)
     assert gateways[2].balancer.outlier_shares == {} or set(gateways[2].balancer.outlier_shares) == {"b1"}
@@ -76,21 +76,21 @@
     assert status["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
     assert status["evidence"]["b1"]["failed"] > 5
     query = json.dumps({"host": "a.example", "path": "/read/1", "tenant": "mill"}).encode()
-    page = pages.explained(gateways[2].handle_query("POST", "/explain", query)[1])
+    page = formatting.format_explanation(gateways[2].handle_query("POST", "/explain", query)[1])
     assert "by edge-0, edge-1" in page
-    control_status: Any = control_node.handle_request("GET", "/status", b"")
+    control_status: Any = control.handle_request("GET", "/status", b"")
     assert control_status[1]["evidence"]["b1"]["witnesses"] == ["edge-0", "edge-1"]
     # A gateway that connects later is sent the evidence at once.
     late_wire = RecordingWire()
-    control_node.inbound_message(late_wire, {"k": "hello", "name": "edge-9", "zone": "b"})
+    control.inbound_message(late_wire, {"k": "hello", "name": "edge-9", "zone": "b"})
     assert [message["k"] for message in late_wire.sent if message["k"] == "hot"] == ["hot"]
-    control_node.replica.ledger.close()
+    control.replica.ledger.close()
     loop.close()
 
 
 def test_few_gateways_share_no_evidence() -> None:
     loop = asyncio.new_event_loop()
-    node = gateway(loop)
+    node = gateway_node(loop)
     node.subscription.connection, node.subscription.source = (
         RecordingWire(),
         Source("core-a", ("127.0.0.2", 7601), "a", "north"),
@@ -104,7 +104,7 @@
 def test_idle_connection_resets_and_unreachable_servers_are_no_evidence() -> None:
     """A server that resets an idle connection as a request is sent on it is not failing."""
     loop = asyncio.new_event_loop()
-    node = gateway(loop)
+    node = gateway_node(loop)
     record_failures(node, Code.RESET, {"forgot": 1.0})
     record_failures(node, Code.UNREACHABLE, {}, "b2")
     record_failures(node, Code.FULL, {})
--- a/tests/settings/test_node.py
+++ b/tests/settings/test_node.py
@@ -9,7 +9,7 @@
 import pytest
 
 from latchspoke.settings import FaultTolerance, Settings, SettingsError, load_settings, parse_settings
-from tests.configuration.drawn import spoil
+from tests.configuration.documents import corrupt
 
 NODE_SETTINGS: dict[str, Any] = (
     json.loads("""{"nodeName":"core-a-1","role":"controlplane","machineClass":"core",
@@ -114,5 +114,5 @@
     rng, parsed_count = Random(7), 0
     for _ in range(300):
         with suppress(SettingsError):
-            parsed_count += bool(parse_settings(json.dumps(spoil(rng, NODE_SETTINGS)), "node.yaml"))
+            parsed_count += bool(parse_settings(json.dumps(corrupt(rng, NODE_SETTINGS)), "node.yaml"))
     assert 20 < parsed_count < 280
