--- a/latchspoke/agent/serve.py
+++ b/latchspoke/agent/serve.py
@@ -27,7 +27,7 @@
 from latchspoke.agent.tls import TlsSite, by_certificate
 from latchspoke.keys.authority import KeysError
 from latchspoke.keys.tls import Identity
-from latchspoke.net.admin import bind
+from latchspoke.net.admin import bind_unix_socket
 from latchspoke.records import RecordError
 
 log = structlog.get_logger("agent")
@@ -104,7 +104,7 @@
     await runner.setup()
     site: TlsSite | None = None
     try:
-        await web.SockSite(runner, bind(config.socket, BACKLOG)).start()
+        await web.SockSite(runner, bind_unix_socket(config.socket, BACKLOG)).start()
         if config.tls is not None:
             site = open_tls(config.tls, supervisor, runner)
         log.info("serves", agent=config.name, socket=config.socket, instances=len(config.instances))
--- a/latchspoke/cli.py
+++ b/latchspoke/cli.py
@@ -44,7 +44,7 @@
 from latchspoke.config import Config, ConfigError, load, reload
 
 # What needs more than the gateway's own requirements is loaded only when it is asked for.
-GROUPS = {
+EXTERNAL_COMMANDS = {
     "agent": "latchspoke.console.agent",
     "fleet": "latchspoke.console.fleet",
     "records": "latchspoke.console.records",
@@ -59,10 +59,10 @@
 }
 
 
-def run_group(name: str, argv: list[str]) -> int:
+def run_external_command(name: str, argv: list[str]) -> int:
     """A command of the console; one line says what to install where its libraries are missing."""
     try:
-        module = importlib.import_module(GROUPS[name])
+        module = importlib.import_module(EXTERNAL_COMMANDS[name])
     except ModuleNotFoundError as e:
         if (e.name or "").partition(".")[0] == "latchspoke":
             raise
@@ -76,8 +76,8 @@
 
 def main(argv: list[str] | None = None) -> int:
     argv = sys.argv[1:] if argv is None else argv
-    if argv and argv[0] in GROUPS:
-        return run_group(argv[0], argv[1:])
+    if argv and argv[0] in EXTERNAL_COMMANDS:
+        return run_external_command(argv[0], argv[1:])
     try:
         args = docopt(__doc__, argv=argv)
         if args["COMMAND"]:
@@ -101,7 +101,7 @@
     print(
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, gateway {settings.index} of "
         f"{settings.gateways}, {len(settings.classes)} classes, {len(settings.plans)} plans, "
-        f"{len(config.known.entries)} targets known, {config.sockets} sockets"
+        f"{len(config.known_targets.entries)} targets known, {config.max_sockets} sockets"
     )
     return 0
 
--- a/latchspoke/config.py
+++ b/latchspoke/config.py
@@ -13,7 +13,7 @@
 
 Address = tuple[str, int]
 
-STATES = {
+SERVER_STATES = {
     "in_service": api.ServerState.ACTIVE,
     "terminating": api.ServerState.LEAVING,
     "terminated": api.ServerState.LEFT,
@@ -29,7 +29,7 @@
     """Discovery's list or a change of it: the module's entries, and where each is reached."""
 
     generation: int
-    whole: bool
+    complete: bool
     entries: tuple[api.ServerEntry, ...]
     addresses: dict[str, Address]
 
@@ -41,9 +41,9 @@
     ``alone``: whether to begin on those, where no member is heard.
     """
 
-    sockets: tuple[str, ...]
-    kept: str = ""
-    alone: bool = False
+    agent_sockets: tuple[str, ...]
+    cache_path: str = ""
+    start_from_cache: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,78 +55,82 @@
     discovery: Address
     counter: Address | None
     seed: int
-    sockets: int
-    known: TargetList
+    max_sockets: int
+    known_targets: TargetList
     settings: api.Settings
     rules: RulesConfig | None = None
-    control: Address | None = None  # the operators' door
-    fields: frozenset[str] = frozenset()  # those that the file has, to tell one that lacks some
+    operator_address: Address | None = None  # the operators' door
+    field_names: frozenset[str] = frozenset()  # those that the file has, to tell one that lacks some
 
 
-def read_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ConfigError(f"not an address (host:port): {text!r}")
     return host.strip("[]"), int(port)
 
 
-def read_entry(e: dict[str, Any]) -> api.ServerEntry:
+def parse_server_entry(entry: dict[str, Any]) -> api.ServerEntry:
     return api.ServerEntry(
-        server=e["instanceId"],
-        state=STATES[e["lifecycle"]],
-        zone=e.get("zone", ""),
-        kind=e.get("machineType", ""),
-        cell=e.get("cell", 0),
-        size=e.get("weight", 1.0),
-        launched=e.get("startedAtMs", 0) / 1000,
+        server=entry["instanceId"],
+        state=SERVER_STATES[entry["lifecycle"]],
+        zone=entry.get("zone", ""),
+        kind=entry.get("machineType", ""),
+        cell=entry.get("cell", 0),
+        size=entry.get("weight", 1.0),
+        launched=entry.get("startedAtMs", 0) / 1000,
     )
 
 
-def read_list(o: dict[str, Any]) -> TargetList:
-    items = o.get("instances") or ()
+def parse_target_list(document: dict[str, Any]) -> TargetList:
+    instances = document.get("instances") or ()
     return TargetList(
-        generation=int(o["generation"]),
-        whole=bool(o.get("reset")),
-        entries=tuple(read_entry(e) for e in items),
-        addresses={e["instanceId"]: read_address(e["hostPort"]) for e in items if e.get("hostPort")},
+        generation=int(document["generation"]),
+        complete=bool(document.get("reset")),
+        entries=tuple(parse_server_entry(entry) for entry in instances),
+        addresses={
+            entry["instanceId"]: parse_address(entry["hostPort"])
+            for entry in instances
+            if entry.get("hostPort")
+        },
     )
 
 
-def read_rules(env: Mapping[str, str]) -> RulesConfig | None:
+def parse_rules_config(env: Mapping[str, str]) -> RulesConfig | None:
     sockets = tuple(path for path in env.get("GW_MEMBERS", "").split(",") if path)
-    start = env.get("GW_RULES_START", "wait")
-    if start not in ("wait", "known"):
-        raise ConfigError(f"GW_RULES_START: {start!r}; wait or known is wanted")
-    return RulesConfig(sockets, env.get("GW_RULES_KEPT", ""), start == "known") if sockets else None
+    start_mode = env.get("GW_RULES_START", "wait")
+    if start_mode not in ("wait", "known"):
+        raise ConfigError(f"GW_RULES_START: {start_mode!r}; wait or known is wanted")
+    return RulesConfig(sockets, env.get("GW_RULES_KEPT", ""), start_mode == "known") if sockets else None
 
 
-def field_names(o: Mapping[str, Any], before: str = "") -> Iterator[str]:
+def iter_field_names(document: Mapping[str, Any], prefix: str = "") -> Iterator[str]:
     """Of objects in objects, as ``settings.Allowed``; what lists hold is read entry by entry."""
-    for name, value in o.items():
-        yield before + name
+    for name, value in document.items():
+        yield prefix + name
         if isinstance(value, dict):
-            yield from field_names(value, f"{before}{name}.")
+            yield from iter_field_names(value, f"{prefix}{name}.")
 
 
-def read_config(o: dict[str, Any], env: Mapping[str, str]) -> Config:
+def parse_config(document: dict[str, Any], env: Mapping[str, str]) -> Config:
     """The environment's names win over the file's, as they are what the platform started with."""
-    counter, control = o.get("counter"), env.get("GW_CONTROL") or o.get("control")
+    counter, control = document.get("counter"), env.get("GW_CONTROL") or document.get("control")
     if counter is not None and not isinstance(counter, str):
         raise ConfigError(f"not an address (host:port): {counter!r}")
     if control is not None and not isinstance(control, str):
         raise ConfigError(f"not an address (host:port): {control!r}")
     return Config(
-        name=env.get("GW_NAME") or o["name"],
-        listen=read_address(env.get("GW_LISTEN") or o["listen"]),
-        discovery=read_address(env.get("GW_DISCOVERY") or o["discovery"]),
-        counter=read_address(counter) if counter else None,
-        seed=int(o["seed"], 16),
-        sockets=int((o.get("limits") or {}).get("sockets") or 1024),
-        known=read_list(o.get("known") or {"generation": 0, "reset": True}),
-        settings=drill.read_settings(o["settings"]),
-        rules=read_rules(env),
-        control=read_address(control) if control else None,
-        fields=frozenset(field_names(o)),
+        name=env.get("GW_NAME") or document["name"],
+        listen=parse_address(env.get("GW_LISTEN") or document["listen"]),
+        discovery=parse_address(env.get("GW_DISCOVERY") or document["discovery"]),
+        counter=parse_address(counter) if counter else None,
+        seed=int(document["seed"], 16),
+        max_sockets=int((document.get("limits") or {}).get("sockets") or 1024),
+        known_targets=parse_target_list(document.get("known") or {"generation": 0, "reset": True}),
+        settings=drill.read_settings(document["settings"]),
+        rules=parse_rules_config(env),
+        operator_address=parse_address(control) if control else None,
+        field_names=frozenset(iter_field_names(document)),
     )
 
 
@@ -136,7 +140,7 @@
     if not path:
         raise ConfigError("GW_CONFIG is not set and no file is named")
     try:
-        return read_config(json.loads(Path(path).read_text()), env)
+        return parse_config(json.loads(Path(path).read_text()), env)
     except OSError as e:
         raise ConfigError(f"can't read {path}: {e.strerror}") from None
     except json.JSONDecodeError as e:
--- a/latchspoke/dataplane/downstream.py
+++ b/latchspoke/dataplane/downstream.py
@@ -17,11 +17,11 @@
 from latchspoke.dataplane.exchange import ClientExchange, status_line
 from latchspoke.dataplane.upstream import HOP_BY_HOP_HEADERS, Request
 from latchspoke.net.http import (
-    GRACE,
+    CONNECT_GRACE_S,
     Connection,
+    ConnectionContext,
     FramingError,
     ParserError,
-    Shared,
     parse_error,
     read_decimal,
 )
@@ -55,7 +55,7 @@
     side = "client"
 
     def __init__(self, downstream: Downstream) -> None:
-        super().__init__(downstream.shared)
+        super().__init__(downstream.context)
         self.downstream = downstream
         self.exchange: ClientExchange | None = None  # the received request that is not yet answered
         self.fault: FramingError | None = None
@@ -82,9 +82,9 @@
             return
         try:
             self.parser.feed_data(data)
-            if self.started and not self.headed:
-                self.size += len(data)
-                if self.size > self.downstream.limits.header_bytes + 4096:
+            if self.message_started and not self.headers_complete:
+                self.received_bytes += len(data)
+                if self.received_bytes > self.downstream.limits.header_bytes + 4096:
                     raise FramingError(431, "oversize")
         except httptools.HttpParserUpgrade:
             # The request may be complete and in flight; its response is then the last one here.
@@ -103,14 +103,14 @@
         if self.fault is None or self.transport is None or self.lost:
             return
         fault, self.ending = self.fault, True
-        self.code = self.code or "bad_request"
-        self.shared.stats[f"clients.{fault.status}"] += 1
+        self.close_code = self.close_code or "bad_request"
+        self.context.stats[f"clients.{fault.status}"] += 1
         if fault.status:
             self.transport.write(
                 status_line(fault.status) + b"Connection: close\r\nContent-Length: 0\r\n\r\n"
             )
         self.transport.write_eof()
-        clock = self.shared.clock
+        clock = self.context.clock
         clock.schedule(clock.now() + LINGER_S, lambda now: self.end("linger", flush=True))
 
     # The parser's callbacks.
@@ -123,7 +123,7 @@
         super().on_message_begin()
         self.url = b""
         self.header_pairs = []
-        self.waiting_since = self.shared.clock.now()
+        self.waiting_since = self.context.clock.now()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect one header; headers that must be unique are checked."""
@@ -142,7 +142,7 @@
     def on_headers_complete(self) -> None:
         """Check the announced body size and answer ``Expect: 100-continue``."""
         super().on_headers_complete()
-        self.waiting_since = self.shared.clock.now()
+        self.waiting_since = self.context.clock.now()
         length = self.headers.get(b"content-length", b"0")
         if length.isdigit() and int(length) > self.downstream.limits.body_bytes:
             raise FramingError(413, "oversize")
@@ -151,20 +151,20 @@
 
     def on_body(self, part: bytes) -> None:
         """Append a part of the body, up to the size limit."""
-        self.size += len(part)
-        if self.size > self.downstream.limits.body_bytes:
+        self.received_bytes += len(part)
+        if self.received_bytes > self.downstream.limits.body_bytes:
             raise FramingError(413, "oversize")
-        self.waiting_since = self.shared.clock.now()
+        self.waiting_since = self.context.clock.now()
         self.parts.append(part)
 
     def on_message_complete(self) -> None:
         """Start processing the request."""
-        self.started = False
-        self.messages += 1
+        self.message_started = False
+        self.message_count += 1
         self.keep_alive = self.parser.should_keep_alive()
         exchange = self.exchange = ClientExchange(
-            self, self.shared.stats, self.parser.get_method(), self.url, self.headers, self.header_pairs,
-            self.body, self.shared.clock.now(),
+            self, self.context.stats, self.parser.get_method(), self.url, self.headers, self.header_pairs,
+            self.body, self.context.clock.now(),
         )  # fmt: skip
         self.downstream.handle_request(exchange)
 
@@ -180,7 +180,7 @@
         if exchange is not self.exchange:
             return False
         self.exchange = None
-        self.waiting_since = self.shared.clock.now()
+        self.waiting_since = self.context.clock.now()
         if self.transport is not None and not self.lost and not self.transport.is_closing():
             self.transport.write(data)
             self.after_response()
@@ -212,13 +212,13 @@
 
     def __init__(
         self,
-        shared: Shared,
+        context: ConnectionContext,
         core: DataPlaneCore,
         rng: random.Random,
         current_epoch: Callable[[], DecisionLease | None],
     ) -> None:
         """``current_epoch``: the epoch under which tenant keys may be used now, or None."""
-        self.shared, self.core, self.rng, self.current_epoch = shared, core, rng, current_epoch
+        self.context, self.core, self.rng, self.current_epoch = context, core, rng, current_epoch
         self.clients: dict[ClientConnection, None] = {}  # in order of arrival
         self.table: Table | None = None
         self.limits = Limits()
@@ -229,15 +229,15 @@
         self.held_requests: dict[ClientExchange, None] = {}  # waiting for the configuration
         self.stopping = False
         self.request_ids = itertools.count(1)
-        self.max_clients = int(shared.sockets.most * 0.6)
+        self.max_clients = int(context.sockets.max_used * 0.6)
 
     def client_connected(self, client: ClientConnection) -> None:
         """Register a connection; above the limit, the longest idle one is closed, or else the new one."""
         self.clients[client] = None
-        self.shared.stats["clients.accepted"] += 1
+        self.context.stats["clients.accepted"] += 1
         if len(self.clients) > self.max_clients:
             for idle in sorted(self.idle_clients(), key=lambda c: c.waiting_since):
-                if idle.end_idle("sockets"):
+                if idle.end_if_idle("sockets"):
                     return
             client.end("sockets")
 
@@ -261,7 +261,7 @@
             epoch = self.current_epoch()
             if epoch is None:
                 # Keys may have been revoked; they are not accepted without a valid lease.
-                self.shared.stats["refused.no_right"] += 1
+                self.context.stats["refused.no_right"] += 1
                 self.reject_request(exchange, 503, "no_right", route.name, NO_LEASE_RETRY_AFTER_S)
                 return
             key = headers.get(b"authorization", b"")
@@ -274,7 +274,7 @@
         if route.affinity is not None:
             caller, service = self.find_caller(exchange, route, tenant.name if tenant else "")
         left = read_decimal(headers.get(b"x-deadline-remaining", b""))
-        now = self.shared.clock.now()
+        now = self.context.clock.now()
         left = min(left / 1000 if left is not None else MAX_DEADLINE_S, route.timeout) - (
             now - exchange.received_at
         )
@@ -296,12 +296,12 @@
         if self.confirmation_recent():
             self.reject_request(exchange, status, reason, route)
             return
-        self.shared.stats["refused.no_right"] += 1
+        self.context.stats["refused.no_right"] += 1
         self.reject_request(exchange, 503, "no_right", route, NO_LEASE_RETRY_AFTER_S)
 
     def hold(self, exchange: ClientExchange) -> None:
         """Let a request wait for the configuration for a short time."""
-        clock = self.shared.clock
+        clock = self.context.clock
         if len(self.held_requests) >= MAX_HELD_REQUESTS:
             self.reject_request(exchange, 503, "no_configuration", retry_after=NOT_READY_RETRY_AFTER_S)
             return
@@ -325,7 +325,7 @@
         self.held_requests.pop(exchange, None)
         flow, exchange.flow = exchange.flow, None
         if flow is not None:
-            self.core.withdraw(flow, self.shared.clock.now())
+            self.core.withdraw(flow, self.context.clock.now())
 
     def reject_request(
         self,
@@ -336,7 +336,7 @@
         retry_after: float | None = None,
     ) -> None:
         """Answer without involving the dispatcher; ``reason`` is a reason code for operators."""
-        self.core.dispatcher.refusals.append((self.shared.clock.now(), reason, route, ""))
+        self.core.dispatcher.refusals.append((self.context.clock.now(), reason, route, ""))
         exchange.write_empty_response(status, retry_after)
 
     def find_caller(self, exchange: ClientExchange, route: Route, tenant: str) -> tuple[Caller | None, str]:
@@ -367,23 +367,23 @@
         for client in list(self.clients):
             if client.busy or client.ending:
                 continue
-            if client.started:
-                limit = limits.header_s if not client.headed else limits.idle_s
+            if client.message_started:
+                limit = limits.header_s if not client.headers_complete else limits.idle_s
                 if now - client.waiting_since > limit + 0.5:
                     client.reject(FramingError(408, "read_timeout"))
             elif now - client.waiting_since > limits.idle_s:
-                client.end_idle("idle", flush=True)
+                client.end_if_idle("idle", flush=True)
 
     def close_idle(self) -> None:
         """Close idle connections, except new ones whose first request may be about to arrive."""
-        now = self.shared.clock.now()
+        now = self.context.clock.now()
         for client in self.idle_clients():
-            if client.messages or now - client.waiting_since >= GRACE:
-                client.end_idle("drained", flush=True)
+            if client.message_count or now - client.waiting_since >= CONNECT_GRACE_S:
+                client.end_if_idle("drained", flush=True)
 
     def idle_clients(self) -> list[ClientConnection]:
         """Connections without a request in progress."""
-        return [c for c in self.clients if not c.busy and not c.started and not c.ending]
+        return [c for c in self.clients if not c.busy and not c.message_started and not c.ending]
 
     @property
     def in_flight(self) -> int:
--- a/latchspoke/dataplane/exchange.py
+++ b/latchspoke/dataplane/exchange.py
@@ -11,11 +11,11 @@
 
 from latchspoke.core import Flow
 from latchspoke.dataplane.upstream import Response
-from latchspoke.net.http import REASONS
+from latchspoke.net.http import REASON_PHRASES
 from latchspoke.net.stats import Stats
 from latchspoke.transport.log import log
 
-STATUS_LINES = {status: f"HTTP/1.1 {status} {text}\r\n".encode() for status, text in REASONS.items()}
+STATUS_LINES = {status: f"HTTP/1.1 {status} {text}\r\n".encode() for status, text in REASON_PHRASES.items()}
 EXTRA_REASONS = {401: b"Unauthorized", 504: b"Gateway Timeout", 421: b"Misdirected Request"}
 BODILESS_STATUSES = (204, 304)  # statuses whose responses have no body and no Content-Length
 
--- a/latchspoke/dataplane/node.py
+++ b/latchspoke/dataplane/node.py
@@ -23,7 +23,7 @@
 from latchspoke.membership.post import PACKS
 from latchspoke.membership.watch import News
 from latchspoke.net.clock import Clock, Timer
-from latchspoke.net.http import GRACE, Dialer, Shared, Sockets, pending
+from latchspoke.net.http import CONNECT_GRACE_S, ConnectionContext, Dialer, Sockets, has_pending_connections
 from latchspoke.net.stats import Stats
 from latchspoke.node_process import GATEWAY_PORT_OFFSET, NodeProcess
 from latchspoke.outliers.ledger import read as read_evidence
@@ -100,7 +100,9 @@
     def build(self) -> None:
         """Create the parts of the gateway and connect them."""
         settings, self.stats = self.settings, Stats()
-        self.shared = Shared(self.clock, self.stats, Sockets(settings.descriptors - 200), Dialer(self.loop))
+        self.context = ConnectionContext(
+            self.clock, self.stats, Sockets(settings.descriptors - 200), Dialer(self.loop)
+        )
         bound = settings.bound
         self.balancer = Balancer(
             settings.name,
@@ -114,13 +116,13 @@
         self.dispatcher = Dispatcher(
             self.balancer, self.rng, bound("retryRatio", 0.1), bound("retrySlack", 10.0), self.stats
         )
-        self.upstream_pools = UpstreamPools(self.shared, self.balancer, 64 * 1024 * 1024)
+        self.upstream_pools = UpstreamPools(self.context, self.balancer, 64 * 1024 * 1024)
         self.ports = Ports(self.upstream_pools, self.clock)
         self.core = DataPlaneCore(self.dispatcher, self.ports, self.stats)
         self.upstream_pools.core = self.core
         self.reach_graph = self.core.reach_graph = Graph(self.clock.now())
         self.core.epoch_provider = self
-        self.downstream = Downstream(self.shared, self.core, self.rng, self.current_epoch)
+        self.downstream = Downstream(self.context, self.core, self.rng, self.current_epoch)
         self.downstream.configuration_confirmed = (
             lambda: self.lease.proven_at > -math.inf and self.has_peers()
         )
@@ -574,11 +576,11 @@
         """Check whether requests are finished or the grace period is over; then shut down."""
         grace_s = self.settings.bound("graceS", 6.0)
         elapsed = now - self.stopping_at
-        accept_overdue = elapsed > grace_s * LISTEN_FRACTION + GRACE
+        accept_overdue = elapsed > grace_s * LISTEN_FRACTION + CONNECT_GRACE_S
         if (
             elapsed > grace_s * LISTEN_FRACTION
             and self.front_listener.is_serving()
-            and (accept_overdue or not pending(self.front_listener))
+            and (accept_overdue or not has_pending_connections(self.front_listener))
         ):
             self.front_listener.close()
         if elapsed > grace_s * LISTEN_FRACTION:
--- a/latchspoke/dataplane/upstream.py
+++ b/latchspoke/dataplane/upstream.py
@@ -17,7 +17,14 @@
 from barleyhub.line.balancer import Balancer, Upstream
 from latchspoke.core import Attempt
 from latchspoke.dataplane.core import DataPlaneCore
-from latchspoke.net.http import Connection, FramingError, ParserError, Shared, parse_error, read_decimal
+from latchspoke.net.http import (
+    Connection,
+    ConnectionContext,
+    FramingError,
+    ParserError,
+    parse_error,
+    read_decimal,
+)
 from latchspoke.transport.log import log
 
 CAUTION_S = 15.0  # after a prompt reset on a reused connection: the server drops idle connections
@@ -79,7 +86,7 @@
     side = "server"
 
     def __init__(self, pools: UpstreamPools, pool: UpstreamPool, forward: Attempt) -> None:
-        super().__init__(pools.shared)
+        super().__init__(pools.context)
         self.pools, self.pool = pools, pool
         self.forward: Attempt | None = forward
         self.idle_since = self.written_at = 0.0
@@ -89,7 +96,7 @@
         self.header_pairs: list[tuple[bytes, bytes]] = []
         self.parser = httptools.HttpResponseParser(self)
 
-    def on_unopened(self) -> None:
+    def on_dial_failed(self) -> None:
         """The connection could not be established."""
         self.pool.closed(self)
         self.finish(api.Code.UNREACHABLE)
@@ -120,7 +127,7 @@
             # Not earlier: further data in the same read must not be taken for the next response.
             self.deliver(fault)
         elif fault:
-            self.code = self.code or fault
+            self.close_code = self.close_code or fault
             self.finish(api.Code.RESET)
             self.end(fault)
 
@@ -153,18 +160,18 @@
 
     def on_body(self, part: bytes) -> None:
         """Append a part of the body, up to the size limit."""
-        self.size += len(part)
-        if self.size > self.pools.max_body_bytes:
+        self.received_bytes += len(part)
+        if self.received_bytes > self.pools.max_body_bytes:
             raise FramingError(413, "oversize")
         self.parts.append(part)
 
     def on_message_complete(self) -> None:
         """Validate the response and determine the result of the forward."""
-        self.started = False
+        self.message_started = False
         status = self.parser.get_status_code()
         if status < 200 or self.result is not None:
             return
-        self.messages += 1
+        self.message_count += 1
         forward, headers = self.forward, self.headers
         assert forward is not None
         request = forward.flow.message
@@ -172,7 +179,7 @@
         attempt_id = headers.get(b"x-attempt-id")
         if attempt_id is not None and attempt_id != request.attempt_id:
             # A stray response to an earlier request; the right one may still arrive.
-            self.shared.stats["answers.stray"] += 1
+            self.context.stats["answers.stray"] += 1
             log(
                 "stray-answer", server=self.pool.upstream.ident, status=status,
                 attempt=request.attempt_id.decode("latin-1"), stamped=attempt_id.decode("latin-1"),
@@ -199,7 +206,7 @@
         elif status >= 500:
             self.result = api.Code.ERROR, Response(status, pairs, body, attempt_id), EMPTY_REPORT
         elif status < 300 and (b"x-server-seal" not in headers or b"content-encoding" in headers):
-            self.shared.stats["answers.spoilt"] += 1
+            self.context.stats["answers.spoilt"] += 1
             self.keep_alive = False
             self.result = api.Code.RESET, None, EMPTY_REPORT
         else:
@@ -224,33 +231,33 @@
             self.pool.release(self)
         code, response, report = result
         if forward.flow.closed:
-            self.shared.stats["answers.late"] += 1
-        self.pools.core.attempt_ended(forward, code, self.shared.clock.now(), response, report)
+            self.context.stats["answers.late"] += 1
+        self.pools.core.attempt_ended(forward, code, self.context.clock.now(), response, report)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the outstanding forward; a prompt reset on a reused connection is marked as such."""
         unwritten = self.transport is not None and self.transport.get_write_buffer_size() > 0
         super().connection_lost(exc)
         self.pool.closed(self)
-        now = self.shared.clock.now()
+        now = self.context.clock.now()
         report = EMPTY_REPORT
         if (
             self.forward is not None
-            and self.messages
-            and not self.started
+            and self.message_count
+            and not self.message_started
             and now - self.written_at < PROMPT_RESET_S
         ):
             self.pools.cautious_until[self.pool.upstream.service] = now + CAUTION_S
-            self.shared.stats["servers.forgot"] += 1
+            self.context.stats["servers.forgot"] += 1
             report = IDLE_RESET_REPORT
-        self.finish(api.Code.UNREACHABLE if unwritten and self.messages == 0 else api.Code.RESET, report)
+        self.finish(api.Code.UNREACHABLE if unwritten and self.message_count == 0 else api.Code.RESET, report)
 
     def finish(self, code: api.Code, report: dict[str, float] = EMPTY_REPORT) -> None:
         """End the forward without a response."""
         forward, self.forward = self.forward, None
         if forward is not None:
             forward.connection = None
-            self.pools.core.attempt_ended(forward, code, self.shared.clock.now(), None, report)
+            self.pools.core.attempt_ended(forward, code, self.context.clock.now(), None, report)
 
 
 class UpstreamPool:
@@ -280,7 +287,7 @@
     def release(self, connection: ServerConnection) -> None:
         """Keep a connection for reuse, or close it if enough are idle."""
         if len(self.idle) < MAX_IDLE_CONNECTIONS:
-            connection.idle_since = connection.shared.clock.now()
+            connection.idle_since = connection.context.clock.now()
             self.idle.append(connection)
         else:
             connection.end("not_kept", flush=True)
@@ -308,8 +315,8 @@
 
     core: DataPlaneCore  # set after construction, as the core needs this port
 
-    def __init__(self, shared: Shared, balancer: Balancer, max_body_bytes: int) -> None:
-        self.shared, self.balancer, self.max_body_bytes = shared, balancer, max_body_bytes
+    def __init__(self, context: ConnectionContext, balancer: Balancer, max_body_bytes: int) -> None:
+        self.context, self.balancer, self.max_body_bytes = context, balancer, max_body_bytes
         self.pools_by_instance: dict[str, UpstreamPool] = {}
         self.cautious_until: dict[str, float] = {}  # by service, while its servers drop idle connections
         self.connection_caps: dict[str, int] = {}  # by service: connections that one server accepts in all
@@ -317,7 +324,7 @@
 
     def forward(self, forward: Attempt) -> None:
         """Send the forward on an idle connection or on a new one."""
-        now = self.shared.clock.now()
+        now = self.context.clock.now()
         upstream = self.balancer.upstreams.get(forward.target)
         if upstream is None or upstream.state:
             self.core.attempt_ended(forward, api.Code.MOOT, now)
@@ -340,14 +347,14 @@
         if cap and pool.open >= max(
             int(cap * CONNECTION_CAP_FRACTION / len(self.balancer.gateways)), MIN_CONNECTION_CAP
         ):
-            self.shared.stats["servers.no_connection"] += 1
+            self.context.stats["servers.no_connection"] += 1
             self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
-        if self.shared.sockets.left <= 0 and not self.close_longest_idle():
-            self.shared.stats["servers.no_socket"] += 1
+        if self.context.sockets.available <= 0 and not self.close_longest_idle():
+            self.context.stats["servers.no_socket"] += 1
             self.core.attempt_ended(forward, api.Code.MOOT, now)
             return
-        self.shared.stats["servers.opened"] += 1
+        self.context.stats["servers.opened"] += 1
         pool.open += 1
         connection = ServerConnection(self, pool, forward)
         forward.connection = connection
@@ -356,7 +363,7 @@
 
     def write(self, connection: ServerConnection) -> None:
         """Write the request, after checking again that the server and the right to send are still valid."""
-        forward, now = connection.forward, self.shared.clock.now()
+        forward, now = connection.forward, self.context.clock.now()
         assert forward is not None and connection.transport is not None
         upstream = connection.pool.upstream
         gone = bool(upstream.state) or upstream.zone in self.balancer.evacuated
@@ -377,7 +384,7 @@
         length_header = b""
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
             length_header = b"Content-Length: %d\r\n" % len(request.body)
-        self.shared.stats["forwards.sent"] += 1
+        self.context.stats["forwards.sent"] += 1
         connection.transport.write(
             b"%bX-Deadline-Remaining: %d\r\nX-Expected-Instance: %b\r\n%b%b\r\n%b"
             % (
--- a/latchspoke/lab/schedules/gate.py
+++ b/latchspoke/lab/schedules/gate.py
@@ -22,7 +22,7 @@
 from latchspoke.config import RulesConfig
 from latchspoke.core import Attempt, Core, Flow
 from latchspoke.net.clock import Clock, Timer
-from latchspoke.net.rules import Follower, boottime
+from latchspoke.net.rules import RulesClient, boottime
 
 CUSTOMERS = ("c0", "c1", "c2")
 EVERY = 0.02  # s
@@ -75,7 +75,7 @@
         return self.clock.schedule(when, call)
 
 
-class Unchecked(Follower):
+class Unchecked(RulesClient):
     """Goes on under whatever it was last granted."""
 
     @property
@@ -92,7 +92,7 @@
     core.update_servers(api.ServerList(api.ListForm.WHOLE, servers), clock.now())
     with open(path, "a", buffering=1) as record:
         told = RulesConfig(tuple(sockets.split(",")))
-        follower = (Unchecked if change else Follower)(
+        follower = (Unchecked if change else RulesClient)(
             loop, clock, name, SETTINGS, told, lambda rules: core.submit(rules, clock.now()), lambda: None
         )
         core.rules = follower
--- a/latchspoke/lab/virtual_run.py
+++ b/latchspoke/lab/virtual_run.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from latchspoke.config import Address, read_config
+from latchspoke.config import Address, parse_config
 from latchspoke.lab import virtual
 from latchspoke.lab.experiment import Experiment
 from latchspoke.lab.loopback.player import Part, Player
@@ -56,7 +56,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str, port: int, told: dict[str, Any]) -> None:
         self.name, self.port = name, port
         self.clock = VirtualClock(loop)
-        self.node = Node(read_config(told, {}), self.clock, VirtualDialer(loop, name))
+        self.node = Node(parse_config(told, {}), self.clock, VirtualDialer(loop, name))
         self.drained = asyncio.Event()
         self.node.on_done = self.drained.set
         self.loop = loop
--- a/latchspoke/net/admin.py
+++ b/latchspoke/net/admin.py
@@ -15,19 +15,19 @@
 from pathlib import Path
 from typing import Any
 
-from latchspoke.net.calls import CallConnection, Desk, Reply
+from latchspoke.net.management import ManagementConnection, ManagementServer, Reply
 
-KIND = b"Content-Type: application/json\r\n"
+JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
 
 
-def told(status: int, value: Any) -> Reply:
-    return status, json.dumps(value, separators=(",", ":")).encode(), KIND
+def json_reply(status: int, value: Any) -> Reply:
+    return status, json.dumps(value, separators=(",", ":")).encode(), JSON_CONTENT_TYPE
 
 
-class Admin(Desk):
+class AdminServer(ManagementServer):
     """The socket and the connections on it."""
 
-    unknown = told(400, {"error": "not a request that is understood here"})
+    bad_request_reply = json_reply(400, {"error": "not a request that is understood here"})
 
     def __init__(self, loop: asyncio.AbstractEventLoop, path: str, view: Callable[[], Any]) -> None:
         super().__init__(loop)
@@ -35,14 +35,16 @@
 
     def reply(self, method: bytes, url: bytes) -> Reply:
         if method != b"GET":
-            return told(405, {"error": "the view is only read; signals change things"})
+            return json_reply(405, {"error": "the view is only read; signals change things"})
         if url != b"/v1/view":
-            return told(404, {"error": "there is /v1/view and nothing else"})
-        return told(200, self.view())
+            return json_reply(404, {"error": "there is /v1/view and nothing else"})
+        return json_reply(200, self.view())
 
     async def start(self) -> None:
         """Raises OSError where the path can't be taken, as by a gateway that lives."""
-        self.server = await self.loop.create_unix_server(lambda: CallConnection(self), sock=bind(self.path))
+        self.server = await self.loop.create_unix_server(
+            lambda: ManagementConnection(self), sock=bind_unix_socket(self.path)
+        )
 
     def stop(self) -> None:
         """The file goes first, so that nobody finds a socket that no longer answers."""
@@ -51,12 +53,12 @@
         super().stop()
 
 
-def bind(path: str, backlog: int = Desk.most) -> socket.socket:
+def bind_unix_socket(path: str, backlog: int = ManagementServer.max_connections) -> socket.socket:
     """A listening Unix socket that its owner alone may use; one left by a dead process is replaced."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
         if Path(path).exists():
-            clear(path)
+            remove_stale_socket(path)
         # The mode is set before anyone can connect: nobody is listened to until listen().
         sock.bind(path)
         os.chmod(path, 0o600)
@@ -67,7 +69,7 @@
     return sock
 
 
-def clear(path: str) -> None:
+def remove_stale_socket(path: str) -> None:
     """Take away the socket of a dead process, and nothing else."""
     if not stat.S_ISSOCK(os.stat(path).st_mode):
         raise OSError(f"{path} is there and is no socket")
--- a/latchspoke/net/clock.py
+++ b/latchspoke/net/clock.py
@@ -7,23 +7,23 @@
 import time
 from collections.abc import Callable
 
-TICK = 0.001  # s; the loop's timers are no finer
+TIMER_RESOLUTION_S = 0.001  # s; the loop's timers are no finer
 
 
 class Timer:
-    __slots__ = ("call", "clock", "when")
+    __slots__ = ("callback", "clock", "when")
 
     def __init__(self, clock: Clock, when: float, call: Callable[[float], None]) -> None:
         self.clock, self.when = clock, when
-        self.call: Callable[[float], None] | None = call
+        self.callback: Callable[[float], None] | None = call
 
     def __lt__(self, other: Timer) -> bool:
         return self.when < other.when
 
     def cancel(self) -> None:
-        self.call = None
+        self.callback = None
         if self.clock.heap and self.clock.heap[0] is self:
-            self.clock.settle()
+            self.clock.discard_cancelled()
 
 
 class Clock:
@@ -31,49 +31,49 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.origin = time.time() - time.monotonic()
+        self.unix_offset = time.time() - time.monotonic()
         self.heap: list[Timer] = []
         self.handle: asyncio.TimerHandle | None = None
-        self.armed = float("inf")
+        self.armed_for = float("inf")
 
     def now(self) -> float:
-        return self.origin + time.monotonic()
+        return self.unix_offset + time.monotonic()
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
         timer = Timer(self, when, call)
         heapq.heappush(self.heap, timer)
-        if when < self.armed:
+        if when < self.armed_for:
             self.arm(when)
         return timer
 
     def arm(self, when: float) -> None:
         if self.handle is not None:
             self.handle.cancel()
-        self.armed = when
-        self.handle = self.loop.call_later(max(when - self.now(), 0.0), self.fire)
+        self.armed_for = when
+        self.handle = self.loop.call_later(max(when - self.now(), 0.0), self.run_due)
 
-    def settle(self) -> None:
+    def discard_cancelled(self) -> None:
         """Pass over what was cancelled. Nearly all timers are, and to wake for one costs more than this."""
-        while self.heap and self.heap[0].call is None:
+        while self.heap and self.heap[0].callback is None:
             heapq.heappop(self.heap)
         if not self.heap:
             if self.handle is not None:
                 self.handle.cancel()
-            self.handle, self.armed = None, float("inf")
-        elif self.heap[0].when != self.armed:
+            self.handle, self.armed_for = None, float("inf")
+        elif self.heap[0].when != self.armed_for:
             self.arm(self.heap[0].when)
 
-    def fire(self) -> None:
+    def run_due(self) -> None:
         """Call what is due, or will be before the loop, which counts in ms, could call again.
 
         What is asked for meanwhile waits for the loop's next round: who was called a little early, and asks
         for the same moment again, would else be called for ever.
         """
-        now, self.handle, self.armed = self.now(), None, float("inf")
+        now, self.handle, self.armed_for = self.now(), None, float("inf")
         due = []
-        while self.heap and self.heap[0].when <= now + TICK:
+        while self.heap and self.heap[0].when <= now + TIMER_RESOLUTION_S:
             due.append(heapq.heappop(self.heap))
         for timer in due:
-            if timer.call is not None:
-                timer.call(now)
-        self.settle()
+            if timer.callback is not None:
+                timer.callback(now)
+        self.discard_cancelled()
--- a/latchspoke/net/counter.py
+++ b/latchspoke/net/counter.py
@@ -11,30 +11,37 @@
 from latchspoke.config import Address
 from latchspoke.core import Core
 from latchspoke.net.clock import Timer
-from latchspoke.net.http import Connection, FramingError, ParserError, Shared, parse_error, read_decimal
-
-LINES = 2  # connections; a name always takes the same one, which keeps its calls in order
-OPEN_MOST = 1.0  # s; to connect; a call waits for it no longer than its own limit
-IDLE_MOST = 5.0  # s; the counter closes idle connections after some 10 s
-PATIENCE = 0.2  # s; where no answer at all has come for so long, the next calls take a new connection
-RETIRED_MOST = 1.5  # s; so long what is owed on a connection without further calls is read
-SILENT_MOST = 3.0  # s without any answer while some are owed: a new connection is due
-
-
-class Call:
+from latchspoke.net.http import (
+    Connection,
+    ConnectionContext,
+    FramingError,
+    ParserError,
+    parse_error,
+    read_decimal,
+)
+
+CONNECTION_COUNT = 2  # connections; a name always takes the same one, which keeps its calls in order
+CONNECT_TIMEOUT_S = 1.0  # s; to connect; a call waits for it no longer than its own limit
+IDLE_TIMEOUT_S = 5.0  # s; the counter closes idle connections after some 10 s
+STALL_TIMEOUT_S = 0.2  # s; where no answer at all has come for so long, the next calls take a new connection
+RETIRED_TIMEOUT_S = 1.5  # s; so long what is owed on a connection without further calls is read
+SILENCE_TIMEOUT_S = 3.0  # s without any answer while some are owed: a new connection is due
+
+
+class CounterCall:
     """One call; ``done`` once its outcome was told, though its answer may still come."""
 
-    __slots__ = ("amount", "done", "life", "made_at", "name", "timer", "written")
+    __slots__ = ("amount", "completed", "forget_after", "made_at", "name", "sent", "timer")
 
-    def __init__(self, name: int, amount: float, life: float, now: float) -> None:
-        self.name, self.amount, self.life, self.made_at = name, amount, life, now
-        self.written = self.done = False
+    def __init__(self, name: int, amount: float, forget_after: float, now: float) -> None:
+        self.name, self.amount, self.forget_after, self.made_at = name, amount, forget_after, now
+        self.sent = self.completed = False
         self.timer: Timer | None = None
 
-    def line(self) -> bytes:
-        life = max(round(self.life * 1000), 1)
+    def encode(self) -> bytes:
+        forget_after = max(round(self.forget_after * 1000), 1)
         return (
-            f"POST /v2/numbers/{self.name}?delta={self.amount:.6f}&life_ms={life} HTTP/1.1\r\n"
+            f"POST /v2/numbers/{self.name}?delta={self.amount:.6f}&life_ms={forget_after} HTTP/1.1\r\n"
             "Host: counter\r\nContent-Length: 0\r\n\r\n"
         ).encode()
 
@@ -44,37 +51,37 @@
 
     side = "counter"
 
-    def __init__(self, line: CounterLine) -> None:
-        super().__init__(line.shared)
-        self.line = line
-        self.owed: deque[Call] = deque()
+    def __init__(self, channel: CounterChannel) -> None:
+        super().__init__(channel.context)
+        self.channel = channel
+        self.awaiting: deque[CounterCall] = deque()
         self.retired = False  # a reload has named another address: no further call comes here
-        self.heard_at = self.opened_at
+        self.last_response_at = self.opened_at
         self.parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.heard_at = self.shared.clock.now()
+        self.last_response_at = self.context.clock.now()
         if self.retired:
             self.end("reloaded")
         else:
-            self.line.opened(self)
+            self.channel.connected(self)
 
-    def on_unopened(self) -> None:
+    def on_dial_failed(self) -> None:
         if not self.retired:
-            self.line.unopened()
+            self.channel.connect_failed()
 
-    def unheard(self, now: float) -> float:
+    def silence(self, now: float) -> float:
         """How long answers are owed, and none has come."""
-        return now - max(self.owed[0].made_at, self.heard_at) if self.owed else 0.0
+        return now - max(self.awaiting[0].made_at, self.last_response_at) if self.awaiting else 0.0
 
     def retire(self, code: str) -> None:
         """What is owed is still read; a side that never tells it is not waited for."""
         self.retired = True
-        if not self.owed:
+        if not self.awaiting:
             self.end(code, flush=True)
-        now = self.shared.clock.now()
-        self.shared.clock.schedule(now + RETIRED_MOST, lambda late: self.end(code))
+        now = self.context.clock.now()
+        self.context.clock.schedule(now + RETIRED_TIMEOUT_S, lambda late: self.end(code))
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -83,124 +90,124 @@
             self.end(parse_error(e).reason)
 
     def on_message_complete(self) -> None:
-        self.heard_at = self.shared.clock.now()
-        if not self.owed:
+        self.last_response_at = self.context.clock.now()
+        if not self.awaiting:
             self.end("unasked")
             return
-        call = self.owed.popleft()
-        self.messages += 1
+        call = self.awaiting.popleft()
+        self.message_count += 1
         status, total = self.parser.get_status_code(), 0.0
         code = api.Code.FULL if status == 503 else api.Code.UNREACHABLE
         if status == 200:
             number = read_decimal(self.body.strip())
             if number is None:
                 # Added, but by what it says nobody can go; nor by what follows on this connection.
-                self.line.end_call(call, api.Code.TIMEOUT)
+                self.channel.complete_call(call, api.Code.TIMEOUT)
                 raise FramingError(400, "bad_total")
             code, total = api.Code.OK, number
         elif status != 503:
-            self.shared.stats[f"counter.status_{status}"] += 1
-        if call.done:
-            self.shared.stats["counter.late"] += 1
+            self.context.stats[f"counter.status_{status}"] += 1
+        if call.completed:
+            self.context.stats["counter.late"] += 1
             if code is api.Code.OK:
-                self.line.late(call, total)
-        self.line.end_call(call, code, total)
-        if self.retired and not self.owed:
+                self.channel.late_response(call, total)
+        self.channel.complete_call(call, code, total)
+        if self.retired and not self.awaiting:
             self.end("reloaded", flush=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self.line.closed(self)
+        self.channel.connection_closed(self)
 
 
-class CounterLine:
+class CounterChannel:
     """One kept connection to the counter, opened when there is a call for it."""
 
-    def __init__(self, shared: Shared, core: Core, address: Address, limit: float) -> None:
-        self.shared, self.core, self.address, self.limit = shared, core, address, limit
+    def __init__(self, context: ConnectionContext, core: Core, address: Address, timeout_s: float) -> None:
+        self.context, self.core, self.address, self.timeout_s = context, core, address, timeout_s
         self.connection: CounterConnection | None = None
-        self.opening: CounterConnection | None = None
-        self.waiting: deque[Call] = deque()
+        self.connecting: CounterConnection | None = None
+        self.queued: deque[CounterCall] = deque()
 
-    def call(self, call: Call) -> None:
+    def call(self, call: CounterCall) -> None:
         now = call.made_at
-        call.timer = self.shared.clock.schedule(now + self.limit, lambda late: self.overdue(call))
+        call.timer = self.context.clock.schedule(now + self.timeout_s, lambda late: self.call_timed_out(call))
         # A slow counter still answers now and then. A connection that a spoilt answer has left without
         # any would hold up every call of its names.
-        if self.connection is not None and self.connection.unheard(now) > PATIENCE:
+        if self.connection is not None and self.connection.silence(now) > STALL_TIMEOUT_S:
             self.connection.retire("silent")
             self.connection = None
         if self.connection is not None:
-            self.write(self.connection, call)
+            self.send(self.connection, call)
             return
-        self.waiting.append(call)
-        if self.opening is None:
+        self.queued.append(call)
+        if self.connecting is None:
             self.open()
 
     def open(self) -> None:
-        self.opening = CounterConnection(self)
-        self.opening.dial(self.address, OPEN_MOST)
+        self.connecting = CounterConnection(self)
+        self.connecting.dial(self.address, CONNECT_TIMEOUT_S)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Calls go to this address from now on; those not written yet wait for it to come up."""
         self.address = address
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.retire("reloaded")
-        if self.opening is not None:
-            self.opening.retire("reloaded")
+        if self.connecting is not None:
+            self.connecting.retire("reloaded")
             self.open()
 
-    def unopened(self) -> None:
-        self.opening = None
-        waiting, self.waiting = self.waiting, deque()
-        for call in waiting:
-            self.end_call(call, api.Code.UNREACHABLE)
+    def connect_failed(self) -> None:
+        self.connecting = None
+        queued, self.queued = self.queued, deque()
+        for call in queued:
+            self.complete_call(call, api.Code.UNREACHABLE)
 
-    def opened(self, connection: CounterConnection) -> None:
-        self.connection, self.opening = connection, None
-        while self.waiting:
-            call = self.waiting.popleft()
-            if not call.done:
-                self.write(connection, call)
+    def connected(self, connection: CounterConnection) -> None:
+        self.connection, self.connecting = connection, None
+        while self.queued:
+            call = self.queued.popleft()
+            if not call.completed:
+                self.send(connection, call)
 
-    def write(self, connection: CounterConnection, call: Call) -> None:
+    def send(self, connection: CounterConnection, call: CounterCall) -> None:
         assert connection.transport is not None
-        call.written = True
-        connection.owed.append(call)
-        connection.transport.write(call.line())
+        call.sent = True
+        connection.awaiting.append(call)
+        connection.transport.write(call.encode())
 
-    def closed(self, connection: CounterConnection) -> None:
+    def connection_closed(self, connection: CounterConnection) -> None:
         if self.connection is connection:
             self.connection = None
         # Written whole and not answered: it may have been added.
-        while connection.owed:
-            self.end_call(connection.owed.popleft(), api.Code.TIMEOUT)
+        while connection.awaiting:
+            self.complete_call(connection.awaiting.popleft(), api.Code.TIMEOUT)
 
-    def overdue(self, call: Call) -> None:
+    def call_timed_out(self, call: CounterCall) -> None:
         """Unwritten, it was surely not added; written, it may yet be, and its answer is passed over."""
-        self.end_call(call, api.Code.TIMEOUT if call.written else api.Code.UNREACHABLE)
+        self.complete_call(call, api.Code.TIMEOUT if call.sent else api.Code.UNREACHABLE)
 
-    def end_call(self, call: Call, code: api.Code, total: float = 0.0) -> None:
-        if not call.done:
-            call.done = True
+    def complete_call(self, call: CounterCall, code: api.Code, total: float = 0.0) -> None:
+        if not call.completed:
+            call.completed = True
             if call.timer is not None:
                 call.timer.cancel()
-            now = self.shared.clock.now()
+            now = self.context.clock.now()
             self.core.counter_answered(call.name, code, now - call.made_at, total, now)
 
-    def late(self, call: Call, total: float) -> None:
+    def late_response(self, call: CounterCall, total: float) -> None:
         """Its limit has passed, but what the counter says is true all the same."""
-        now = self.shared.clock.now()
+        now = self.context.clock.now()
         self.core.counter_answered_late(call.name, now - call.made_at, total, now)
 
     def sweep(self, now: float) -> None:
         connection = self.connection
         if connection is not None:
-            if connection.unheard(now) > SILENT_MOST:
+            if connection.silence(now) > SILENCE_TIMEOUT_S:
                 self.connection = None
                 connection.end("silent")
-            elif not connection.owed and now - connection.heard_at > IDLE_MOST:
+            elif not connection.awaiting and now - connection.last_response_at > IDLE_TIMEOUT_S:
                 self.connection = None
                 connection.end("idle", flush=True)
 
@@ -210,38 +217,41 @@
 
     core: Core  # comes once it is made, as it needs this port
 
-    def __init__(self, shared: Shared, address: Address | None, settings: api.Settings) -> None:
-        self.shared, self.limit = shared, settings.counter_limit
+    def __init__(self, context: ConnectionContext, address: Address | None, settings: api.Settings) -> None:
+        self.context, self.timeout_s = context, settings.counter_limit
         self.address = address
-        self.lines: list[CounterLine] = []
+        self.channels: list[CounterChannel] = []
 
-    def bind(self, core: Core) -> None:
+    def attach(self, core: Core) -> None:
         self.core = core
         if self.address is not None:
-            self.lines = [CounterLine(self.shared, core, self.address, self.limit) for _ in range(LINES)]
+            self.channels = [
+                CounterChannel(self.context, core, self.address, self.timeout_s)
+                for _ in range(CONNECTION_COUNT)
+            ]
 
-    def move(self, address: Address | None) -> None:
+    def set_address(self, address: Address | None) -> None:
         """A reload has named this address. Names keep their lines, and so the order of their calls."""
         if address is None or address == self.address:
             return
         self.address = address
-        for line in self.lines:
-            line.move(address)
-        if not self.lines:
-            self.bind(self.core)
-
-    def count(self, name: int, amount: float, life: float) -> None:
-        now = self.shared.clock.now()
-        if not self.lines:
+        for channel in self.channels:
+            channel.set_address(address)
+        if not self.channels:
+            self.attach(self.core)
+
+    def add(self, name: int, amount: float, forget_after: float) -> None:
+        now = self.context.clock.now()
+        if not self.channels:
             self.core.counter_answered(name, api.Code.UNREACHABLE, 0.0, 0.0, now)
             return
-        self.lines[name % len(self.lines)].call(Call(name, amount, life, now))
+        self.channels[name % len(self.channels)].call(CounterCall(name, amount, forget_after, now))
 
     def sweep(self, now: float) -> None:
-        for line in self.lines:
-            line.sweep(now)
+        for channel in self.channels:
+            channel.sweep(now)
 
     def stop(self) -> None:
-        for line in self.lines:
-            if line.connection is not None:
-                line.connection.end("drained", flush=True)
+        for channel in self.channels:
+            if channel.connection is not None:
+                channel.connection.end("drained", flush=True)
--- a/latchspoke/net/http.py
+++ b/latchspoke/net/http.py
@@ -18,9 +18,9 @@
 
 log = logging.getLogger("latchspoke.connection")
 
-MOST_BODY = 64 * 1024
-MOST_HEAD = 16 * 1024
-REASONS = {
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+REASON_PHRASES = {
     100: "Continue",
     200: "OK",
     400: "Bad Request",
@@ -35,12 +35,12 @@
 }
 
 
-DECIMAL = re.compile(rb"[+-]?\d{1,32}(?:\.\d{0,32})?(?:[eE][+-]?\d{1,2})?")
+DECIMAL_PATTERN = re.compile(rb"[+-]?\d{1,32}(?:\.\d{0,32})?(?:[eE][+-]?\d{1,2})?")
 
 
 def read_decimal(text: bytes) -> float | None:
     """The one reader of numbers from outside: plain decimals, and never nan, inf, 0x10 or 1_0."""
-    return float(text) if DECIMAL.fullmatch(text) else None
+    return float(text) if DECIMAL_PATTERN.fullmatch(text) else None
 
 
 class FramingError(Exception):
@@ -51,130 +51,133 @@
         self.status, self.reason = status, reason
 
 
-class Sink(Protocol):
+class BodySink(Protocol):
     """Where a body goes piece by piece."""
 
-    def send_on(self, part: bytes, last: bool) -> bool:
+    def send_part(self, part: bytes, last: bool) -> bool:
         """Whether more can be taken now; else ``Upload.hold(False)`` follows."""
 
-    def abandon(self) -> None:
+    def abandon_upload(self) -> None:
         """The rest will never come."""
 
 
 class Upload:
     """A body that goes on to a target while it comes in; none of it is kept once it has gone."""
 
-    __slots__ = ("done", "hold", "length", "parts", "sink", "spent", "waiting")
+    __slots__ = ("buffered_bytes", "complete", "consumed", "length", "parts", "set_paused", "sink")
 
-    def __init__(self, length: int | None, parts: list[bytes], hold: Callable[[bool], None]) -> None:
-        self.length, self.parts, self.hold = length, parts, hold
-        self.waiting = sum(map(len, parts))
-        self.sink: Sink | None = None
+    def __init__(self, length: int | None, parts: list[bytes], set_paused: Callable[[bool], None]) -> None:
+        self.length, self.parts, self.set_paused = length, parts, set_paused
+        self.buffered_bytes = sum(map(len, parts))
+        self.sink: BodySink | None = None
         # Whether all has come; whether some of it has gone, so that it can't go a second time.
-        self.done = self.spent = False
+        self.complete = self.consumed = False
 
     def put(self, part: bytes) -> None:
         if self.sink is not None:
-            if not self.sink.send_on(part, False):
-                self.hold(True)
-        elif not self.spent:
+            if not self.sink.send_part(part, False):
+                self.set_paused(True)
+        elif not self.consumed:
             self.parts.append(part)
-            self.waiting += len(part)
-            if self.waiting > MOST_BODY:
-                self.hold(True)
+            self.buffered_bytes += len(part)
+            if self.buffered_bytes > MAX_BODY_BYTES:
+                self.set_paused(True)
 
     def end(self) -> None:
-        self.done = True
+        self.complete = True
         if self.sink is not None:
-            self.sink.send_on(b"", True)
+            self.sink.send_part(b"", True)
 
-    def attach(self, sink: Sink) -> None:
-        parts, self.parts, self.waiting = self.parts, [], 0
-        self.sink, self.spent = sink, True
-        free = sink.send_on(b"".join(parts), self.done)
-        self.hold(not free)
+    def attach(self, sink: BodySink) -> None:
+        parts, self.parts, self.buffered_bytes = self.parts, [], 0
+        self.sink, self.consumed = sink, True
+        accepts_more = sink.send_part(b"".join(parts), self.complete)
+        self.set_paused(not accepts_more)
 
     def drop(self) -> None:
-        self.parts, self.waiting, self.spent = [], 0, True
-        self.hold(False)
+        self.parts, self.buffered_bytes, self.consumed = [], 0, True
+        self.set_paused(False)
 
-    def detach(self, sink: Sink) -> None:
+    def detach(self, sink: BodySink) -> None:
         """Nobody takes it any more: what is to come is read all the same, and dropped."""
         if self.sink is sink:
             self.sink = None
-            self.hold(False)
+            self.set_paused(False)
 
 
-class Message:
+class RequestMessage:
     """What of a client's request is passed on, with each of its attempts alike.
 
     ``idempotency_key`` is the header's value as it came, empty where there is none: a server that knows it
     drops the repeat of a request that it has run.
     """
 
-    __slots__ = ("body", "content_type", "id", "idempotency_key", "method", "upload", "url")
+    __slots__ = ("body", "content_type", "idempotency_key", "method", "request_id", "upload", "url")
 
     def __init__(
         self,
         method: bytes,
         url: bytes,
-        ident: bytes,
+        request_id: bytes,
         body: bytes,
         content_type: bytes,
         idempotency_key: bytes = b"",
         upload: Upload | None = None,
     ) -> None:
-        self.method, self.url, self.id, self.body = method, url, ident, body
+        self.method, self.url, self.request_id, self.body = method, url, request_id, body
         self.content_type, self.idempotency_key = content_type, idempotency_key
         self.upload = upload
 
 
-class Source(Protocol):
+class BodySource(Protocol):
     """Where an answer comes from piece by piece."""
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Whether to read no further for now, as what has come is not taken off."""
 
-    def leave(self) -> None:
+    def cancel_response(self) -> None:
         """Nobody wants the rest."""
 
 
-class Answer:
+class UpstreamResponse:
     """A target's answer: whole, or as far as it has come, with its source and its size, if that is told."""
 
     __slots__ = ("body", "content_type", "size", "source")
 
     def __init__(
-        self, body: bytes, content_type: bytes, source: Source | None = None, size: int | None = None
+        self, body: bytes, content_type: bytes, source: BodySource | None = None, size: int | None = None
     ) -> None:
         self.body, self.content_type, self.source, self.size = body, content_type, source, size
 
 
-HEADS = {status: f"HTTP/1.1 {status} {text}\r\nContent-Length: ".encode() for status, text in REASONS.items()}
+RESPONSE_HEADS = {
+    status: f"HTTP/1.1 {status} {text}\r\nContent-Length: ".encode()
+    for status, text in REASON_PHRASES.items()
+}
 
 
-def response(status: int, body: bytes = b"", headers: bytes = b"", close: bool = False) -> bytes:
+def format_response(status: int, body: bytes = b"", headers: bytes = b"", close: bool = False) -> bytes:
     end = b"Connection: close\r\n\r\n" if close else b"\r\n"
-    return b"%b%d\r\n%b%b%b" % (HEADS[status], len(body), headers, end, body)
+    return b"%b%d\r\n%b%b%b" % (RESPONSE_HEADS[status], len(body), headers, end, body)
 
 
 class Sockets:
     """The sockets of the whole process, against its limit."""
 
     # Kept free for what is not counted: standard streams, the loop's own, the listener.
-    RESERVE = 32
+    RESERVED = 32
 
     def __init__(self, limit: int) -> None:
-        self.limit, self.used = limit, 0
-        self.share(1)
+        self.descriptor_limit, self.used = limit, 0
+        self.set_process_count(1)
 
-    def share(self, processes: int) -> None:
+    def set_process_count(self, processes: int) -> None:
         """So many processes hold the limit together, while one replaces another."""
-        self.most = max(self.limit // processes - self.RESERVE, 8)
+        self.max_used = max(self.descriptor_limit // processes - self.RESERVED, 8)
 
     @property
-    def left(self) -> int:
-        return self.most - self.used
+    def available(self) -> int:
+        return self.max_used - self.used
 
 
 class Dialer:
@@ -190,26 +193,26 @@
         """Begin to open it; the call that comes back stops this."""
         task = self.loop.create_task(self.open(connection, address))
 
-        def settled(task: asyncio.Task[Any]) -> None:
+        def on_done(task: asyncio.Task[Any]) -> None:
             # Also one that was stopped before its first step has given its socket back.
             if (task.cancelled() or task.exception()) and connection.transport is None:
-                connection.unopened("unreachable")
+                connection.dial_failed("unreachable")
 
-        task.add_done_callback(settled)
+        task.add_done_callback(on_done)
         return task.cancel
 
 
-class Shared:
+class ConnectionContext:
     """What every connection needs of the process."""
 
     def __init__(self, clock: Clock, stats: Stats, sockets: Sockets, dialer: Dialer) -> None:
         self.clock, self.stats, self.sockets, self.dialer = clock, stats, sockets, dialer
 
 
-GRACE = 0.5  # s; a client that has just connected is about to ask
+CONNECT_GRACE_S = 0.5  # s; a client that has just connected is about to ask
 
 
-def readable(sock: socket) -> bool:
+def has_input(sock: socket) -> bool:
     """Whether bytes, or connections where it listens, are here that nobody has taken."""
     if sock.fileno() < 0:
         return False
@@ -218,9 +221,9 @@
     return any(event & select.POLLIN for _, event in poll.poll(0))
 
 
-def pending(server: asyncio.Server) -> bool:
+def has_pending_connections(server: asyncio.Server) -> bool:
     """Whether connections have come up that are not taken in yet: closing the server would reset them."""
-    return any(readable(sock) for sock in server.sockets)
+    return any(has_input(sock) for sock in server.sockets)
 
 
 class Connection(asyncio.Protocol):
@@ -228,70 +231,70 @@
 
     side = "?"
 
-    def __init__(self, shared: Shared) -> None:
-        self.shared = shared
+    def __init__(self, context: ConnectionContext) -> None:
+        self.context = context
         self.transport: asyncio.Transport | None = None
         self.dial_timer: Timer | None = None
-        self.stop_dialling: Callable[[], object] | None = None
+        self.cancel_dial: Callable[[], object] | None = None
         self.peer = "?"
-        self.code = ""
+        self.close_code = ""
         self.lost = False
-        self.messages = 0
-        self.rules = ""  # the versions by which its last request was decided
-        self.opened_at = shared.clock.now()
-        shared.sockets.used += 1
-        self.begin()
+        self.message_count = 0
+        self.rules_label = ""  # the versions by which its last request was decided
+        self.opened_at = context.clock.now()
+        context.sockets.used += 1
+        self.reset_message_state()
 
     def dial(self, address: Address, limit: float) -> None:
         """Open it from this side, within the limit; ``on_unopened`` tells if that fails."""
         self.peer = f"{address[0]}:{address[1]}"
-        self.stop_dialling = self.shared.dialer.dial(self, address)
-        self.dial_timer = self.shared.clock.schedule(self.shared.clock.now() + limit, self.dial_overdue)
+        self.cancel_dial = self.context.dialer.dial(self, address)
+        self.dial_timer = self.context.clock.schedule(self.context.clock.now() + limit, self.dial_timed_out)
 
-    def dial_overdue(self, now: float) -> None:
+    def dial_timed_out(self, now: float) -> None:
         if self.transport is None:
             self.end("connect_timeout")
 
-    def unopened(self, code: str) -> None:
+    def dial_failed(self, code: str) -> None:
         if not self.lost:
-            self.lost, self.code = True, self.code or code
-            self.release()
-            self.on_unopened()
+            self.lost, self.close_code = True, self.close_code or code
+            self.record_end()
+            self.on_dial_failed()
 
-    def on_unopened(self) -> None:
+    def on_dial_failed(self) -> None:
         """It never came up."""
 
     # The parser's callbacks.
 
-    def begin(self) -> None:
+    def reset_message_state(self) -> None:
         self.headers: dict[bytes, bytes] = {}
         self.parts: list[bytes] = []
-        self.size = 0
-        self.started = False
-        self.headed = False
+        self.received_bytes = 0
+        self.message_started = False
+        self.headers_complete = False
 
     def on_message_begin(self) -> None:
-        self.begin()
-        self.started = True
+        self.reset_message_state()
+        self.message_started = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.headed:  # what follows a body, in a chunked message, is none of it
+        if not self.headers_complete:  # what follows a body, in a chunked message, is none of it
             self.headers[name.lower()] = value.strip(b" \t")
 
     def on_headers_complete(self) -> None:
-        self.headed = True
-        self.size = 0
+        self.headers_complete = True
+        self.received_bytes = 0
 
-    def bound_head(self, size: int) -> None:
+    def check_head_size(self, size: int) -> None:
         """After each piece of this size: a head that doesn't end must not be kept."""
-        if self.started and not self.headed:
-            self.size += size
-            if self.size > MOST_HEAD:
+        if self.message_started and not self.headers_complete:
+            self.received_bytes += size
+            if self.received_bytes > MAX_HEAD_BYTES:
                 raise FramingError(431, "oversize")
 
     def on_body(self, part: bytes) -> None:
-        self.size += len(part)
-        if self.size > MOST_BODY:
+        self.received_bytes += len(part)
+        if self.received_bytes > MAX_BODY_BYTES:
             raise FramingError(413, "oversize")
         self.parts.append(part)
 
@@ -309,47 +312,48 @@
         self.peer = f"{peer[0]}:{peer[1]}" if peer else "?"
 
     def eof_received(self) -> bool | None:
-        self.code = self.code or "peer_closed"
+        self.close_code = self.close_code or "peer_closed"
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost = True
-        self.code = self.code or ("peer_reset" if exc else "peer_closed")
-        self.release()
+        self.close_code = self.close_code or ("peer_reset" if exc else "peer_closed")
+        self.record_end()
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether bytes have come in that the loop has not handed on yet."""
         sock: Any = self.transport.get_extra_info("socket") if self.transport is not None else None
-        return sock is not None and readable(sock) and not self.lost
+        return sock is not None and has_input(sock) and not self.lost
 
-    def end_idle(self, code: str, flush: bool = False) -> bool:
+    def end_if_idle(self, code: str, flush: bool = False) -> bool:
         """Close one on which nothing is under way; False if its next request is here and only not read yet.
 
         A close over unread bytes is a reset: it takes the request, and with it what the other side has not
         read of the answer before.
         """
-        if self.unread:
+        if self.has_unread_input:
             return False
         self.end(code, flush)
         return True
 
-    def release(self) -> None:
+    def record_end(self) -> None:
         """The connection has ended: its socket is free again, and one line says why it ended."""
-        self.shared.sockets.used -= 1
-        age = self.shared.clock.now() - self.opened_at
-        self.shared.stats[f"closed.{self.side}.{self.code}"] += 1
+        self.context.sockets.used -= 1
+        age = self.context.clock.now() - self.opened_at
+        self.context.stats[f"closed.{self.side}.{self.close_code}"] += 1
         log.info(
             "side=%s peer=%s code=%s messages=%d age=%.3f%s",
-            self.side, self.peer, self.code, self.messages, age, self.rules and f" rules={self.rules}",
+            self.side, self.peer, self.close_code, self.message_count, age,
+            self.rules_label and f" rules={self.rules_label}",
         )  # fmt: skip
 
     def end(self, code: str, flush: bool = False) -> None:
         """Close, for this reason; what was written goes out first only if flush is set."""
-        self.code = self.code or code
+        self.close_code = self.close_code or code
         if self.transport is None:
-            if self.stop_dialling is not None:
-                self.stop_dialling()
+            if self.cancel_dial is not None:
+                self.cancel_dial()
         elif flush:
             self.transport.close()
         else:
--- a/latchspoke/net/calls.py
+++ b/latchspoke/net/management.py
@@ -11,40 +11,40 @@
 
 import httptools
 
-from latchspoke.net.http import FramingError, ParserError, response
+from latchspoke.net.http import FramingError, ParserError, format_response
 
 log = logging.getLogger(__name__)
 
-MOST_ASKED = 4096  # bytes of one connection that are not answered yet
-TEXT = b"Content-Type: text/plain\r\n"
+MAX_UNANSWERED_BYTES = 4096  # bytes of one connection that are not answered yet
+TEXT_CONTENT_TYPE = b"Content-Type: text/plain\r\n"
 
 Reply = tuple[int, bytes, bytes]  # status, body, further headers
 
 
-class CallConnection(asyncio.Protocol):
+class ManagementConnection(asyncio.Protocol):
     """Answers each call whole, in their order; what it does not understand ends it."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, management_server: ManagementServer) -> None:
+        self.management_server = management_server
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.url, self.unanswered = b"", 0
+        self.url, self.unanswered_bytes = b"", 0
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.desk.joined(self)
-        self.rest()
+        self.management_server.add_connection(self)
+        self.restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.desk.connections.pop(self, None)
+        self.management_server.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
 
-    def rest(self) -> None:
+    def restart_idle_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.desk.loop.call_later(self.desk.idle, self.close)
+        self.timer = self.management_server.loop.call_later(self.management_server.idle_timeout_s, self.close)
 
     def close(self) -> None:
         if self.transport is not None:
@@ -53,13 +53,13 @@
     def data_received(self, data: bytes) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        self.unanswered += len(data)
+        self.unanswered_bytes += len(data)
         try:
-            if self.unanswered > MOST_ASKED:
+            if self.unanswered_bytes > MAX_UNANSWERED_BYTES:
                 raise FramingError(431, "oversize")
             self.parser.feed_data(data)
         except (*ParserError, httptools.HttpParserUpgrade):
-            self.answer(self.desk.unknown, close=True)
+            self.send_reply(self.management_server.bad_request_reply, close=True)
 
     def on_message_begin(self) -> None:
         self.url = b""
@@ -68,44 +68,44 @@
         self.url += url
 
     def on_message_complete(self) -> None:
-        self.unanswered = 0
+        self.unanswered_bytes = 0
         try:
-            reply = self.desk.reply(self.parser.get_method(), self.url)
+            reply = self.management_server.reply(self.parser.get_method(), self.url)
         except Exception:
             log.exception("a call failed")
-            reply = (500, b"the call failed, see the log\n", TEXT)
-        self.answer(reply, close=self.desk.once)
-        self.rest()
+            reply = (500, b"the call failed, see the log\n", TEXT_CONTENT_TYPE)
+        self.send_reply(reply, close=self.management_server.single_request)
+        self.restart_idle_timer()
 
-    def answer(self, reply: Reply, close: bool) -> None:
+    def send_reply(self, reply: Reply, close: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         status, body, headers = reply
-        self.transport.write(response(status, body, headers, close))
+        self.transport.write(format_response(status, body, headers, close))
         if close:
             self.transport.close()
 
 
-class Desk:
+class ManagementServer:
     """Where calls come in; ``reply`` is the answer to each."""
 
-    once = False  # whether a connection carries one call only
-    most = 8  # connections at once; the gateway's sockets are for requests
-    idle = 30.0  # s; a connection that asks nothing is given up
-    unknown: Reply = (400, b"not a call\n", TEXT)
+    single_request = False  # whether a connection carries one call only
+    max_connections = 8  # connections at once; the gateway's sockets are for requests
+    idle_timeout_s = 30.0  # s; a connection that asks nothing is given up
+    bad_request_reply: Reply = (400, b"not a call\n", TEXT_CONTENT_TYPE)
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.connections: dict[CallConnection, None] = {}  # the one that has been there longest first
+        self.connections: dict[ManagementConnection, None] = {}  # the one that has been there longest first
         self.server: asyncio.AbstractServer | None = None
 
     def reply(self, method: bytes, url: bytes) -> Reply:
         raise NotImplementedError
 
-    def joined(self, connection: CallConnection) -> None:
+    def add_connection(self, connection: ManagementConnection) -> None:
         """Callers that say nothing must not keep the others out: the oldest makes room."""
         self.connections[connection] = None
-        if len(self.connections) > self.most:
+        if len(self.connections) > self.max_connections:
             oldest = next(iter(self.connections))
             del self.connections[oldest]
             if oldest.transport is not None:
--- a/latchspoke/net/serve.py
+++ b/latchspoke/net/serve.py
@@ -22,43 +22,43 @@
 from latchspoke.net.clock import Clock, Timer
 from latchspoke.net.counter import Counter
 from latchspoke.net.discovery import Watch
-from latchspoke.net.http import GRACE, Dialer, Shared, Sockets, pending
-from latchspoke.net.kin import Kin, lead_here, shared_socket
+from latchspoke.net.http import CONNECT_GRACE_S, ConnectionContext, Dialer, Sockets, has_pending_connections
 from latchspoke.net.listener import ClientConnection, Listener
+from latchspoke.net.process_group import ProcessGroup, bind_shared_socket, route_new_connections
 from latchspoke.net.signals import ENDING, ignore_from_now_on
 from latchspoke.net.stats import Stats
 from latchspoke.net.target import TargetGroup
 
 if TYPE_CHECKING:
-    from latchspoke.net.admin import Admin
-    from latchspoke.net.door import Door
-    from latchspoke.net.rules import Follower
+    from latchspoke.net.admin import AdminServer
+    from latchspoke.net.operator_api import OperatorApi
+    from latchspoke.net.rules import RulesClient
 
 log = logging.getLogger(__name__)
 
-STATS = 5.0  # s between lines with the counters: a gateway that is killed prints none at its end
-SWEEP = 0.5  # s between looks at what is idle, silent or unfinished
-READY_AFTER = 0.2  # s; if discovery says nothing, the list known at the start must do
-BACKLOG = 1024  # connections that the kernel holds for the listener
-RECALL_TRIES = 8  # looks at what an older process has learnt, half of HEED apart
-HEED = 0.1  # s between looks at what other processes of this gateway have noted
-DRAIN_TIME = 0.5  # s after SIGTERM in which new connections still come
+STATS_INTERVAL_S = 5.0  # s between lines with the counters: a gateway that is killed prints none at its end
+SWEEP_INTERVAL_S = 0.5  # s between looks at what is idle, silent or unfinished
+READY_DELAY_S = 0.2  # s; if discovery says nothing, the list known at the start must do
+LISTEN_BACKLOG = 1024  # connections that the kernel holds for the listener
+MAX_RESTORE_ATTEMPTS = 8  # looks at what an older process has learnt, half of HEED apart
+PROCESS_SYNC_INTERVAL_S = 0.1  # s between looks at what other processes of this gateway have noted
+DRAIN_DELAY_S = 0.5  # s after SIGTERM in which new connections still come
 
 
 class Ports:
     """The core's ports on sockets."""
 
-    def __init__(self, group: TargetGroup, counter: Counter, clock: Clock) -> None:
-        self.group, self.counter, self.clock = group, counter, clock
+    def __init__(self, target_group: TargetGroup, counter: Counter, clock: Clock) -> None:
+        self.target_group, self.counter, self.clock = target_group, counter, clock
 
-    def forward(self, forward: Attempt) -> None:
-        self.group.forward(forward)
+    def forward(self, attempt: Attempt) -> None:
+        self.target_group.forward(attempt)
 
-    def drop(self, forward: Attempt) -> None:
-        self.group.drop(forward)
+    def drop(self, attempt: Attempt) -> None:
+        self.target_group.drop(attempt)
 
-    def add_count(self, name: int, amount: float, life: float) -> None:
-        self.counter.count(name, amount, life)
+    def add_count(self, name: int, amount: float, forget_after: float) -> None:
+        self.counter.add(name, amount, forget_after)
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
         return self.clock.schedule(when, call)
@@ -69,30 +69,30 @@
 
     def __init__(self, config: Config, clock: Clock, dialer: Dialer) -> None:
         self.config, self.clock, self.stats = config, clock, Stats()
-        self.shared = Shared(clock, self.stats, Sockets(config.sockets), dialer)
-        self.group = TargetGroup(self.shared, config.settings)
-        self.counter = Counter(self.shared, config.counter, config.settings)
-        ports = Ports(self.group, self.counter, clock)
+        self.context = ConnectionContext(clock, self.stats, Sockets(config.max_sockets), dialer)
+        self.target_group = TargetGroup(self.context, config.settings)
+        self.counter = Counter(self.context, config.counter, config.settings)
+        ports = Ports(self.target_group, self.counter, clock)
         self.core = Core(Gateway(config.seed, config.settings, self.stats), ports, self.stats)
-        self.group.core = self.core
-        self.counter.bind(self.core)
-        self.listener = Listener(self.shared, self.core, self.group.free_one)
-        self.group.free_client = self.listener.free_client
+        self.target_group.core = self.core
+        self.counter.attach(self.core)
+        self.listener = Listener(self.context, self.core, self.target_group.close_longest_idle)
+        self.target_group.close_waiting_client = self.listener.close_waiting_client
         self.watch = Watch(
-            self.shared,
+            self.context,
             config.discovery,
-            config.known.generation,
-            self.listed,
-            self.ready,
+            config.known_targets.generation,
+            self.server_list_received,
+            self.update_readiness,
             config.settings.gateways,
             config.seed,
         )
-        self.rules: Follower | None = None
-        self.kin: Kin | None = None
+        self.rules: RulesClient | None = None
+        self.process_group: ProcessGroup | None = None
         self.server: asyncio.Server | None = None
         self.on_ready: Callable[[], object] = lambda: None
         self.on_done: Callable[[], object] = lambda: None
-        self.reread: Callable[[], Config] = lambda: config
+        self.load_config: Callable[[], Config] = lambda: config
         self.started_at = clock.now()
         self.stopped_at: float | None = None
 
@@ -100,36 +100,36 @@
         """Everything but the listening socket."""
         now = self.clock.now()
         self.core.start(now)
-        self.group.listed(self.config.known)
-        self.remember([entry.server for entry in self.config.known.entries])
-        if self.kin is not None:
-            self.kin.changed()
-            self.heed_notes()
-        self.core.update_servers(api.ServerList(api.ListForm.SAVED, self.config.known.entries), now)
+        self.target_group.update_targets(self.config.known_targets)
+        self.record_known_servers([entry.server for entry in self.config.known_targets.entries])
+        if self.process_group is not None:
+            self.process_group.reload_if_changed()
+            self.apply_maintenance()
+        self.core.update_servers(api.ServerList(api.ListForm.SAVED, self.config.known_targets.entries), now)
         self.watch.start()
-        self.clock.schedule(now + READY_AFTER, lambda late: self.ready())
-        self.clock.schedule(now + SWEEP, self.sweep)
-        self.clock.schedule(now + STATS, self.tell)
-        if self.kin is not None:
-            self.heed(now)
-
-    def tell(self, now: float) -> None:
-        self.clock.schedule(now + STATS, self.tell)
+        self.clock.schedule(now + READY_DELAY_S, lambda late: self.update_readiness())
+        self.clock.schedule(now + SWEEP_INTERVAL_S, self.sweep)
+        self.clock.schedule(now + STATS_INTERVAL_S, self.print_stats)
+        if self.process_group is not None:
+            self.sync_processes(now)
+
+    def print_stats(self, now: float) -> None:
+        self.clock.schedule(now + STATS_INTERVAL_S, self.print_stats)
         self.stats.show()
 
-    def listed(self, told: TargetList) -> None:
-        self.group.listed(told)
-        form = api.ListForm.WHOLE if told.whole else api.ListForm.CHANGES
-        self.core.update_servers(api.ServerList(form, told.entries), self.clock.now())
-        self.remember([entry.server for entry in told.entries])
-        self.ready()
+    def server_list_received(self, server_list: TargetList) -> None:
+        self.target_group.update_targets(server_list)
+        form = api.ListForm.WHOLE if server_list.complete else api.ListForm.CHANGES
+        self.core.update_servers(api.ServerList(form, server_list.entries), self.clock.now())
+        self.record_known_servers([entry.server for entry in server_list.entries])
+        self.update_readiness()
 
-    def follow(self, rules: Follower) -> None:
+    def use_rules(self, rules: RulesClient) -> None:
         """Rules with versions decide from now on; without a right to act this gateway is not ready."""
         self.rules = rules
         self.core.rules = rules
 
-    def ready(self) -> None:
+    def update_readiness(self) -> None:
         self.listener.ready = not self.listener.stopping and (self.rules is None or self.rules.ready)
         if self.listener.ready:
             self.on_ready()
@@ -139,47 +139,54 @@
         """Whether clients are taken in here: what /status tells."""
         return self.listener.ready and self.server is not None
 
-    def remember(self, names: list[str]) -> None:
+    def record_known_servers(self, names: list[str]) -> None:
         """Calls about servers are heard for each that was ever listed."""
-        if self.kin is None or all(name in self.kin.notes.seen for name in names):
+        if self.process_group is None or all(
+            name in self.process_group.maintenance.known_servers for name in names
+        ):
             return
         try:
-            with self.kin.changing() as notes:
-                notes.seen |= dict.fromkeys(names)
+            with self.process_group.update() as maintenance:
+                maintenance.known_servers |= dict.fromkeys(names)
         except OSError as e:
             log.error("the notes can't be kept: %s", e)
 
-    def maintain(self, word: str, name: str) -> bool:
+    def set_maintenance(self, action: str, name: str) -> bool:
         """A server taken out by hand, or put back; false where none of that name was ever listed."""
-        if self.kin is None:
+        if self.process_group is None:
             return False
-        with self.kin.changing() as notes:
-            change = notes.enter if word == "enter" else notes.exit
+        with self.process_group.update() as maintenance:
+            change = maintenance.enter if action == "enter" else maintenance.exit
             known = change(name, self.clock.now())
-        log.info("by hand: %s %s%s", word, name, "" if known else ", which was never listed")
-        self.heed_notes()
+        log.info("by hand: %s %s%s", action, name, "" if known else ", which was never listed")
+        self.apply_maintenance()
         return known
 
-    def heed_notes(self) -> None:
-        assert self.kin is not None
-        self.group.barred = self.kin.notes.out
-        self.core.submit(api.Maintenance(self.kin.notes.out, self.kin.notes.back), self.clock.now())
+    def apply_maintenance(self) -> None:
+        assert self.process_group is not None
+        self.target_group.excluded = self.process_group.maintenance.in_maintenance
+        self.core.submit(
+            api.Maintenance(
+                self.process_group.maintenance.in_maintenance, self.process_group.maintenance.returned
+            ),
+            self.clock.now(),
+        )
 
-    def heed(self, now: float) -> None:
+    def sync_processes(self, now: float) -> None:
         """See what operators have said at another process of this gateway, and share its sockets with it."""
-        assert self.kin is not None
-        self.clock.schedule(now + HEED, self.heed)
-        if self.kin.changed():
-            self.heed_notes()
-        others = self.kin.others()
-        self.shared.sockets.share(1 + others)
-        self.kin.junior = self.kin.junior and others > 0
-        if others and self.serving and not self.kin.junior:
-            self.kin.leave_learnt(self.core.gateway.export_learned(now))
+        assert self.process_group is not None
+        self.clock.schedule(now + PROCESS_SYNC_INTERVAL_S, self.sync_processes)
+        if self.process_group.reload_if_changed():
+            self.apply_maintenance()
+        others = self.process_group.count_others()
+        self.context.sockets.set_process_count(1 + others)
+        self.process_group.is_successor = self.process_group.is_successor and others > 0
+        if others and self.serving and not self.process_group.is_successor:
+            self.process_group.publish_learned(self.core.gateway.export_learned(now))
 
     def sweep(self, now: float) -> None:
-        self.clock.schedule(now + SWEEP, self.sweep)
-        for part in (self.group, self.counter, self.watch, self.listener):
+        self.clock.schedule(now + SWEEP_INTERVAL_S, self.sweep)
+        for part in (self.target_group, self.counter, self.watch, self.listener):
             part.sweep(now)
 
     def reload(self) -> None:
@@ -187,33 +194,33 @@
         if self.listener.stopping:
             return
         try:
-            config = self.reread()
-            if lacking := sorted(self.config.fields - config.fields):
-                raise ConfigError(f"it lacks {', '.join(lacking)}")
+            config = self.load_config()
+            if missing := sorted(self.config.field_names - config.field_names):
+                raise ConfigError(f"it lacks {', '.join(missing)}")
         except ConfigError as e:
             self.stats["conf.invalid"] += 1
             log.error("%s goes on as before, as the new configuration can't be used: %s", self.config.name, e)
             return
-        self.watch.move(config.discovery)
-        self.counter.move(config.counter)
+        self.watch.set_address(config.discovery)
+        self.counter.set_address(config.counter)
         if config.settings != self.config.settings:
-            self.retune(config.settings)
+            self.apply_settings(config.settings)
         self.stats["conf.loaded"] += 1
         log.info(
             "%s reloaded: discovery %s:%d, counter %s", self.config.name, *config.discovery, config.counter
         )
-        if (config.listen, config.control) != (self.config.listen, self.config.control):
+        if (config.listen, config.operator_address) != (self.config.listen, self.config.operator_address):
             log.warning("%s: new addresses of its own take a restart", self.config.name)
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Go by other settings, all of them between two events."""
         log.info(
             "%s goes by other settings: classes %s, attempts %d",
             self.config.name, ", ".join(kind.name for kind in settings.classes), settings.try_limit,
         )  # fmt: skip
         self.config = replace(self.config, settings=settings)
-        self.group.take(settings)
-        self.counter.limit = settings.counter_limit
+        self.target_group.take_settings(settings)
+        self.counter.timeout_s = settings.counter_limit
         if self.rules is not None:
             # Rules with versions tell the plans' figures, and stand above the file.
             settings = replace(settings, plans=tuple(self.core.gateway.plans.values()))
@@ -227,67 +234,67 @@
         self.stopped_at = self.clock.now()
         self.listener.stopping, self.listener.ready = True, False
         self.on_ready()
-        if self.kin is None or not self.kin.others():
+        if self.process_group is None or not self.process_group.count_others():
             self.listener.close_idle()  # else they stay a little: clients may be about to ask on them
-        self.clock.schedule(self.stopped_at + DRAIN_TIME, self.drained)
+        self.clock.schedule(self.stopped_at + DRAIN_DELAY_S, self.continue_drain)
 
-    def drained(self, now: float) -> None:
+    def continue_drain(self, now: float) -> None:
         if self.server is not None:
-            late = now - (self.stopped_at or now) > DRAIN_TIME + GRACE
-            if not late and pending(self.server):
-                self.clock.schedule(now + 0.02, self.drained)
+            late = now - (self.stopped_at or now) > DRAIN_DELAY_S + CONNECT_GRACE_S
+            if not late and has_pending_connections(self.server):
+                self.clock.schedule(now + 0.02, self.continue_drain)
                 return
             self.server.close()
             self.server = None
         self.listener.close_idle()
         if self.listener.clients:
-            self.clock.schedule(now + 0.02, self.drained)
+            self.clock.schedule(now + 0.02, self.continue_drain)
             return
-        for part in (self.watch, self.group, self.counter):
+        for part in (self.watch, self.target_group, self.counter):
             part.stop()
         self.on_done()
 
 
-async def run(config: Config, reread: Callable[[], Config], admin_path: str | None) -> None:
+async def run(config: Config, load_config: Callable[[], Config], admin_path: str | None) -> None:
     loop = asyncio.get_running_loop()
     node = Node(config, Clock(loop), Dialer(loop))
     host, port = config.listen
-    door = None
-    if config.control is not None:
-        door = await open_door(node, loop, config.control)
-    older = node.kin.others() if node.kin is not None else 0
-    if node.kin is not None:
-        node.kin.junior = older > 0
+    operator_api = None
+    if config.operator_address is not None:
+        operator_api = await open_operator_api(node, loop, config.operator_address)
+    older_processes = node.process_group.count_others() if node.process_group is not None else 0
+    if node.process_group is not None:
+        node.process_group.is_successor = older_processes > 0
     done = asyncio.Event()
     node.on_done = done.set
-    node.reread = reread
+    node.load_config = load_config
     for number in ENDING:
         loop.add_signal_handler(number, node.stop)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
-    if not older:
-        await listen(node, loop, older)
+    if not older_processes:
+        await listen(node, loop, older_processes)
     if config.rules is not None:
-        node.follow(open_rules(node, loop, config.rules))
+        node.use_rules(open_rules(node, loop, config.rules))
     admin = await open_admin(node, loop, admin_path) if admin_path else None
     loop.add_signal_handler(signal.SIGUSR1, node.stats.show)
-    heard = asyncio.Event()
-    node.on_ready = heard.set
+    ready = asyncio.Event()
+    node.on_ready = ready.set
     if node.listener.stopping:
-        heard.set()
+        ready.set()
     node.start()
-    if older:
+    if older_processes:
         # Another process of this gateway serves here until this one can.
-        await heard.wait()
-        await recall(node)
-        await listen(node, loop, older)
+        await ready.wait()
+        await restore_learned(node)
+        await listen(node, loop, older_processes)
     gc.collect()
     gc.freeze()  # what lives from start to end need not be walked again and again
     log.info("%s serves on %s:%d", config.name, host, port)
     await done.wait()
     if admin is not None:
         admin.stop()
-    if door is not None:
-        door.stop()
+    if operator_api is not None:
+        operator_api.stop()
     if node.rules is not None:
         node.rules.stop()
     await asyncio.sleep(0)  # connections tell of their end on the loop's next round
@@ -295,7 +302,7 @@
     ignore_from_now_on(loop)
 
 
-async def listen(node: Node, loop: asyncio.AbstractEventLoop, older: int) -> None:
+async def listen(node: Node, loop: asyncio.AbstractEventLoop, older_processes: int) -> None:
     """Take clients in; where older processes of this gateway do, all new ones come here from now on."""
     if node.listener.stopping:
         return
@@ -303,67 +310,69 @@
     def client() -> ClientConnection:
         return ClientConnection(node.listener)
 
-    if node.kin is None:
-        node.server = await loop.create_server(client, *node.config.listen, backlog=BACKLOG)
+    if node.process_group is None:
+        node.server = await loop.create_server(client, *node.config.listen, backlog=LISTEN_BACKLOG)
         return
-    sock = shared_socket(node.config.listen)
-    node.server = await loop.create_server(client, sock=sock, backlog=BACKLOG)
-    if older:
-        lead_here(sock, older)
+    sock = bind_shared_socket(node.config.listen)
+    node.server = await loop.create_server(client, sock=sock, backlog=LISTEN_BACKLOG)
+    if older_processes:
+        route_new_connections(sock, older_processes)
 
 
-async def recall(node: Node) -> None:
+async def restore_learned(node: Node) -> None:
     """Go on from what the older process has learnt, which it tells as soon as it sees this one."""
-    for _ in range(RECALL_TRIES):
-        if node.kin is None or node.listener.stopping:
+    for _ in range(MAX_RESTORE_ATTEMPTS):
+        if node.process_group is None or node.listener.stopping:
             return
-        if learnt := node.kin.learnt():
-            node.core.gateway.restore_learned(learnt, node.clock.now())
+        if learned := node.process_group.load_learned():
+            node.core.gateway.restore_learned(learned, node.clock.now())
             log.info(
                 "%s goes on from what the other process has learnt: limit %.3g, answers %.3g s, %d servers",
-                node.config.name, learnt["limit"], learnt["latency"], len(learnt["servers"]),
+                node.config.name, learned["limit"], learned["latency"], len(learned["servers"]),
             )  # fmt: skip
             return
-        await asyncio.sleep(HEED / 2)
+        await asyncio.sleep(PROCESS_SYNC_INTERVAL_S / 2)
 
 
-async def open_door(node: Node, loop: asyncio.AbstractEventLoop, address: Address) -> Door:
+async def open_operator_api(node: Node, loop: asyncio.AbstractEventLoop, address: Address) -> OperatorApi:
     """Its modules are loaded only where it is asked for."""
-    from latchspoke.net.door import Door
+    from latchspoke.net.operator_api import OperatorApi
 
-    node.kin = Kin(Path(tempfile.gettempdir()), node.config.name, node.config.listen)
-    door = Door(loop, node)
-    await door.start(address)
-    return door
+    node.process_group = ProcessGroup(Path(tempfile.gettempdir()), node.config.name, node.config.listen)
+    operator_api = OperatorApi(loop, node)
+    await operator_api.start(address)
+    return operator_api
 
 
-def open_rules(node: Node, loop: asyncio.AbstractEventLoop, told: RulesConfig) -> Follower:
+def open_rules(node: Node, loop: asyncio.AbstractEventLoop, rules_config: RulesConfig) -> RulesClient:
     """Its modules are loaded only where members are named."""
-    from latchspoke.net.rules import Follower
+    from latchspoke.net.rules import RulesClient
 
     config = node.config
 
-    def give(rules: api.Rules) -> None:
+    def apply_rules(rules: api.Rules) -> None:
         node.core.submit(rules, node.clock.now())
 
-    follower = Follower(loop, node.clock, config.name, config.settings, told, give, node.ready)
-    follower.start()
-    return follower
+    rules_client = RulesClient(
+        loop, node.clock, config.name, config.settings, rules_config, apply_rules, node.update_readiness
+    )
+    rules_client.start()
+    return rules_client
 
 
-async def open_admin(node: Node, loop: asyncio.AbstractEventLoop, path: str) -> Admin:
+async def open_admin(node: Node, loop: asyncio.AbstractEventLoop, path: str) -> AdminServer:
     """Its modules are loaded only where it is asked for."""
-    from latchspoke.net.admin import Admin
+    from latchspoke.net.admin import AdminServer
     from latchspoke.net.view import gateway_view
 
-    admin = Admin(loop, path, lambda: gateway_view(node, node.reread))
+    admin = AdminServer(loop, path, lambda: gateway_view(node, node.load_config))
     await admin.start()
     return admin
 
 
-def serve(config: Config, reread: Callable[[], Config], admin: str | None = None) -> None:
+def serve(config: Config, load_config: Callable[[], Config], admin: str | None = None) -> None:
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s.%(msecs)03d %(name)s %(message)s",
         datefmt="%Y-%m-%dT%H:%M:%S",
     )  # fmt: skip
-    uvloop.run(run(config, reread, admin))
+    uvloop.run(run(config, load_config, admin))
--- a/latchspoke/net/view.py
+++ b/latchspoke/net/view.py
@@ -19,33 +19,33 @@
 from latchspoke.net.serve import Node
 
 FORMAT = 1  # of the object; a field that goes or changes its meaning makes it grow
-OWN = ("index", "zone")  # settings in which gateways of one fleet differ rightfully
+PER_GATEWAY_SETTINGS = ("index", "zone")  # settings in which gateways of one fleet differ rightfully
 
 
-def plain(value: Any) -> Any:
+def to_json_value(value: Any) -> Any:
     """JSON's own kinds; enumerations by their words."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, Mapping):
-        return {str(name): plain(item) for name, item in value.items()}
+        return {str(name): to_json_value(item) for name, item in value.items()}
     if isinstance(value, list | tuple):
-        return [plain(item) for item in value]
+        return [to_json_value(item) for item in value]
     return value
 
 
 def digest(value: Any) -> str:
     """16 hex digits, the same for equal settings whatever their order in the file."""
-    text = json.dumps(plain(value), sort_keys=True, separators=(",", ":"))
+    text = json.dumps(to_json_value(value), sort_keys=True, separators=(",", ":"))
     return blake2b(text.encode(), digest_size=8).hexdigest()
 
 
 def shared_settings(settings: api.Settings) -> dict[str, Any]:
     """The settings that a whole fleet has in common."""
-    return {name: value for name, value in asdict(settings).items() if name not in OWN}
+    return {name: value for name, value in asdict(settings).items() if name not in PER_GATEWAY_SETTINGS}
 
 
-def address(pair: tuple[str, int] | None) -> str | None:
-    return f"{pair[0]}:{pair[1]}" if pair else None
+def format_address(address: tuple[str, int] | None) -> str | None:
+    return f"{address[0]}:{address[1]}" if address else None
 
 
 def settings_view(settings: api.Settings) -> dict[str, Any]:
@@ -54,23 +54,29 @@
         "digest": digest(shared_settings(settings)),
         "index": settings.index,
         "gateways": settings.gateways,
-        "plans": {plan.name: plain(asdict(plan)) for plan in settings.plans},
-        "classes": {kind.name: plain(asdict(kind)) for kind in settings.classes},
+        "plans": {plan.name: to_json_value(asdict(plan)) for plan in settings.plans},
+        "classes": {kind.name: to_json_value(asdict(kind)) for kind in settings.classes},
     }
 
 
-def file_view(node: Node, reread: Callable[[], Config]) -> dict[str, Any]:
+def file_view(node: Node, load_config: Callable[[], Config]) -> dict[str, Any]:
     """What the file on disk says now, and whether this gateway goes by it."""
     try:
-        told = reread()
+        file_config = load_config()
     except ConfigError as e:
         return {"error": str(e), "taken_up": False}
-    ours = (node.config.settings, node.watch.address, node.counter.address, node.config.listen)
+    current = (node.config.settings, node.watch.address, node.counter.address, node.config.listen)
     return {
-        "digest": digest(shared_settings(told.settings)),
-        "taken_up": ours == (told.settings, told.discovery, told.counter or ours[2], told.listen),
-        "discovery": address(told.discovery),
-        "counter": address(told.counter),
+        "digest": digest(shared_settings(file_config.settings)),
+        "taken_up": current
+        == (
+            file_config.settings,
+            file_config.discovery,
+            file_config.counter or current[2],
+            file_config.listen,
+        ),
+        "discovery": format_address(file_config.discovery),
+        "counter": format_address(file_config.counter),
     }
 
 
@@ -78,10 +84,10 @@
     """What the decisions believe of each server; shares and loads as they are, unrounded they say no more."""
     view = {}
     for name, server in node.core.gateway.servers.items():
-        target = node.group.targets.get(name)
+        target = node.target_group.targets.get(name)
         view[name] = {
             "state": server.entry.state.value,
-            "address": address(target.address) if target else None,
+            "address": format_address(target.address) if target else None,
             "zone": server.entry.zone,
             "out": server.in_flight,
             "idle_connections": len(target.idle) if target else 0,
@@ -92,7 +98,7 @@
     return view
 
 
-def gateway_view(node: Node, reread: Callable[[], Config]) -> dict[str, Any]:
+def gateway_view(node: Node, load_config: Callable[[], Config]) -> dict[str, Any]:
     """All of it; times in seconds, ages as of now."""
     now, gateway, listener, watch = node.clock.now(), node.core.gateway, node.listener, node.watch
     return {
@@ -102,18 +108,18 @@
         "pid": os.getpid(),
         "at": round(now, 3),
         "age": round(now - node.started_at, 3),
-        "listen": address(node.config.listen),
+        "listen": format_address(node.config.listen),
         "ready": listener.ready,
         "settings": settings_view(node.config.settings),
-        "file": file_view(node, reread),
+        "file": file_view(node, load_config),
         "discovery": {
-            "address": address(watch.address),
+            "address": format_address(watch.address),
             "generation": watch.generation,
-            "told_ago": round(now - watch.told_at, 3) if watch.told_at is not None else None,
+            "told_ago": round(now - watch.updated_at, 3) if watch.updated_at is not None else None,
             "connected": watch.connection is not None and watch.connection.transport is not None,
         },
         "counter": {
-            "address": address(node.counter.address),
+            "address": format_address(node.counter.address),
             "silent": gateway.counter_down,
             "failed_in_row": gateway.counter_failures,
             "asked_share": round(gateway.sampling_rate, 4),
@@ -125,14 +131,14 @@
             "forwards_limit": round(gateway.in_flight_bound(now), 2),
             "customers": len(gateway.accounts),
             "clients": len(listener.clients),
-            "sockets": node.shared.sockets.used,
-            "sockets_most": node.shared.sockets.most,
+            "sockets": node.context.sockets.used,
+            "sockets_most": node.context.sockets.max_used,
         },
         "drain": {
             "asked": listener.stopping,
             "since": round(now - node.stopped_at, 3) if node.stopped_at is not None else None,
             "listening": node.server is not None,
-            "clients_busy": listener.busy_count,
+            "clients_busy": listener.busy_clients,
         },
         "rules": node.rules.view() if node.rules is not None else None,
         "counters": dict(sorted(node.stats.items())),
--- a/tests/opsdays/test_bulk.py
+++ b/tests/opsdays/test_bulk.py
@@ -43,7 +43,7 @@
     come(player, b"a" * 10)
     head, _, body = written(player).partition(b"\r\n\r\n")
     assert head.endswith(f"Content-Length: {512 * PIECE}\r\nContent-Type: x".encode()) and body == b"a" * 10
-    assert player.node.listener.current == 1
+    assert player.node.listener.requests_in_flight == 1
     passed = 10
     for _ in range(511):
         come(player, b"b" * PIECE)
@@ -52,7 +52,7 @@
     come(player, b"c" * (512 * PIECE - passed))
     assert passed + len(written(player)) == 512 * PIECE
     player.step("stats flows.served=1 answered.read=1 flows.passed=1 forwards.timeout=0 flows.overdue=0")
-    assert player.node.listener.current == 0
+    assert player.node.listener.requests_in_flight == 0
     # Both connections go on.
     wait(player, 0.01)
     player.step(
@@ -252,7 +252,7 @@
         assert sum(map(len, client.parts)) <= PIECE
         if number >= 2:
             wait(player, 1.0)
-    assert passed == 30 * PIECE and player.node.listener.current == 1
+    assert passed == 30 * PIECE and player.node.listener.requests_in_flight == 1
     if chunked:
         give(player, b"0\r\n\r\n")
         assert written(player, "t1") == b"0\r\n\r\n"
--- a/tests/opsdays/test_door.py
+++ b/tests/opsdays/test_door.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from latchspoke.net.door import Door
-from latchspoke.net.figures import figures
-from latchspoke.net.kin import Kin
+from latchspoke.net.metrics import format_metrics
+from latchspoke.net.operator_api import OperatorApi
+from latchspoke.net.process_group import ProcessGroup
 from tests.opsdays.test_settings import ask
 from tests.player import Player
 
@@ -27,20 +27,22 @@
     def __init__(self, folder: Path, targets: int = 1) -> None:
         self.player = Player({"targets": targets})
         self.node = self.player.node
-        self.node.kin = Kin(folder, "n0", LISTEN)
+        self.node.process_group = ProcessGroup(folder, "n0", LISTEN)
         self.node.start()
-        self.door = Door(cast(asyncio.AbstractEventLoop, self.player.clock.loop), self.node)
+        self.operator_api = OperatorApi(cast(asyncio.AbstractEventLoop, self.player.clock.loop), self.node)
         self.player.step("dial w 127.0.0.2:2")
         self.player.dialled.clear()
 
     def call(self, text: str) -> int:
         method, url = text.encode().split()
-        status = self.door.reply(method, url)[0]
+        status = self.operator_api.reply(method, url)[0]
         self.player.settle()
         return status
 
-    def figures(self) -> dict[str, int]:
-        return {name: int(n) for name, n in re.findall(r"app\.(\S+):(\d+)\|[cg]\n", figures(self.node))}
+    def metrics(self) -> dict[str, int]:
+        return {
+            name: int(n) for name, n in re.findall(r"app\.(\S+):(\d+)\|[cg]\n", format_metrics(self.node))
+        }
 
     def listed(self, *entries: str) -> None:
         items = ",".join(
@@ -70,7 +72,7 @@
 def test_status_tells_whether_this_process_takes_clients(world: World) -> None:
     assert world.call("GET /status") == 503
     world.node.server = cast(asyncio.Server, world)
-    world.node.ready()
+    world.node.update_readiness()
     assert world.call("GET /status") == 200
     world.node.server = None
     world.node.stop()
@@ -83,10 +85,10 @@
 def test_calls_out_may_be_repeated_and_one_call_back_ends_them(world: World) -> None:
     for _ in range(3):
         assert world.call("PUT /maintenance/enter/s1") == 200
-    assert world.figures()["cluster_unhealthy"] == 1
+    assert world.metrics()["cluster_unhealthy"] == 1
     assert world.call("PUT /maintenance/exit/s1") == 200
     assert world.call("PUT /maintenance/exit/s1") == 200
-    assert world.figures()["cluster_unhealthy"] == 0
+    assert world.metrics()["cluster_unhealthy"] == 0
 
 
 def test_an_id_never_listed_is_owed_a_no(world: World) -> None:
@@ -125,13 +127,13 @@
     old = World(tmp_path)
     old.call("PUT /maintenance/enter/s1")
     new = World(tmp_path)
-    assert new.figures()["cluster_unhealthy"] == 1
+    assert new.metrics()["cluster_unhealthy"] == 1
     new.call("PUT /maintenance/exit/s1")
     old.player.clock.advance(0.11)
-    assert old.figures()["cluster_unhealthy"] == 0
+    assert old.metrics()["cluster_unhealthy"] == 0
     old.call("PUT /maintenance/enter/s1")
     new.player.clock.advance(0.11)
-    assert new.figures()["cluster_unhealthy"] == 1
+    assert new.metrics()["cluster_unhealthy"] == 1
 
 
 def test_a_server_put_back_counts_as_cold_until_a_list_tells_of_its_start(world: World) -> None:
@@ -151,9 +153,9 @@
     def full(*args: Any) -> None:
         raise OSError(28, "no space")
 
-    monkeypatch.setattr("latchspoke.net.kin.os.replace", full)
+    monkeypatch.setattr("latchspoke.net.process_group.os.replace", full)
     assert world.call("PUT /maintenance/enter/s1") == 500
-    assert world.figures()["cluster_unhealthy"] == 0
+    assert world.metrics()["cluster_unhealthy"] == 0
 
 
 def test_figures_are_true_by_an_own_count(world: World) -> None:
@@ -162,7 +164,7 @@
     for number, end in enumerate(("answered", "errored", "answered", "deferred", "answered")):
         world.player.clock.advance(0.02)
         ask(world.player, f"c{number}", f"a{number}", "read")
-        assert world.figures()["current"] == 1
+        assert world.metrics()["current"] == 1
         for _ in range(3 if end == "deferred" else 1):
             for connection, _address in world.player.dialled:
                 name = f"t{len(world.player.links)}"
@@ -173,27 +175,27 @@
             world.player.links[busy].written = b""
             world.player.step(f"{busy} > HTTP/1.1 {answers[end]}\\r\\nContent-Length: 0\\r\\n\\r\\n")
         own[end] += 1
-        told = world.figures()
+        told = world.metrics()
         assert {name: told[f"{name}.read"] for name in own} == own
         assert told["current"] == 0
-    assert world.figures()["sends"] == 7
-    assert world.figures()["cluster_size"] == 1
+    assert world.metrics()["sends"] == 7
+    assert world.metrics()["cluster_size"] == 1
 
 
-def at_door(use: Callable[[int], Any]) -> Any:
+def with_operator_api(use: Callable[[int], Any]) -> Any:
     """A real door of a gateway that has nothing else; ``use`` runs beside its loop."""
 
     async def main() -> Any:
         world = Player({})
-        door = Door(asyncio.get_running_loop(), world.node)
+        operator_api = OperatorApi(asyncio.get_running_loop(), world.node)
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
-        await door.start(("127.0.0.1", port))
+        await operator_api.start(("127.0.0.1", port))
         try:
             return await asyncio.to_thread(use, port)
         finally:
-            door.stop()
+            operator_api.stop()
 
     return asyncio.run(main())
 
@@ -218,7 +220,7 @@
                 sock.sendall(call[place : place + 1])
             assert sock.recv(65536).startswith(b"HTTP/1.1 200 ")
 
-    at_door(use)
+    with_operator_api(use)
 
 
 def test_callers_that_say_nothing_keep_nobody_out() -> None:
@@ -230,4 +232,4 @@
             sock.close()
         return time.monotonic() - begun
 
-    assert at_door(use) < 1.0
+    assert with_operator_api(use) < 1.0
--- a/tests/opsdays/test_forms.py
+++ b/tests/opsdays/test_forms.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from latchspoke.net.listener import HIGH
+from latchspoke.net.listener import WRITE_BUFFER_HIGH_BYTES
 from tests.opsdays.test_bulk import PIECE, POST, come, give, uploading, wait, written
 from tests.opsdays.test_settings import ask, started
 
@@ -113,12 +113,12 @@
         while given < size and not server.paused:  # it gives as fast as it is read
             come(player, b"a" * PIECE)
             given += PIECE
-            if len(client.written) > HIGH:
+            if len(client.written) > WRITE_BUFFER_HIGH_BYTES:
                 client.connection.pause_writing()
         most = max(most, len(client.written))
         taken += client.written[:PIECE].count(b"a")
         client.written = client.written[PIECE:]
-        if len(client.written) <= HIGH // 4:
+        if len(client.written) <= WRITE_BUFFER_HIGH_BYTES // 4:
             client.connection.resume_writing()
         wait(player, 1.0)
     assert taken > size - PIECE and not client.ended and most <= 3 * PIECE
--- a/tests/opsdays/test_settings.py
+++ b/tests/opsdays/test_settings.py
@@ -35,7 +35,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(text)
-        player.node.reread = lambda: reload({}, os.fspath(path))
+        player.node.load_config = lambda: reload({}, os.fspath(path))
         player.node.reload()
     player.settle()
 
--- a/tests/opsdays/test_two_processes.py
+++ b/tests/opsdays/test_two_processes.py
@@ -18,7 +18,7 @@
 import pytest
 
 from barleyhub import interface as api
-from latchspoke.net.kin import Kin
+from latchspoke.net.process_group import ProcessGroup
 from tests.agent.world import free_port
 from tests.conftest import Bench
 from tests.opsdays.test_door import World
@@ -165,36 +165,39 @@
 
 
 def test_each_process_counts_the_others_that_live(tmp_path: Path) -> None:
-    code = "import sys; from pathlib import Path; from latchspoke.net.kin import Kin\n"
-    code += "k = Kin(Path(sys.argv[1]), 'n', ('a', 1)); print(k.others(), flush=True); sys.stdin.read()"
-    own = Kin(tmp_path, "n", ("a", 1))
-    assert own.others() == 0
+    code = "import sys; from pathlib import Path; from latchspoke.net.process_group import ProcessGroup\n"
+    code += (
+        "k = ProcessGroup(Path(sys.argv[1]), 'n', ('a', 1)); "
+        "print(k.count_others(), flush=True); sys.stdin.read()"
+    )
+    own = ProcessGroup(tmp_path, "n", ("a", 1))
+    assert own.count_others() == 0
     command = [sys.executable, "-c", code, str(tmp_path)]
     other = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     assert other.stdout is not None
-    assert other.stdout.readline() == b"1\n" and own.others() == 1
+    assert other.stdout.readline() == b"1\n" and own.count_others() == 1
     other.communicate()
-    assert own.others() == 0
+    assert own.count_others() == 0
     own.close()
 
 
 def test_notes_that_can_t_be_read_change_nothing(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    kin = Kin(tmp_path, "n", ("a", 1))
-    with kin.changing() as notes:
-        notes.seen["s1"] = None
-        notes.enter("s1", 5.0)
-    kin.path.write_text('{"out": {')
-    assert not kin.changed() and kin.notes.out == {"s1": 5.0}
+    process_group = ProcessGroup(tmp_path, "n", ("a", 1))
+    with process_group.update() as maintenance:
+        maintenance.known_servers["s1"] = None
+        maintenance.enter("s1", 5.0)
+    process_group.path.write_text('{"out": {')
+    assert not process_group.reload_if_changed() and process_group.maintenance.in_maintenance == {"s1": 5.0}
     assert "can't be read" in caplog.text
-    kin.close()
+    process_group.close()
 
 
 def test_the_new_process_goes_on_from_what_the_old_one_has_learnt(tmp_path: Path) -> None:
     old, new = World(tmp_path), World(tmp_path)
     old.listed("s1:1:0", "s2:2:0", "s3:3:0")
-    assert new.node.kin is not None and old.node.kin is not None
+    assert new.node.process_group is not None and old.node.process_group is not None
     old.node.server = cast(asyncio.Server, old)
-    old.node.ready()
+    old.node.update_readiness()
     was, now = old.node.core.gateway, old.player.clock.now()
     was.in_flight_limit, was.latency, was.slow_share, was.mean_in_flight, was.slowdowns["read"] = (
         2.5,
@@ -212,27 +215,32 @@
         24.0,
         now,
     )
-    assert new.node.kin.learnt() is None  # not while it is alone
-    old.node.kin.others = lambda: 1  # type: ignore[method-assign]
+    assert new.node.process_group.load_learned() is None  # not while it is alone
+    old.node.process_group.count_others = lambda: 1  # type: ignore[method-assign]
     old.player.clock.advance(0.11)
-    learnt = new.node.kin.learnt()
+    learnt = new.node.process_group.load_learned()
     assert learnt is not None and learnt["limit"] == 2.5 and learnt["ratios"] == {"read": 1.5}
 
     # A server that has started again since is another one.
     new.listed("s2:2:0", "s3:3:1700000000000", "s1:1:0")
     learnt["servers"]["s3"][1] = 9.0
-    heir = new.node.core.gateway
-    heir.restore_learned(learnt, now)
-    assert (heir.in_flight_limit, heir.latency, heir.slow_share, heir.mean_in_flight) == (2.5, 0.1, 0.25, 7.0)
-    assert heir.servers["s1"].health.slowdown == 4.0 and heir.servers["s1"].health.current_error_rate(
-        now
-    ) == pytest.approx(0.5, rel=0.01)
-    assert heir.servers["s3"].health.slowdown == 1.0
+    successor_gateway = new.node.core.gateway
+    successor_gateway.restore_learned(learnt, now)
+    assert (
+        successor_gateway.in_flight_limit,
+        successor_gateway.latency,
+        successor_gateway.slow_share,
+        successor_gateway.mean_in_flight,
+    ) == (2.5, 0.1, 0.25, 7.0)
+    assert successor_gateway.servers["s1"].health.slowdown == 4.0 and successor_gateway.servers[
+        "s1"
+    ].health.current_error_rate(now) == pytest.approx(0.5, rel=0.01)
+    assert successor_gateway.servers["s3"].health.slowdown == 1.0
     # What a cold server is given is a part of what the warm ones were seen to do.
-    entry = heir.servers["s2"].entry
-    assert heir.unit_rate(entry) == pytest.approx(was.unit_rate(entry)) == pytest.approx(10.0)
+    entry = successor_gateway.servers["s2"].entry
+    assert successor_gateway.unit_rate(entry) == pytest.approx(was.unit_rate(entry)) == pytest.approx(10.0)
 
-    path = new.node.kin.path.with_suffix(".learnt")
+    path = new.node.process_group.path.with_suffix(".learnt")
     stand = learnt["pools"][0][0]
     bad: list[dict[str, object]] = [
         {"limit": -1}, {"latency": "x"}, {"slow": 2}, {"busy": float("nan")}, {"servers": {"s1": [0, 1]}},
@@ -240,23 +248,23 @@
     ]  # fmt: skip
     for broken in ("", "{}", *(json.dumps(learnt | change) for change in bad)):
         path.write_text(broken)
-        assert new.node.kin.learnt() is None, broken
+        assert new.node.process_group.load_learned() is None, broken
     path.write_text(json.dumps(learnt))
-    assert new.node.kin.learnt() == learnt
+    assert new.node.process_group.load_learned() == learnt
     os.utime(path, (1.0, 1.0))
-    assert new.node.kin.learnt() is None
+    assert new.node.process_group.load_learned() is None
 
 
 def test_two_processes_hold_the_limits_of_one(tmp_path: Path) -> None:
     old = World(tmp_path)
-    alone = old.node.shared.sockets.most
+    alone = old.node.context.sockets.max_used
     new = World(tmp_path)  # in one process the locks don't tell the two apart
     for world in (old, new):
-        assert world.node.kin is not None
-        world.node.kin.others = lambda: 1  # type: ignore[method-assign]
+        assert world.node.process_group is not None
+        world.node.process_group.count_others = lambda: 1  # type: ignore[method-assign]
         world.player.clock.advance(0.2)
-    reserve = old.node.shared.sockets.RESERVE
-    assert sum(world.node.shared.sockets.most + reserve for world in (old, new)) <= alone + reserve
+    reserve = old.node.context.sockets.RESERVED
+    assert sum(world.node.context.sockets.max_used + reserve for world in (old, new)) <= alone + reserve
     # They name the same counts, and what one may still spend of a ceiling at its start the other never holds.
     request = api.Request("r", "c", "read", "basic", units=1.0, left=3.0, spread=2)
     plan = api.PlanSettings("basic", rate=1.0, burst=2.0, ceiling_rate=4.0, ceiling_burst=40.0)
--- a/tests/player.py
+++ b/tests/player.py
@@ -33,7 +33,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from latchspoke.config import Address, Config, ConfigError, read_config
+from latchspoke.config import Address, Config, ConfigError, parse_config
 from latchspoke.net import clock, http, serve
 from latchspoke.net.listener import ClientConnection
 from tests.test_drill import OPTIONS
@@ -143,7 +143,7 @@
     def dial(self, connection: http.Connection, address: Address) -> Callable[[], object]:
         """The program's dialler."""
         self.dialled.append((connection, address))
-        return lambda: connection.unopened("unreachable")
+        return lambda: connection.dial_failed("unreachable")
 
     def up(self, name: str) -> None:
         link = self.links[name]
@@ -222,10 +222,10 @@
                 link.connection.connection_lost(None if verb == "eof" else ConnectionResetError())
             case "refused":
                 self.named.add(name)
-                link.connection.unopened("unreachable")
+                link.connection.dial_failed("unreachable")
             case "closed":
                 self.named.add(name)
-                code = link.connection.code
+                code = link.connection.close_code
                 assert link.connection.lost and code == text, f"{name} has ended: {code!r}"
             case _:
                 raise AssertionError(f"no such step: {verb}")
@@ -234,14 +234,14 @@
         assert not self.dialled, f"dialled beside the steps: {self.dialled[0][1]}"
         for name, link in self.links.items():
             assert not link.written, f"{name} was written {link.written!r}"
-            assert name in self.named or not link.connection.lost, f"{name}: {link.connection.code}"
+            assert name in self.named or not link.connection.lost, f"{name}: {link.connection.close_code}"
 
 
 class Player(Stage):
     def __init__(self, changes: dict[str, Any]) -> None:
         super().__init__()
         self.changes, self.done = changes, False
-        self.node = serve.Node(read_config(configuration(changes), {}), self.clock, cast(http.Dialer, self))
+        self.node = serve.Node(parse_config(configuration(changes), {}), self.clock, cast(http.Dialer, self))
         self.node.on_done = self.finished
         self.node.start()
 
@@ -261,7 +261,7 @@
         match head:
             case "count":
                 name, amount = rest.split()
-                self.node.counter.count(int(name), float(amount), 10.0)
+                self.node.counter.add(int(name), float(amount), 10.0)
             case "hup":
                 self.hup(rest)
             case "term":
@@ -273,12 +273,12 @@
     def hup(self, text: str) -> None:
         told = dict(item.partition("=")[::2] for item in text.split())
 
-        def reread() -> Config:
+        def load_config() -> Config:
             if text == "bad":
                 raise ConfigError("not JSON")
-            return read_config(configuration(self.changes) | told, {})
+            return parse_config(configuration(self.changes) | told, {})
 
-        self.node.reread = reread
+        self.node.load_config = load_config
         self.node.reload()
 
 
--- a/tests/revisions/test_follower.py
+++ b/tests/revisions/test_follower.py
@@ -14,7 +14,7 @@
 from barleyhub import interface as api
 from latchspoke.config import RulesConfig
 from latchspoke.net.clock import Clock
-from latchspoke.net.rules import Follower, boottime
+from latchspoke.net.rules import RulesClient, boottime
 from latchspoke.revisions.desk import RulesDesk
 from latchspoke.revisions.documents import BLOCKED, FIGURES
 from latchspoke.revisions.machine import RulesMachine
@@ -79,7 +79,7 @@
         loop = asyncio.get_running_loop()
         self.given: list[api.Rules] = []
         told = RulesConfig(tuple(map(str, members)))
-        self.follower = Follower(loop, Clock(loop), "g1", SETTINGS, told, self.given.append, lambda: None)
+        self.follower = RulesClient(loop, Clock(loop), "g1", SETTINGS, told, self.given.append, lambda: None)
         self.follower.start()
 
     async def acts(self, label: str) -> None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,14 +13,14 @@
 
 import pytest
 
-from latchspoke.config import ConfigError, read_config
+from latchspoke.config import ConfigError, parse_config
 from latchspoke.net import admin
 from latchspoke.net.view import digest, gateway_view
 from tests.player import Player, configuration
 
 
 def view_of(player: Player, **file: Any) -> dict[str, Any]:
-    return gateway_view(player.node, lambda: read_config(configuration({}) | file, {}))
+    return gateway_view(player.node, lambda: parse_config(configuration({}) | file, {}))
 
 
 def test_the_view_tells_settings_targets_and_load() -> None:
@@ -75,7 +75,7 @@
     # Gateways of one fleet differ in it rightfully, and would all seem to disagree.
     first, second = Player({}), Player({})
     settings = dict(configuration({})["settings"], Index=1)
-    other = read_config(configuration({}) | {"settings": settings}, {})
+    other = parse_config(configuration({}) | {"settings": settings}, {})
     second.node.config = other
     assert view_of(first)["settings"]["digest"] == view_of(second)["settings"]["digest"]
     assert digest({"b": 1, "a": 2}) == digest({"a": 2, "b": 1})
@@ -91,7 +91,7 @@
 
     async def run() -> bytes:
         loop = asyncio.get_running_loop()
-        served = admin.Admin(loop, str(path), view)
+        served = admin.AdminServer(loop, str(path), view)
         await served.start()
         try:
             return await asyncio.wait_for(loop.run_in_executor(None, talk, str(path)), 10)
@@ -155,19 +155,19 @@
     dead = socket.socket(socket.AF_UNIX)
     dead.bind(path)
     dead.close()
-    live = admin.bind(path)
+    live = admin.bind_unix_socket(path)
     with pytest.raises(OSError, match="another process listens"):
-        admin.bind(path)
+        admin.bind_unix_socket(path)
     live.close()
     (tmp_path / "file").write_text("not ours")
     with pytest.raises(OSError, match="no socket"):
-        admin.bind(str(tmp_path / "file"))
+        admin.bind_unix_socket(str(tmp_path / "file"))
     assert (tmp_path / "file").read_text() == "not ours"
 
 
 def test_of_too_many_connections_the_oldest_makes_room(tmp_path: Path) -> None:
     def crowd(path: str) -> bytes:
-        held = [socket.socket(socket.AF_UNIX) for _ in range(admin.Admin.most)]
+        held = [socket.socket(socket.AF_UNIX) for _ in range(admin.AdminServer.max_connections)]
         for sock in held:
             sock.connect(path)
             sock.sendall(GET)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -71,5 +71,5 @@
 
     def test_the_environment_wins(self) -> None:
         env = {"GW_NAME": "n9", "GW_LISTEN": "127.0.0.7:7"}
-        told = config.read_config(configuration({}), env)
+        told = config.parse_config(configuration({}), env)
         self.assertEqual((told.name, told.listen), ("n9", ("127.0.0.7", 7)))
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -33,7 +33,7 @@
     def test_an_early_wake_does_not_spin(self) -> None:
         """The loop counts in ms and may call early: what is due within one is called, not waited for."""
         self.set(0.0008, "soon")
-        self.clock.fire()
+        self.clock.run_due()
         self.assertEqual(self.called, ["soon"])
 
     def test_who_asks_again_for_the_same_moment_is_called_in_the_next_round(self) -> None:
@@ -47,7 +47,7 @@
                 self.clock.schedule(due, early)
 
         self.clock.schedule(due, early)
-        self.clock.fire()
+        self.clock.run_due()
         self.assertEqual(self.called, ["early"])
         self.clock.advance(0.001)
         self.assertEqual(self.called, ["early", "early"])
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -19,4 +19,6 @@
             link.connection.connection_made(cast(asyncio.Transport, link))
         player.settle()
         listener = player.node.listener
-        self.assertEqual((len(listener.clients), len(listener.fresh)), (listener.most, listener.most))
+        self.assertEqual(
+            (len(listener.clients), len(listener.new_clients)), (listener.max_clients, listener.max_clients)
+        )
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from latchspoke.net.discovery import SILENT_MOST, SLOT, Watch
+from latchspoke.net.discovery import RECONNECT_SLOT_S, SILENCE_TIMEOUT_S, Watch
 
 
 class StillClock:
@@ -22,20 +22,20 @@
         self.due.append(when)
 
 
-def broken(turned_away: bool = False, opened_at: float = 0.0) -> Any:
-    return SimpleNamespace(turned_away=turned_away, opened_at=opened_at)
+def broken(rejected: bool = False, opened_at: float = 0.0) -> Any:
+    return SimpleNamespace(rejected=rejected, opened_at=opened_at)
 
 
-def pauses(gateways: int, tries: int, turned_away: bool, lasting: float = 0.0) -> list[list[float]]:
+def pauses(gateways: int, tries: int, rejected: bool, lasting: float = 0.0) -> list[list[float]]:
     """For each gateway, the pauses after so many tries in a row that have failed."""
     result = []
     for seed in range(gateways):
         clock = StillClock()
-        shared: Any = SimpleNamespace(clock=clock)
-        watch = Watch(shared, ("127.0.0.1", 1), 0, lambda told: None, lambda: None, gateways, seed)
+        context: Any = SimpleNamespace(clock=clock)
+        watch = Watch(context, ("127.0.0.1", 1), 0, lambda servers: None, lambda: None, gateways, seed)
         for _ in range(tries):
-            watch.connection = broken(turned_away, -lasting)
-            watch.lost(watch.connection)
+            watch.connection = broken(rejected, -lasting)
+            watch.connection_ended(watch.connection)
         result.append(clock.due)
     return result
 
@@ -43,32 +43,32 @@
 class TestWatch(unittest.TestCase):
     def test_forty_that_are_turned_away_together_do_not_come_back_together(self) -> None:
         """In step they kept discovery down for 20 s: it works on calls that nobody waits for any more."""
-        drawn = pauses(40, 6, turned_away=True)
+        drawn = pauses(40, 6, rejected=True)
         for nth in zip(*drawn, strict=True):
             times = sorted(nth)
             within = max(sum(at <= other < at + 0.25 for other in times) for at in times)
             self.assertLessEqual(within, 12)
-        self.assertGreater(min(each[5] for each in drawn), 40 * SLOT * 2)
+        self.assertGreater(min(each[5] for each in drawn), 40 * RECONNECT_SLOT_S * 2)
 
     def test_few_come_back_at_once_and_try_often(self) -> None:
-        for each in pauses(3, 12, turned_away=False):
+        for each in pauses(3, 12, rejected=False):
             self.assertLess(each[0], 0.25)
             self.assertLessEqual(max(each), 3.0)
 
     def test_a_silent_discovery_is_watched_all_the_time_by_a_large_fleet_too(self) -> None:
         """What it tells at its return counts as told; a send 0.3 s later breaks the rule on drains."""
-        for each in pauses(200, 6, turned_away=False, lasting=SILENT_MOST):
+        for each in pauses(200, 6, rejected=False, lasting=SILENCE_TIMEOUT_S):
             self.assertLessEqual(max(each), 0.15)
 
     def test_a_watch_that_works_again_starts_with_the_shortest_pause(self) -> None:
         clock = StillClock()
-        shared: Any = SimpleNamespace(clock=clock)
-        watch = Watch(shared, ("127.0.0.1", 1), 0, lambda told: None, lambda: None, 40)
-        for turned_away, most in ((True, 40 * SLOT * 1.5), (False, 0.15)):
+        context: Any = SimpleNamespace(clock=clock)
+        watch = Watch(context, ("127.0.0.1", 1), 0, lambda servers: None, lambda: None, 40)
+        for rejected, most in ((True, 40 * RECONNECT_SLOT_S * 1.5), (False, 0.15)):
             for _ in range(5):
-                watch.connection = broken(turned_away)
-                watch.lost(watch.connection)
-            watch.alive()
-            watch.connection = broken(turned_away)
-            watch.lost(watch.connection)
+                watch.connection = broken(rejected)
+                watch.connection_ended(watch.connection)
+            watch.heartbeat_received()
+            watch.connection = broken(rejected)
+            watch.connection_ended(watch.connection)
             self.assertLessEqual(clock.due[-1], most)
