--- a/latchspoke/__init__.py
+++ b/latchspoke/__init__.py
@@ -1,3 +1,3 @@
-"""The gateway on real sockets; its decisions are barleyhub's."""
+"""Load-balancing gateway; its decisions are made by barleyhub."""
 
 __version__ = "0.1.0"
--- a/latchspoke/cli.py
+++ b/latchspoke/cli.py
@@ -9,26 +9,26 @@
 
 Commands:
   serve         Run the gateway in the foreground until SIGTERM; SIGHUP reads the configuration again.
-  check-config  Read the configuration, say what it holds, and leave.
+  check-config  Read the configuration, print a summary, and exit.
   version       Print the version.
   agent         Run the agent that manages this machine's gateways.       (extra: fleet)
   fleet         List, inspect, start, drain, roll and compare instances.  (extra: fleet)
   records       Check, export and format settings files.                  (extra: fleet)
-  duty          Duties that one holder has at a time: list, move, run.    (extra: fleet)
-  rules         Rules with versions on which the gateways agree.        (extra: fleet)
-  members       The members of the replicated log: list, add, remove.     (extra: fleet)
-  keys          The fleet's own authority and its certificates.           (extra: fleet)
+  duty          Duties that have one holder at a time: list, move, run.   (extra: fleet)
+  rules         Versioned rules that all gateways act on.                 (extra: fleet)
+  members       Members of the replicated log: list, add, remove.         (extra: fleet)
+  keys          Certificate authority and certificates of the fleet.      (extra: fleet)
   trace         Recorded traffic: import HAR files and logs, show, check. (extra: lab)
-  replay        Play a trace against gateways, and say how true it was.   (extra: lab)
-  lab           Experiments on stand-in servers, with reports.            (extra: lab)
+  replay        Replay a trace to gateways, and report the accuracy.      (extra: lab)
+  lab           Experiments with simulated servers, with reports.         (extra: lab)
   system        The whole system: start, check, status, explain, change.  (extra: system)
 
 Options:
-  --config FILE  Configuration file, in place of the one that GW_CONFIG names.
-  --admin PATH   Unix socket on which the gateway shows its own view; off unless given.
-  -h --help      Show this. `latchspoke COMMAND --help` tells of one command.
+  --config FILE  Configuration file; overrides GW_CONFIG.
+  --admin PATH   Unix socket for the view of the gateway's state; disabled by default.
+  -h --help      Show this help. `latchspoke COMMAND --help` shows that of a command.
 
-Exit codes: 0 done, 1 could not serve, 2 wrong usage or configuration.
+Exit codes: 0 success, 1 failure to serve, 2 wrong usage or configuration.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 from latchspoke import __version__
 from latchspoke.config import Config, ConfigError, load, reload
 
-# What needs more than the gateway's own requirements is loaded only when it is asked for.
+# Commands with further dependencies, imported on demand.
 EXTERNAL_COMMANDS = {
     "agent": "latchspoke.console.agent",
     "fleet": "latchspoke.console.fleet",
@@ -60,7 +60,7 @@
 
 
 def run_external_command(name: str, argv: list[str]) -> int:
-    """A command of the console; one line says what to install where its libraries are missing."""
+    """Run a command of another module. If a dependency is missing, print what to install and return 2."""
     try:
         module = importlib.import_module(EXTERNAL_COMMANDS[name])
     except ModuleNotFoundError as e:
@@ -81,7 +81,7 @@
     try:
         args = docopt(__doc__, argv=argv)
         if args["COMMAND"]:
-            raise DocoptExit(f"latchspoke: no such command, or not with these words: {args['COMMAND']}")
+            raise DocoptExit(f"latchspoke: unknown command or wrong arguments: {args['COMMAND']}")
     except DocoptExit as e:
         print(str(e), file=sys.stderr)
         return 2
@@ -93,10 +93,10 @@
     except ConfigError as e:
         print(f"latchspoke: {e}", file=sys.stderr)
         return 2
-    return describe(config) if args["check-config"] else run_gateway(config, args)
+    return print_summary(config) if args["check-config"] else run_gateway(config, args)
 
 
-def describe(config: Config) -> int:
+def print_summary(config: Config) -> int:
     settings = config.settings
     print(
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, gateway {settings.index} of "
@@ -107,7 +107,7 @@
 
 
 def run_gateway(config: Config, args: dict[str, Any]) -> int:
-    from latchspoke.net.serve import serve  # the sockets' libraries are loaded only to serve
+    from latchspoke.net.serve import serve  # its dependencies are not needed by other commands
 
     try:
         serve(config, lambda: reload(os.environ, args["--config"]), args["--admin"])
--- a/latchspoke/config.py
+++ b/latchspoke/config.py
@@ -1,4 +1,4 @@
-"""What a gateway is told: the environment and the JSON that GW_CONFIG names."""
+"""Configuration of a gateway: environment variables and the JSON file that GW_CONFIG names."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text is one plain line."""
+    """The configuration is invalid; the message is a single line."""
 
 
 @dataclass(slots=True, frozen=True)
 class TargetList:
-    """Discovery's list or a change of it: the module's entries, and where each is reached."""
+    """The server list or a change of it from discovery, with the address of each server."""
 
     generation: int
     complete: bool
@@ -36,9 +36,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RulesConfig:
-    """Agents' sockets of which rules with versions are asked, and where the last known are kept.
+    """Agents' sockets that serve replicated rules, and the path of the cache for the rules in effect.
 
-    ``alone``: whether to begin on those, where no member is heard.
+    ``start_from_cache``: whether to start with the cached rules if no agent answers.
     """
 
     agent_sockets: tuple[str, ...]
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """Where this gateway lives; what it goes by is in ``settings``."""
+    """Addresses and limits of a gateway; ``settings`` are those of the decision module."""
 
     name: str
     listen: Address
@@ -59,8 +59,8 @@
     known_targets: TargetList
     settings: api.Settings
     rules: RulesConfig | None = None
-    operator_address: Address | None = None  # the operators' door
-    field_names: frozenset[str] = frozenset()  # those that the file has, to tell one that lacks some
+    operator_address: Address | None = None  # of the operator API
+    field_names: frozenset[str] = frozenset()  # those of the file, to detect fields missing after a reload
 
 
 def parse_address(text: str) -> Address:
@@ -100,12 +100,12 @@
     sockets = tuple(path for path in env.get("GW_MEMBERS", "").split(",") if path)
     start_mode = env.get("GW_RULES_START", "wait")
     if start_mode not in ("wait", "known"):
-        raise ConfigError(f"GW_RULES_START: {start_mode!r}; wait or known is wanted")
+        raise ConfigError(f"GW_RULES_START: {start_mode!r} is neither wait nor known")
     return RulesConfig(sockets, env.get("GW_RULES_KEPT", ""), start_mode == "known") if sockets else None
 
 
 def iter_field_names(document: Mapping[str, Any], prefix: str = "") -> Iterator[str]:
-    """Of objects in objects, as ``settings.Allowed``; what lists hold is read entry by entry."""
+    """Yield the dotted names of all fields, such as ``settings.Allowed``, without those inside lists."""
     for name, value in document.items():
         yield prefix + name
         if isinstance(value, dict):
@@ -113,7 +113,7 @@
 
 
 def parse_config(document: dict[str, Any], env: Mapping[str, str]) -> Config:
-    """The environment's names win over the file's, as they are what the platform started with."""
+    """Build the configuration; environment variables take precedence over the file."""
     counter, control = document.get("counter"), env.get("GW_CONTROL") or document.get("control")
     if counter is not None and not isinstance(counter, str):
         raise ConfigError(f"not an address (host:port): {counter!r}")
@@ -135,7 +135,7 @@
 
 
 def load(env: Mapping[str, str], path: str | None = None) -> Config:
-    """Read it all, or say in one line what is wrong."""
+    """Read the configuration from ``path`` or the file that GW_CONFIG names. Raises ConfigError."""
     path = path or env.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG is not set and no file is named")
@@ -146,11 +146,11 @@
     except json.JSONDecodeError as e:
         raise ConfigError(f"{path} is not JSON: {e}") from None
     except KeyError as e:
-        raise ConfigError(f"{path}: missing field or unknown word {e}") from None
+        raise ConfigError(f"{path}: missing field or unknown value {e}") from None
     except (ValueError, OverflowError, TypeError, AttributeError) as e:
         raise ConfigError(f"{path}: {e}") from None
 
 
 def reload(env: Mapping[str, str], path: str | None = None) -> Config:
-    """Read it again. The file has been replaced since the start, so it wins over GW_DISCOVERY now."""
+    """Read the configuration again; the file, which is newer now, takes precedence over GW_DISCOVERY."""
     return load({name: value for name, value in env.items() if name != "GW_DISCOVERY"}, path)
--- a/latchspoke/net/admin.py
+++ b/latchspoke/net/admin.py
@@ -1,6 +1,6 @@
-"""A gateway's own view over a Unix socket, for the agent on its machine and for operators. It only tells.
+"""Read-only HTTP/1.1 interface on a Unix socket, for the agent on the machine and for operators.
 
-Off unless ``serve --admin PATH`` asks for it. It speaks HTTP/1.1 with JSON: ``GET /v1/view``.
+Enabled by ``serve --admin PATH``. ``GET /v1/view`` returns the state of the gateway as JSON.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class AdminServer(ManagementServer):
-    """The socket and the connections on it."""
+    """HTTP server of the view."""
 
     bad_request_reply = json_reply(400, {"error": "not a request that is understood here"})
 
@@ -41,25 +41,28 @@
         return json_reply(200, self.view())
 
     async def start(self) -> None:
-        """Raises OSError where the path can't be taken, as by a gateway that lives."""
+        """Listen. Raises OSError if the path can't be used, as when another process listens there."""
         self.server = await self.loop.create_unix_server(
             lambda: ManagementConnection(self), sock=bind_unix_socket(self.path)
         )
 
     def stop(self) -> None:
-        """The file goes first, so that nobody finds a socket that no longer answers."""
+        """Remove the socket file, so that no client finds a dead socket, and close all connections."""
         with contextlib.suppress(OSError):
             os.unlink(self.path)
         super().stop()
 
 
 def bind_unix_socket(path: str, backlog: int = ManagementServer.max_connections) -> socket.socket:
-    """A listening Unix socket that its owner alone may use; one left by a dead process is replaced."""
+    """Listen on a Unix socket that only its owner may use, replacing one left by a dead process.
+
+    Raises OSError if the path is not a socket, or another process listens there.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
         if Path(path).exists():
             remove_stale_socket(path)
-        # The mode is set before anyone can connect: nobody is listened to until listen().
+        # Clients can't connect before listen(), so the mode applies to all of them.
         sock.bind(path)
         os.chmod(path, 0o600)
         sock.listen(backlog)
@@ -70,7 +73,7 @@
 
 
 def remove_stale_socket(path: str) -> None:
-    """Take away the socket of a dead process, and nothing else."""
+    """Remove a socket file that no process listens on. Raises OSError for anything else."""
     if not stat.S_ISSOCK(os.stat(path).st_mode):
         raise OSError(f"{path} is there and is no socket")
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
--- a/latchspoke/net/clock.py
+++ b/latchspoke/net/clock.py
@@ -1,4 +1,4 @@
-"""Time for all parts: one clock, and one heap of timers behind a single timer of the loop's."""
+"""The gateway's clock, and a heap of timers that share a single timer of the event loop."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 import time
 from collections.abc import Callable
 
-TIMER_RESOLUTION_S = 0.001  # s; the loop's timers are no finer
+TIMER_RESOLUTION_S = 0.001  # of the event loop
 
 
 class Timer:
+    """A scheduled call at a time (s)."""
+
     __slots__ = ("callback", "clock", "when")
 
     def __init__(self, clock: Clock, when: float, call: Callable[[float], None]) -> None:
@@ -27,7 +29,7 @@
 
 
 class Clock:
-    """Unix time, so that gateways agree on it and on its periods; it never jumps."""
+    """Unix time (s) that advances monotonically, so that gateways agree on it and on its periods."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -53,7 +55,7 @@
         self.handle = self.loop.call_later(max(when - self.now(), 0.0), self.run_due)
 
     def discard_cancelled(self) -> None:
-        """Pass over what was cancelled. Nearly all timers are, and to wake for one costs more than this."""
+        """Remove cancelled timers from the top of the heap; waking up for each of them would cost more."""
         while self.heap and self.heap[0].callback is None:
             heapq.heappop(self.heap)
         if not self.heap:
@@ -64,10 +66,10 @@
             self.arm(self.heap[0].when)
 
     def run_due(self) -> None:
-        """Call what is due, or will be before the loop, which counts in ms, could call again.
+        """Call the timers that are due within the resolution of the event loop.
 
-        What is asked for meanwhile waits for the loop's next round: who was called a little early, and asks
-        for the same moment again, would else be called for ever.
+        Timers that are scheduled by these calls wait for the next iteration of the loop: a caller that was
+        called slightly early and schedules the same time again would otherwise be called forever.
         """
         now, self.handle, self.armed_for = self.now(), None, float("inf")
         due = []
--- a/latchspoke/net/counter.py
+++ b/latchspoke/net/counter.py
@@ -1,4 +1,4 @@
-"""The counter's side: calls pipelined on a few kept connections."""
+"""Client of the shared counter: pipelined calls on a few persistent connections."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     read_decimal,
 )
 
-CONNECTION_COUNT = 2  # connections; a name always takes the same one, which keeps its calls in order
-CONNECT_TIMEOUT_S = 1.0  # s; to connect; a call waits for it no longer than its own limit
-IDLE_TIMEOUT_S = 5.0  # s; the counter closes idle connections after some 10 s
-STALL_TIMEOUT_S = 0.2  # s; where no answer at all has come for so long, the next calls take a new connection
-RETIRED_TIMEOUT_S = 1.5  # s; so long what is owed on a connection without further calls is read
-SILENCE_TIMEOUT_S = 3.0  # s without any answer while some are owed: a new connection is due
+CONNECTION_COUNT = 2  # a name always uses the same connection, which keeps its calls in order
+CONNECT_TIMEOUT_S = 1.0
+IDLE_TIMEOUT_S = 5.0  # shorter than the counter's own idle timeout of about 10 s
+STALL_TIMEOUT_S = 0.2  # after this time without any response, further calls use a new connection
+RETIRED_TIMEOUT_S = 1.5  # for outstanding responses on a connection that gets no further calls
+SILENCE_TIMEOUT_S = 3.0  # after this time without any response the connection is aborted
 
 
 class CounterCall:
-    """One call; ``done`` once its outcome was told, though its answer may still come."""
+    """A call; ``completed`` once its outcome is reported, though its response may still arrive."""
 
     __slots__ = ("amount", "completed", "forget_after", "made_at", "name", "sent", "timer")
 
@@ -47,7 +47,7 @@
 
 
 class CounterConnection(Connection):
-    """Answers come in the order of the calls: each is matched with the oldest that is owed one."""
+    """A connection on which responses arrive in the order of the calls."""
 
     side = "counter"
 
@@ -55,7 +55,7 @@
         super().__init__(channel.context)
         self.channel = channel
         self.awaiting: deque[CounterCall] = deque()
-        self.retired = False  # a reload has named another address: no further call comes here
+        self.retired = False  # no further calls are sent on it
         self.last_response_at = self.opened_at
         self.parser = httptools.HttpResponseParser(self)
 
@@ -72,11 +72,11 @@
             self.channel.connect_failed()
 
     def silence(self, now: float) -> float:
-        """How long answers are owed, and none has come."""
+        """Return for how long (s) responses have been outstanding without any arriving."""
         return now - max(self.awaiting[0].made_at, self.last_response_at) if self.awaiting else 0.0
 
     def retire(self, code: str) -> None:
-        """What is owed is still read; a side that never tells it is not waited for."""
+        """Send no further calls, and close after the outstanding responses or a timeout."""
         self.retired = True
         if not self.awaiting:
             self.end(code, flush=True)
@@ -101,7 +101,7 @@
         if status == 200:
             number = read_decimal(self.body.strip())
             if number is None:
-                # Added, but by what it says nobody can go; nor by what follows on this connection.
+                # The amount was added, but neither the total nor what follows on this connection is usable.
                 self.channel.complete_call(call, api.Code.TIMEOUT)
                 raise FramingError(400, "bad_total")
             code, total = api.Code.OK, number
@@ -121,7 +121,7 @@
 
 
 class CounterChannel:
-    """One kept connection to the counter, opened when there is a call for it."""
+    """A persistent connection to the counter, opened on demand and replaced after a failure."""
 
     def __init__(self, context: ConnectionContext, core: Core, address: Address, timeout_s: float) -> None:
         self.context, self.core, self.address, self.timeout_s = context, core, address, timeout_s
@@ -132,8 +132,8 @@
     def call(self, call: CounterCall) -> None:
         now = call.made_at
         call.timer = self.context.clock.schedule(now + self.timeout_s, lambda late: self.call_timed_out(call))
-        # A slow counter still answers now and then. A connection that a spoilt answer has left without
-        # any would hold up every call of its names.
+        # Unlike with a slow counter, no response at all arrives on a connection that an invalid response
+        # has broken, and further calls on it would all time out.
         if self.connection is not None and self.connection.silence(now) > STALL_TIMEOUT_S:
             self.connection.retire("silent")
             self.connection = None
@@ -149,7 +149,7 @@
         self.connecting.dial(self.address, CONNECT_TIMEOUT_S)
 
     def set_address(self, address: Address) -> None:
-        """Calls go to this address from now on; those not written yet wait for it to come up."""
+        """Send further calls, including queued ones, to this address."""
         self.address = address
         connection, self.connection = self.connection, None
         if connection is not None:
@@ -180,12 +180,12 @@
     def connection_closed(self, connection: CounterConnection) -> None:
         if self.connection is connection:
             self.connection = None
-        # Written whole and not answered: it may have been added.
+        # Sent and not answered: the amount may have been added.
         while connection.awaiting:
             self.complete_call(connection.awaiting.popleft(), api.Code.TIMEOUT)
 
     def call_timed_out(self, call: CounterCall) -> None:
-        """Unwritten, it was surely not added; written, it may yet be, and its answer is passed over."""
+        """Report the outcome: an unsent call was not added, a sent one may have been."""
         self.complete_call(call, api.Code.TIMEOUT if call.sent else api.Code.UNREACHABLE)
 
     def complete_call(self, call: CounterCall, code: api.Code, total: float = 0.0) -> None:
@@ -197,7 +197,7 @@
             self.core.counter_answered(call.name, code, now - call.made_at, total, now)
 
     def late_response(self, call: CounterCall, total: float) -> None:
-        """Its limit has passed, but what the counter says is true all the same."""
+        """Report a total that arrived after the timeout, which is valid all the same."""
         now = self.context.clock.now()
         self.core.counter_answered_late(call.name, now - call.made_at, total, now)
 
@@ -213,9 +213,9 @@
 
 
 class Counter:
-    """The counter as the core's port."""
+    """The core's port to the shared counter."""
 
-    core: Core  # comes once it is made, as it needs this port
+    core: Core  # set after construction, as the core needs this port
 
     def __init__(self, context: ConnectionContext, address: Address | None, settings: api.Settings) -> None:
         self.context, self.timeout_s = context, settings.counter_limit
@@ -231,7 +231,7 @@
             ]
 
     def set_address(self, address: Address | None) -> None:
-        """A reload has named this address. Names keep their lines, and so the order of their calls."""
+        """Use this address from now on; names keep their channel, and so the order of their calls."""
         if address is None or address == self.address:
             return
         self.address = address
--- a/latchspoke/net/discovery.py
+++ b/latchspoke/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's side: a watch that is renewed whenever it breaks or falls silent."""
+"""Client of the discovery agent: a watch on the server list, which reconnects after failures and silence."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_TIMEOUT_S = 2.5  # s; a watch brings an empty line each 2 s; asking anew costs the agent nothing
-CONNECT_TIMEOUT_S = 2.0  # s; to connect
-MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0  # s from the start of a try to the next; while few pauses are needed
-RECONNECT_SLOT_S = 0.05  # s; where a fleet is turned away, each gateway has this time of its own
-MAX_BACKOFF_MULTIPLE = 8  # times that spread are the longest pauses
+SILENCE_TIMEOUT_S = 2.5  # the agent sends a heartbeat, an empty line, every 2 s
+CONNECT_TIMEOUT_S = 2.0
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0  # from the start of an attempt to the next
+RECONNECT_SLOT_S = 0.05  # after a rejection, the shortest backoff is this long for each gateway of the fleet
+MAX_BACKOFF_MULTIPLE = 8  # longest backoff after rejections, as a multiple of the shortest
 MAX_LINE_BYTES = 64 * MAX_BODY_BYTES
 
 
@@ -30,7 +30,7 @@
         super().__init__(watch.context)
         self.watch = watch
         self.last_received_at = self.opened_at
-        self.rejected = False  # discovery has answered, and not with a watch: it has too much to do
+        self.rejected = False  # discovery answered with an error status, as it does when overloaded
         self.partial_line = b""
         self.parser = httptools.HttpResponseParser(self)
 
@@ -57,7 +57,7 @@
             self.end("bad_status")
 
     def on_body(self, part: bytes) -> None:
-        """A line may come in pieces; only whole ones are read."""
+        """Handle complete lines, and keep an incomplete one for the next part."""
         *lines, self.partial_line = (self.partial_line + part).split(b"\n")
         for line in lines:
             self.handle_line(line)
@@ -72,7 +72,7 @@
         try:
             server_list = parse_target_list(json.loads(line))
         except (ValueError, KeyError, TypeError, AttributeError, ConfigError) as e:
-            log.warning("discovery's line can't be read: %r", e)
+            log.warning("invalid line from discovery: %r", e)
             self.end("bad_line")
             return
         self.watch.list_received(server_list)
@@ -86,7 +86,7 @@
 
 
 class Watch:
-    """Keeps one watch going, from the last version heard of."""
+    """Keeps a watch open, from the last received generation on."""
 
     def __init__(
         self,
@@ -104,13 +104,13 @@
         self.context, self.address, self.generation = context, address, generation
         self.on_list, self.on_heartbeat = on_list, on_heartbeat
         self.connection: WatchConnection | None = None
-        self.updated_at: float | None = None  # when discovery last had something to tell
+        self.updated_at: float | None = None  # when the last list or change arrived
         self.backoff, self.rejected_backoff = MIN_BACKOFF_S, self.min_rejected_backoff
         self.stopped = False
 
     def start(self) -> None:
         if self.connection is not None or self.stopped:
-            return  # a reload came before this try
+            return  # a reload has connected before this attempt was due
         self.connection = WatchConnection(self)
         self.connection.dial(self.address, CONNECT_TIMEOUT_S)
 
@@ -127,7 +127,7 @@
         self.on_list(server_list)
 
     def set_address(self, address: Address) -> None:
-        """Go on at this address at once, from the last version heard of: a reload has named it."""
+        """Reconnect to this address at once, from the last received generation on."""
         if address == self.address:
             return
         self.address = address
@@ -145,20 +145,20 @@
             return
         now = self.context.clock.now()
         if connection.rejected:
-            # Watches of a whole fleet break in one moment: each gateway comes back at a time of its own.
+            # All gateways of a fleet lose their watches at the same time, so their attempts are spread.
             delay, self.rejected_backoff = (
                 self.rejected_backoff,
                 min(self.rejected_backoff * 2, self.max_rejected_backoff),
             )
         else:
-            # Whoever is silent is waited for with a watch open: what is told meanwhile counts as told.
-            # So a try that lasted needs no pause beyond the least.
+            # The backoff counts from the start of the attempt: what discovery sends to an open watch counts
+            # as announced, so a silent discovery is waited for with a watch open.
             delay = max(MIN_BACKOFF_S, self.backoff - (now - connection.opened_at))
             self.backoff = min(self.backoff * 2, MAX_BACKOFF_S)
         self.context.clock.schedule(now + delay * (0.5 + self.random.random()), lambda now: self.start())
 
     def sweep(self, now: float) -> None:
-        """A machine that vanished says nothing: silence is all there is to see."""
+        """Close the watch if no heartbeat arrives, as when the agent's machine has failed."""
         connection = self.connection
         if connection is None or connection.transport is None:
             return
--- a/latchspoke/net/http.py
+++ b/latchspoke/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 framing and the life of a connection, shared by all sides."""
+"""HTTP/1.1 framing and the connection life cycle, shared by client, target, counter and discovery."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 def read_decimal(text: bytes) -> float | None:
-    """The one reader of numbers from outside: plain decimals, and never nan, inf, 0x10 or 1_0."""
+    """Parse a decimal number from the network, or return None: unlike float(), rejects nan, inf and 1_0."""
     return float(text) if DECIMAL_PATTERN.fullmatch(text) else None
 
 
 class FramingError(Exception):
-    """What came in can't be taken; the status says how to answer it."""
+    """Invalid input; ``status`` is the HTTP status of the error response."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -52,17 +52,17 @@
 
 
 class BodySink(Protocol):
-    """Where a body goes piece by piece."""
+    """Receiver of a request body that is streamed."""
 
     def send_part(self, part: bytes, last: bool) -> bool:
-        """Whether more can be taken now; else ``Upload.hold(False)`` follows."""
+        """Return whether more can be sent now; if not, ``Upload.set_paused(False)`` is called later."""
 
     def abandon_upload(self) -> None:
-        """The rest will never come."""
+        """Fail the attempt, as the rest of the body will not arrive."""
 
 
 class Upload:
-    """A body that goes on to a target while it comes in; none of it is kept once it has gone."""
+    """A request body that is streamed to a target; parts are not kept after they have been sent."""
 
     __slots__ = ("buffered_bytes", "complete", "consumed", "length", "parts", "set_paused", "sink")
 
@@ -70,7 +70,7 @@
         self.length, self.parts, self.set_paused = length, parts, set_paused
         self.buffered_bytes = sum(map(len, parts))
         self.sink: BodySink | None = None
-        # Whether all has come; whether some of it has gone, so that it can't go a second time.
+        # Whether all parts have arrived, and whether some were sent or dropped, which rules out a retry.
         self.complete = self.consumed = False
 
     def put(self, part: bytes) -> None:
@@ -99,17 +99,17 @@
         self.set_paused(False)
 
     def detach(self, sink: BodySink) -> None:
-        """Nobody takes it any more: what is to come is read all the same, and dropped."""
+        """Discard the remaining parts, which are still read."""
         if self.sink is sink:
             self.sink = None
             self.set_paused(False)
 
 
 class RequestMessage:
-    """What of a client's request is passed on, with each of its attempts alike.
+    """The parts of a client's request that are forwarded, the same with each attempt.
 
-    ``idempotency_key`` is the header's value as it came, empty where there is none: a server that knows it
-    drops the repeat of a request that it has run.
+    ``idempotency_key`` is the value of the header, empty if absent; servers use it to recognize a request
+    that they have already run.
     """
 
     __slots__ = ("body", "content_type", "idempotency_key", "method", "request_id", "upload", "url")
@@ -130,17 +130,17 @@
 
 
 class BodySource(Protocol):
-    """Where an answer comes from piece by piece."""
+    """Sender of a response body that is streamed."""
 
     def set_paused(self, paused: bool) -> None:
-        """Whether to read no further for now, as what has come is not taken off."""
+        """Pause reading while the client's write buffer is full, or resume."""
 
     def cancel_response(self) -> None:
-        """Nobody wants the rest."""
+        """Stop, as the client has disconnected."""
 
 
 class UpstreamResponse:
-    """A target's answer: whole, or as far as it has come, with its source and its size, if that is told."""
+    """A target's response: complete, or the body so far with its source and, if known, its size in bytes."""
 
     __slots__ = ("body", "content_type", "size", "source")
 
@@ -162,9 +162,9 @@
 
 
 class Sockets:
-    """The sockets of the whole process, against its limit."""
+    """Counts the sockets of this process against its limit."""
 
-    # Kept free for what is not counted: standard streams, the loop's own, the listener.
+    # For descriptors that are not counted: standard streams, the event loop, the listener.
     RESERVED = 32
 
     def __init__(self, limit: int) -> None:
@@ -172,7 +172,7 @@
         self.set_process_count(1)
 
     def set_process_count(self, processes: int) -> None:
-        """So many processes hold the limit together, while one replaces another."""
+        """Divide the limit among the processes of this gateway, while one replaces another."""
         self.max_used = max(self.descriptor_limit // processes - self.RESERVED, 8)
 
     @property
@@ -181,7 +181,7 @@
 
 
 class Dialer:
-    """Opens connections. That takes a task for each of them, not for each request: they are kept."""
+    """Opens connections, with one task for each of them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -190,11 +190,11 @@
         return self.loop.create_connection(lambda: connection, *address)
 
     def dial(self, connection: Connection, address: Address) -> Callable[[], object]:
-        """Begin to open it; the call that comes back stops this."""
+        """Start to connect; the returned function cancels that."""
         task = self.loop.create_task(self.open(connection, address))
 
         def on_done(task: asyncio.Task[Any]) -> None:
-            # Also one that was stopped before its first step has given its socket back.
+            # Also if the task was cancelled before its first step, to release the socket that was counted.
             if (task.cancelled() or task.exception()) and connection.transport is None:
                 connection.dial_failed("unreachable")
 
@@ -203,17 +203,17 @@
 
 
 class ConnectionContext:
-    """What every connection needs of the process."""
+    """Objects of the process that every connection uses."""
 
     def __init__(self, clock: Clock, stats: Stats, sockets: Sockets, dialer: Dialer) -> None:
         self.clock, self.stats, self.sockets, self.dialer = clock, stats, sockets, dialer
 
 
-CONNECT_GRACE_S = 0.5  # s; a client that has just connected is about to ask
+CONNECT_GRACE_S = 0.5  # a client that connected less than this ago is expected to send a request
 
 
 def has_input(sock: socket) -> bool:
-    """Whether bytes, or connections where it listens, are here that nobody has taken."""
+    """Whether the socket has unread bytes or, if it listens, connections to accept."""
     if sock.fileno() < 0:
         return False
     poll = select.poll()
@@ -222,12 +222,12 @@
 
 
 def has_pending_connections(server: asyncio.Server) -> bool:
-    """Whether connections have come up that are not taken in yet: closing the server would reset them."""
+    """Whether there are connections to accept; closing the server would reset them."""
     return any(has_input(sock) for sock in server.sockets)
 
 
 class Connection(asyncio.Protocol):
-    """One connection: parses messages, keeps its reason to end, and logs one line when it has."""
+    """Base class of all connections: parses messages, and logs one line with the close code at the end."""
 
     side = "?"
 
@@ -240,13 +240,13 @@
         self.close_code = ""
         self.lost = False
         self.message_count = 0
-        self.rules_label = ""  # the versions by which its last request was decided
+        self.rules_label = ""  # versions of the rules that its last request was decided by
         self.opened_at = context.clock.now()
         context.sockets.used += 1
         self.reset_message_state()
 
     def dial(self, address: Address, limit: float) -> None:
-        """Open it from this side, within the limit; ``on_unopened`` tells if that fails."""
+        """Connect within the limit (s); ``on_dial_failed`` is called if that fails."""
         self.peer = f"{address[0]}:{address[1]}"
         self.cancel_dial = self.context.dialer.dial(self, address)
         self.dial_timer = self.context.clock.schedule(self.context.clock.now() + limit, self.dial_timed_out)
@@ -262,9 +262,9 @@
             self.on_dial_failed()
 
     def on_dial_failed(self) -> None:
-        """It never came up."""
+        """Called if the connection could not be opened."""
 
-    # The parser's callbacks.
+    # Callbacks of the parser.
 
     def reset_message_state(self) -> None:
         self.headers: dict[bytes, bytes] = {}
@@ -278,7 +278,7 @@
         self.message_started = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.headers_complete:  # what follows a body, in a chunked message, is none of it
+        if not self.headers_complete:  # trailers of a chunked message are ignored
             self.headers[name.lower()] = value.strip(b" \t")
 
     def on_headers_complete(self) -> None:
@@ -286,7 +286,7 @@
         self.received_bytes = 0
 
     def check_head_size(self, size: int) -> None:
-        """After each piece of this size: a head that doesn't end must not be kept."""
+        """Count received bytes while the head is incomplete. Raises FramingError if it is too large."""
         if self.message_started and not self.headers_complete:
             self.received_bytes += size
             if self.received_bytes > MAX_HEAD_BYTES:
@@ -302,7 +302,7 @@
     def body(self) -> bytes:
         return self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
 
-    # The transport's callbacks.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -322,15 +322,15 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether bytes have come in that the loop has not handed on yet."""
+        """Whether the socket holds bytes that the event loop has not read yet."""
         sock: Any = self.transport.get_extra_info("socket") if self.transport is not None else None
         return sock is not None and has_input(sock) and not self.lost
 
     def end_if_idle(self, code: str, flush: bool = False) -> bool:
-        """Close one on which nothing is under way; False if its next request is here and only not read yet.
+        """Close an idle connection; False if unread input has arrived, which may be the next request.
 
-        A close over unread bytes is a reset: it takes the request, and with it what the other side has not
-        read of the answer before.
+        Closing a socket with unread input resets the connection, and the other side loses the part of the
+        last response that it has not read yet.
         """
         if self.has_unread_input:
             return False
@@ -338,7 +338,7 @@
         return True
 
     def record_end(self) -> None:
-        """The connection has ended: its socket is free again, and one line says why it ended."""
+        """Release the socket, and count and log the close code."""
         self.context.sockets.used -= 1
         age = self.context.clock.now() - self.opened_at
         self.context.stats[f"closed.{self.side}.{self.close_code}"] += 1
@@ -349,7 +349,7 @@
         )  # fmt: skip
 
     def end(self, code: str, flush: bool = False) -> None:
-        """Close, for this reason; what was written goes out first only if flush is set."""
+        """Close with this code; buffered output is sent first only if flush is set."""
         self.close_code = self.close_code or code
         if self.transport is None:
             if self.cancel_dial is not None:
@@ -361,7 +361,7 @@
 
 
 def parse_error(error: Exception) -> FramingError:
-    """The parser wraps what its callbacks raise."""
+    """Return the FramingError that a parser callback raised, which the parser wraps, or a generic one."""
     inner: BaseException | None = error
     while inner is not None:
         if isinstance(inner, FramingError):
--- a/latchspoke/net/listener.py
+++ b/latchspoke/net/listener.py
@@ -1,4 +1,4 @@
-"""The clients' side: takes requests in, and carries final answers back."""
+"""Client connections: parses requests, passes them to the core and writes the responses."""
 
 from __future__ import annotations
 
@@ -29,27 +29,23 @@
 )
 
 METHODS = {b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"}
-READ_TIMEOUT_S = 3.0  # s; for a head to come whole, once it has begun, and between two pieces of a body
-MAX_UPLOAD_BYTES = 64 * 1024 * 1024  # bytes of a body
-WRITE_TIMEOUT_S = 60.0  # s; a client that takes nothing of its answer for so long is given up
-FIRST_REQUEST_TIMEOUT_S = 2.0  # s; for the first request of a connection to begin
-IDLE_TIMEOUT_S = 5.0  # s; a connection that has had an answer is kept so long for the next request
-LINGER_S = 1.0  # s; after a refusal of bad input the rest is read and dropped, so that it arrives
-MAX_DISCARDED_BYTES = 1024 * 1024  # bytes; what comes beyond is left unread meanwhile: reading it costs CPU
-CLIENT_SOCKET_SHARE = 2 / 3  # of the sockets are for clients at most; forwards take the rest
-IDLE_CLIENT_SOCKET_SHARE = (
-    1 / 8
-)  # of the sockets; clients that wait with an answer may hold no more for their next request
+READ_TIMEOUT_S = 3.0  # for a complete request head, and between two parts of a body
+MAX_UPLOAD_BYTES = 64 * 1024 * 1024
+WRITE_TIMEOUT_S = 60.0  # without the client reading any of its response
+FIRST_REQUEST_TIMEOUT_S = 2.0  # from accepting a connection to the first byte of a request
+IDLE_TIMEOUT_S = 5.0  # between a response and the next request
+LINGER_S = 1.0  # input is drained this long after an error response, so that a reset does not destroy it
+MAX_DISCARDED_BYTES = 1024 * 1024  # while lingering; further input is left unread to save CPU
+CLIENT_SOCKET_SHARE = 2 / 3  # of all sockets; the rest is for upstream connections
+IDLE_CLIENT_SOCKET_SHARE = 1 / 8  # of all sockets, for connections between two requests
 HEX_DIGITS = frozenset(b"0123456789abcdefABCDEF")
-CUSTOMER_KEY_LIMIT = 1 << 33  # customers' numbers are below this
-MAX_DEADLINE_S = 3600.0  # s
+CUSTOMER_KEY_LIMIT = 1 << 33  # exclusive
+MAX_DEADLINE_S = 3600.0
 UNREPEATABLE_HEADERS = frozenset(
     (b"req-id", b"req-kind", b"x-tier", b"req-deadline", b"x-call-terms", b"idempotency-key")
 )
-WRITE_BUFFER_HIGH_BYTES = (
-    64 * 1024
-)  # bytes written and not taken off yet, beyond which no more is read for a client
-MAX_CACHED_BYTES = 128  # bytes; only short texts are kept, so that the caches stay small
+WRITE_BUFFER_HIGH_BYTES = 64 * 1024  # above this, reading a streamed response from the target pauses
+MAX_CACHED_BYTES = 128  # longer texts are not cached, which bounds the size of the caches
 
 
 def bad_request(reason: str) -> FramingError:
@@ -73,7 +69,7 @@
 
 
 def parse_url(url: bytes, service_name: bytes) -> tuple[str, str]:
-    """The customer and the class."""
+    """Return the customer key, normalized, and the service name."""
     if not url.startswith(b"/" + service_name) or url[len(service_name) + 1 : len(service_name) + 2] not in (
         b"",
         b"/",
@@ -83,7 +79,7 @@
     for part in url.partition(b"?")[2].split(b"&"):
         name, _, value = part.partition(b"=")
         if name == b"key":
-            # Told apart by number: other ways to write one key would be other customers.
+            # Keys are normalized: otherwise two spellings of a number would count as two customers.
             if (
                 not 0 < len(value) <= 16
                 or not HEX_DIGITS.issuperset(value)
@@ -95,7 +91,7 @@
 
 
 def parse_terms(text: bytes, max_units: float, gateways: int) -> tuple[float, int, int]:
-    """Units, spread, and the first gateway of the set."""
+    """Return the units, the spread, and the index of the first gateway that the customer uses."""
     terms: dict[bytes, bytes] = {}
     for item in text.split(b","):
         name, _, value = item.strip().partition(b"=")
@@ -110,12 +106,15 @@
     )
 
 
-# The same customers come again and again, so what their requests share is read once.
+# Requests of one customer repeat these texts.
 parse_url_cached, parse_terms_cached = lru_cache(512)(parse_url), lru_cache(512)(parse_terms)
 
 
 def parse_request(url: bytes, headers: dict[bytes, bytes], settings: api.Settings) -> api.Request:
-    """The module's request from the line and headers; raises what is to be answered."""
+    """Build the core's request from URL and headers.
+
+    Raises FramingError with the status of the error response if one of them is invalid.
+    """
     request_id, service_name, plan = headers.get(b"req-id"), headers.get(b"req-kind"), headers.get(b"x-tier")
     if not request_id or not service_name or not plan:
         raise bad_request("no id, class or plan")
@@ -132,11 +131,11 @@
 
 
 class WaitingList(dict["ClientConnection", None]):
-    """Connections that wait for the same thing, in the order of their coming."""
+    """Connections in the same waiting state, the longest waiting first."""
 
 
 class ClientConnection(Connection):
-    """One client's connection: one request at a time, others are refused in turn."""
+    """A client connection, which serves one request at a time; pipelined requests are rejected."""
 
     side = "client"
 
@@ -144,18 +143,18 @@
         super().__init__(listener.context)
         self.listener = listener
         self.flow: Flow | None = None
-        self.fault: FramingError | None = None  # to be answered when the flow is
+        self.fault: FramingError | None = None  # sent after the response of the current flow
         self.ending = False
         self.discarded_bytes = 0
         self.keep_alive = True
         self.waiting_list: WaitingList | None = None
         self.waiting_since = self.opened_at
         self.url = b""
-        self.upload: Upload | None = None  # the body that is being sent on
+        self.upload: Upload | None = None  # the request body that is being streamed
         self.paused = False
-        self.source: BodySource | None = None  # of the answer that is being passed on
+        self.source: BodySource | None = None  # of the response that is being streamed
         self.chunked = False
-        self.blocked_since: float | None = None  # since when it has taken nothing of that
+        self.blocked_since: float | None = None  # when the write buffer filled up
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -166,7 +165,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.ending or self.fault is not None:
-            self.discard(len(data))  # what follows a fault
+            self.discard(len(data))
             return
         try:
             self.feed(data)
@@ -184,13 +183,13 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as e:
-            # An offer to speak something else may be passed over; the parser has ended by it.
+            # Upgrade offers are ignored, but the parser stops at them.
             self.parser = httptools.HttpRequestParser(self)
             if rest := data[e.args[0] :]:
                 self.feed(rest)
 
     def move_to(self, waiting_list: WaitingList | None) -> None:
-        """Among those that wait there, the last to come last; None while a flow is under way or it ends."""
+        """Move to the end of this list; None while a request is being served or the connection closes."""
         if self.waiting_list is not None:
             self.waiting_list.pop(self, None)
         self.waiting_list = waiting_list
@@ -208,7 +207,7 @@
             self.transport.pause_reading()
 
     def reject_input(self, fault: FramingError) -> None:
-        """Bad input gets its answer and a close, but never before the flow that is under way."""
+        """Send an error response and close, after the response of the current flow if there is one."""
         self.fault = fault
         if self.upload is not None:
             self.abort_upload()
@@ -228,11 +227,10 @@
             self.context.clock.now() + LINGER_S, lambda now: self.end("linger", flush=True)
         )
 
-    # The parser's callbacks.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        # The protocol has one request at a time on a connection: a second one before the answer is
-        # pipelined, and a request behind it must not be mixed up with the first.
+        # A second request before the response would overwrite the state of the first one.
         if self.flow is not None:
             raise bad_request("pipelined")
         super().on_message_begin()
@@ -242,13 +240,13 @@
         if self.headers_complete:
             return
         name = name.lower()
-        # Of two, a target or another gateway might go by the other one.
+        # A target or another gateway might use the other value.
         if name in UNREPEATABLE_HEADERS and name in self.headers:
             raise bad_request("repeated header")
         self.headers[name] = value.strip(b" \t")
 
     def strip_absolute_form(self) -> None:
-        """A target may be told in its absolute form."""
+        """Reduce a request target in absolute form to its path and query."""
         if self.url[:7].lower() == b"http://":
             self.url = b"/" + self.url[7:].partition(b"/")[2]
 
@@ -282,7 +280,7 @@
             self.begin_upload()
 
     def begin_upload(self) -> None:
-        """A body too large to be held: the request is decided now, and the body goes on as it comes."""
+        """Start the request and stream its body, which is too large to buffer until it is complete."""
         method: bytes = self.parser.get_method()
         if self.url.startswith(b"/-/"):
             raise FramingError(413, "oversize")
@@ -291,7 +289,7 @@
         self.start_request(method, b"", self.upload)
 
     def pause_upload(self, paused: bool) -> None:
-        """Read no further for now, as the target takes nothing; that is no fault of this client's."""
+        """Pause or resume reading, as the target accepts data; while paused, no read timeout applies."""
         if self.transport is None or self.lost or paused == self.paused:
             return
         self.paused = paused
@@ -304,7 +302,7 @@
                 self.move_to(self.listener.reading_clients)
 
     def abort_upload(self) -> None:
-        """The rest of a body will not come: no target may wait for it."""
+        """Withdraw the request and abandon its attempt, as the rest of the body will not arrive."""
         upload, self.upload = self.upload, None
         flow, self.flow = self.flow, None
         if flow is not None:
@@ -320,7 +318,7 @@
         if self.flow is not None:
             self.listener.core.body_received(self.flow, self.context.clock.now())
         else:
-            self.request_finished()  # it had its answer before
+            self.request_finished()  # the response was sent before the body was complete
 
     def on_message_complete(self) -> None:
         self.message_started = False
@@ -368,7 +366,7 @@
         known = path in (b"/-/ready", b"/-/healthy")
         self.write(format_response(200 if ready else 503 if known else 404, close=self.closing))
 
-    # The core's answers.
+    # Callbacks of the core, with the final answer, and of the target that a response is streamed from.
 
     @property
     def closing(self) -> bool:
@@ -388,7 +386,7 @@
             self.context.stats[f"{outcome}.{self.flow.request.service}"] += 1
 
     def begin_streaming(self, answer: UpstreamResponse, source: BodySource, content_type_line: bytes) -> None:
-        """The head now, the body as it comes; where its size is not known, in chunks or up to the close."""
+        """Write the head now and the body as it arrives, chunked or up to EOF if its length is unknown."""
         if self.transport is None or self.lost or self.transport.is_closing():
             source.cancel_response()
             return
@@ -414,7 +412,7 @@
             self.transport.write(part)
 
     def stream_ended(self, complete: bool) -> None:
-        """The answer's end, or where it was broken off, which the client can tell."""
+        """Finish the response; an incomplete one ends without a last chunk or before its length."""
         self.source = None
         self.context.stats["flows.passed" if complete else "flows.cut"] += 1
         self.count_outcome("answered" if complete else "errored")
@@ -451,10 +449,10 @@
         if self.upload is None:
             self.request_finished()
         else:
-            self.upload.drop()  # what is still to come is read, as the client may not listen before
+            self.upload.drop()  # read to the end, as the client may not read the response before
 
     def request_finished(self) -> None:
-        """The request has come and has its answer; which may be out before all of a body is in."""
+        """Close or keep the connection, once both the request and the response are complete."""
         if self.transport is None or self.lost or self.transport.is_closing():
             return
         if self.fault is not None:
@@ -482,12 +480,12 @@
 
 
 class Listener:
-    """All clients' connections."""
+    """All client connections."""
 
     def __init__(self, context: ConnectionContext, core: Core, close_idle_target: Callable[[], bool]) -> None:
         self.context, self.core, self.close_idle_target = context, core, close_idle_target
         self.clients: set[ClientConnection] = set()
-        # Each in the order of their coming: no request yet, half a request, an answer and no request since.
+        # Connections without a request so far, with an incomplete request, and between two requests.
         self.new_clients, self.reading_clients, self.idle_clients = (
             WaitingList(),
             WaitingList(),
@@ -498,7 +496,7 @@
         self.ready = self.stopping = False
 
     def client_connected(self, client: ClientConnection) -> None:
-        """Make room for one more; a client must not fail for want of a socket we could free."""
+        """Register a connection, closing a waiting one if the limit is reached."""
         self.clients.add(client)
         self.context.stats["clients.accepted"] += 1
         sockets_exhausted = self.context.sockets.available < 0
@@ -510,7 +508,10 @@
             client.move_to(self.new_clients)
 
     def close_waiting_client(self) -> bool:
-        """Close the one that has waited longest; those that let an answer wait may only hold sockets."""
+        """Close the longest waiting connection; False if there is none.
+
+        Connections within the grace period are closed only if all others are busy.
+        """
         now = self.context.clock.now()
         waits = (
             (self.new_clients, CONNECT_GRACE_S),
@@ -527,9 +528,9 @@
         return False
 
     def keep_idle(self, client: ClientConnection) -> None:
-        """Clients may hold only so many connections, and some hold all of theirs without asking again.
+        """Wait for the next request; the longest idle connection is closed if there are too many.
 
-        The one that has waited longest makes room for them to open others; who asks often is not hit.
+        Some clients hold all connections that they may open, idle, and could otherwise not open new ones.
         """
         client.move_to(self.idle_clients)
         if len(self.idle_clients) > self.max_idle_clients:
@@ -538,7 +539,7 @@
                 oldest.move_to(None)
 
     def sweep(self, now: float) -> None:
-        """A client that asks nothing, or never all of it, must not hold its connection for good."""
+        """Close connections whose timeout has expired."""
         for waiting_list, limit, code in (
             (self.new_clients, FIRST_REQUEST_TIMEOUT_S, "no_request"),
             (self.reading_clients, READ_TIMEOUT_S, "read_timeout"),
@@ -554,7 +555,7 @@
             client.end("not_taken")
 
     def close_idle(self) -> None:
-        """Those with nothing under way; who has connected a moment ago is about to ask, and may."""
+        """Close connections without a request, except new ones within the grace period."""
         now = self.context.clock.now()
         for client in [
             *(c for c in self.new_clients if now - c.waiting_since >= CONNECT_GRACE_S),
@@ -565,7 +566,7 @@
 
     @property
     def requests_in_flight(self) -> int:
-        """Requests taken and not yet ended."""
+        """Requests accepted and not yet answered."""
         return sum(client.flow is not None for client in self.clients)
 
     @property
--- a/latchspoke/net/management.py
+++ b/latchspoke/net/management.py
@@ -1,6 +1,6 @@
-"""Calls over HTTP/1.1 that are answered from what is at hand: the view's socket, and the operators' door.
+"""Minimal HTTP/1.1 server for the admin socket and the operator API.
 
-The event loop answers each between two requests of the gateway's, and no call waits for anything.
+Replies are computed synchronously on the event loop of the gateway, so they must be fast and never block.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_UNANSWERED_BYTES = 4096  # bytes of one connection that are not answered yet
+MAX_UNANSWERED_BYTES = 4096  # of incomplete requests on one connection
 TEXT_CONTENT_TYPE = b"Content-Type: text/plain\r\n"
 
 Reply = tuple[int, bytes, bytes]  # status, body, further headers
 
 
 class ManagementConnection(asyncio.Protocol):
-    """Answers each call whole, in their order; what it does not understand ends it."""
+    """Answers requests in order; closes after an invalid one."""
 
     def __init__(self, management_server: ManagementServer) -> None:
         self.management_server = management_server
@@ -72,7 +72,7 @@
         try:
             reply = self.management_server.reply(self.parser.get_method(), self.url)
         except Exception:
-            log.exception("a call failed")
+            log.exception("management request failed")
             reply = (500, b"the call failed, see the log\n", TEXT_CONTENT_TYPE)
         self.send_reply(reply, close=self.management_server.single_request)
         self.restart_idle_timer()
@@ -87,23 +87,23 @@
 
 
 class ManagementServer:
-    """Where calls come in; ``reply`` is the answer to each."""
+    """Base class of the management servers, which implement ``reply``."""
 
-    single_request = False  # whether a connection carries one call only
-    max_connections = 8  # connections at once; the gateway's sockets are for requests
-    idle_timeout_s = 30.0  # s; a connection that asks nothing is given up
+    single_request = False  # whether connections are closed after the first reply
+    max_connections = 8
+    idle_timeout_s = 30.0
     bad_request_reply: Reply = (400, b"not a call\n", TEXT_CONTENT_TYPE)
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.connections: dict[ManagementConnection, None] = {}  # the one that has been there longest first
+        self.connections: dict[ManagementConnection, None] = {}  # the oldest first
         self.server: asyncio.AbstractServer | None = None
 
     def reply(self, method: bytes, url: bytes) -> Reply:
         raise NotImplementedError
 
     def add_connection(self, connection: ManagementConnection) -> None:
-        """Callers that say nothing must not keep the others out: the oldest makes room."""
+        """Register a connection; above the limit the oldest is aborted, so that idle clients block nobody."""
         self.connections[connection] = None
         if len(self.connections) > self.max_connections:
             oldest = next(iter(self.connections))
--- a/latchspoke/net/metrics.py
+++ b/latchspoke/net/metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway reports at the operators' door, in the form of statsd; made only when it is asked for."""
+"""Metrics of a gateway in the statsd format, computed on request for the operator API."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
     from latchspoke.net.serve import Node
 
 OUTCOMES = ("answered", "deferred", "errored")
-UNHEALTHY_ERROR_RATE = 0.5  # a server with such a share of errors is as good as avoided
+UNHEALTHY_ERROR_RATE = 0.5
 
 
 def format_metrics(node: Node) -> str:
-    """A line each; the counters begin with the process."""
+    """Return one line per metric; counters start at zero with the process."""
     stats, gateway, now = node.stats, node.core.gateway, node.clock.now()
     services = dict.fromkeys(gateway.classes) | dict.fromkeys(
         name.partition(".")[2] for name in stats if name.partition(".")[0] in OUTCOMES
@@ -32,7 +32,7 @@
 
 
 def unhealthy_servers(node: Node, now: float) -> list[str]:
-    """Listed servers that leave, were taken out by hand or by rules, or fail more often than not."""
+    """Return listed servers that are draining, in maintenance, excluded by rules, or failing."""
     gateway = node.core.gateway
     names = []
     for name, target in node.target_group.targets.items():
--- a/latchspoke/net/operator_api.py
+++ b/latchspoke/net/operator_api.py
@@ -1,7 +1,7 @@
-"""The operators' door: calls over TCP at an address of its own, one to a connection.
+"""Operator API: HTTP over TCP at an address of its own, one request per connection.
 
-``GET /status`` tells whether this process is ready to serve, ``GET /status/metrics`` its figures, and
-``PUT /maintenance/enter/ID`` and ``/exit/ID`` take a server out by hand and put it back.
+``GET /status`` returns whether this process is ready to serve, ``GET /status/metrics`` its metrics, and
+``PUT /maintenance/enter/ID`` and ``/exit/ID`` put a server into maintenance and back into service.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class OperatorApi(ManagementServer):
-    """What operators call."""
+    """HTTP server of the operator API."""
 
     single_request = True
     max_connections = 16
--- a/latchspoke/net/process_group.py
+++ b/latchspoke/net/process_group.py
@@ -1,8 +1,8 @@
-"""The processes of one gateway. While one replaces another, both serve at the clients' address.
+"""Coordinates the processes of one gateway: while one replaces another, both serve at the same address.
 
-They meet in $TMPDIR, which both have: a file with a lock for each process tells whether others live, and
-a file of notes keeps what operators have said, which outlives each process. Nothing passes between them
-directly, so that either may die at any moment and the other goes on.
+They share files in $TMPDIR: a lock file, in which each running process holds a byte-range lock, and the
+maintenance record, which outlives the processes. They do not communicate directly, so that each keeps working
+if the other one dies at any moment.
 """
 
 from __future__ import annotations
@@ -27,15 +27,19 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PROCESSES = 8  # processes of one gateway that can live at once; the byte behind them guards the notes
-LEARNED_MAX_AGE_S = 5.0  # s; what another process has learnt is worth nothing later
-MAX_KNOWN_SERVERS = 8192  # servers' names remembered
+MAX_PROCESSES = 8  # each locks a byte of the lock file; the byte after these guards the maintenance record
+LEARNED_MAX_AGE_S = 5.0
+MAX_KNOWN_SERVERS = 8192
 SO_ATTACH_REUSEPORT_CBPF = 51
 
 
 @dataclass(slots=True)
 class MaintenanceRecord:
-    """Servers taken out by hand, and since when; those put back (taken out, put back); names ever listed."""
+    """Servers in maintenance, by operators' request.
+
+    ``in_maintenance``: server -> Unix time (s) of its entry; ``returned``: server -> times of entry and exit;
+    ``known_servers``: all servers that discovery ever listed, the oldest first.
+    """
 
     in_maintenance: dict[str, float] = field(default_factory=dict)
     returned: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -55,7 +59,7 @@
         )
 
     def enter(self, name: str, now: float) -> bool:
-        """Whether there is such a server. Said again it changes nothing."""
+        """Put a server into maintenance; idempotent. Returns False if the server is unknown."""
         if name not in self.known_servers and name not in self.in_maintenance:
             return False
         self.in_maintenance.setdefault(name, now)
@@ -71,7 +75,10 @@
 
 
 class ProcessGroup:
-    """This process among those of its gateway."""
+    """The processes of one gateway, as seen by this one.
+
+    Raises OSError if too many are running, or the lock file can't be opened.
+    """
 
     def __init__(self, folder: Path, name: str, listen: Address) -> None:
         stem = f"latchspoke-{name}-{listen[0]}-{listen[1]}".replace("/", "_")
@@ -79,13 +86,13 @@
         self.lock_file = os.open(folder / f"{stem}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.maintenance = MaintenanceRecord()
         self.file_version: tuple[int, int] | None = None
-        self.is_successor = False  # whether this process is the one that takes over
+        self.is_successor = False  # whether this process replaces an older one
         self.slot = next((n for n in range(MAX_PROCESSES) if self.try_lock(n)), None)
         if self.slot is None:
-            raise OSError(f"{MAX_PROCESSES} processes of this gateway live already")
+            raise OSError(f"{MAX_PROCESSES} processes of this gateway are running already")
 
     def try_lock(self, slot: int) -> bool:
-        """The kernel lets go of it when this process ends, however it ends."""
+        """Lock this byte of the lock file; the kernel releases the lock when the process ends."""
         try:
             fcntl.lockf(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, slot)
         except OSError:
@@ -93,7 +100,7 @@
         return True
 
     def count_others(self) -> int:
-        """How many more processes of this gateway live."""
+        """Return the number of other running processes of this gateway."""
         count = 0
         for slot in range(MAX_PROCESSES):
             if slot != self.slot:
@@ -104,7 +111,7 @@
         return count
 
     def reload_if_changed(self) -> bool:
-        """Take up the notes if another process has written them."""
+        """Reload the maintenance record if another process has written it; False if nothing changed."""
         try:
             stat = os.stat(self.path)
             file_version = (stat.st_mtime_ns, stat.st_ino)
@@ -117,15 +124,15 @@
         except FileNotFoundError:
             return False
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as e:
-            log.error("the notes at %s can't be read: %r", self.path, e)
+            log.error("maintenance record %s can't be read: %r", self.path, e)
             return False
         return True
 
     @contextlib.contextmanager
     def update(self) -> Iterator[MaintenanceRecord]:
-        """The notes as they stand, to be changed and written in one step that either happens or does not.
+        """Lock the maintenance record, yield a copy to change, and replace the file atomically.
 
-        Raises OSError where they can't be kept; all is as before then.
+        Raises OSError if the file can't be written; the record is unchanged then.
         """
         fcntl.lockf(self.lock_file, fcntl.LOCK_EX, 1, MAX_PROCESSES)
         try:
@@ -147,16 +154,16 @@
             fcntl.lockf(self.lock_file, fcntl.LOCK_UN, 1, MAX_PROCESSES)
 
     def publish_learned(self, learned: LearnedState) -> None:
-        """For the process that is starting beside this one."""
+        """Write the learned state for the process that is about to replace this one."""
         temporary = self.path.with_suffix(f".{os.getpid()}")
         try:
             temporary.write_text(json.dumps(learned))
             os.replace(temporary, self.path.with_suffix(".learnt"))
         except OSError as e:
-            log.error("what was learnt can't be left: %s", e)
+            log.error("learned state can't be written: %s", e)
 
     def load_learned(self) -> LearnedState | None:
-        """What the other process knew a moment ago, if it has told and it makes sense."""
+        """Return the learned state that another process has written; None if missing, outdated or invalid."""
         path = self.path.with_suffix(".learnt")
         try:
             if time.time() - path.stat().st_mtime > LEARNED_MAX_AGE_S:
@@ -170,15 +177,15 @@
 
 
 def parse_number(value: Any, minimum: float = 0.0, maximum: float = math.inf) -> float:
-    """Raises ValueError for what is no number, or not from least to most."""
+    """Raises ValueError or TypeError if this is not a finite number in the range."""
     if not minimum <= (n := float(value)) <= maximum or n == math.inf:
         raise ValueError(f"{n} is out of range")
     return n
 
 
 def parse_learned(document: Any) -> LearnedState:
-    """Raises ValueError, KeyError, TypeError or AttributeError where it makes no sense."""
-    smallest = 1e-9  # what is divided by
+    """Raises ValueError, KeyError, TypeError or AttributeError if the document is invalid."""
+    smallest = 1e-9  # of divisors
 
     def health(slowdown: Any, error_rate: Any) -> list[float]:
         return [parse_number(slowdown, smallest), parse_number(error_rate, 0.0, 1.0)]
@@ -209,7 +216,7 @@
 
 
 def bind_shared_socket(address: Address) -> socket.socket:
-    """A bound socket that others of this gateway may share the address with."""
+    """Return a bound socket whose address other processes of this gateway may bind, too."""
     family, kind, proto, _, socket_address = socket.getaddrinfo(*address, type=socket.SOCK_STREAM)[0]
     sock = socket.socket(family, kind | socket.SOCK_CLOEXEC | socket.SOCK_NONBLOCK, proto)
     try:
@@ -223,15 +230,16 @@
 
 
 def route_new_connections(sock: socket.socket, older_processes: int) -> None:
-    """New connections come to this socket alone, of those that share its address and listen already.
+    """Send all new connections to this listening socket, of those that share its address.
 
-    The kernel deals them out by hash otherwise, and those that wait for an older process are broken off when
-    it stops listening. The program is one instruction, which returns the socket's place among them; where
-    there is no such place any more, as after the older ones have left, the kernel goes by its hash.
+    By default the kernel distributes them by hash, and connections that wait to be accepted by an older
+    process are reset when it stops listening. The attached BPF program is a single instruction that returns
+    the index of this socket among them. Once the older sockets are closed that index is out of range, and the
+    kernel falls back to the hash.
     """
     code = ctypes.create_string_buffer(struct.pack("HBBI", 0x06, 0, 0, older_processes))
     program = struct.pack("HP", 1, ctypes.addressof(code))
     try:
         sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
     except OSError as e:
-        log.warning("the kernel goes on dealing out connections by hash: %s", e)
+        log.warning("BPF program not attached, the kernel distributes connections by hash: %s", e)
--- a/latchspoke/net/rules.py
+++ b/latchspoke/net/rules.py
@@ -1,7 +1,7 @@
-"""Follows the rules that the members agree on: asks an agent for the right to act, fetches what it lacks.
+"""Client of the replicated rules: renews the leases on them at an agent and fetches missing versions.
 
-Loaded only where members are named. Nothing of a request waits for it: each decision compares the time with
-the moment at which a right ends, and that is all. One question is under way at a time, on a kept connection.
+Loaded only if agents are configured. Client requests never wait for it: a decision only compares the time
+with the end of the lease. One request to an agent is in flight at a time, on a persistent connection.
 """
 
 from __future__ import annotations
@@ -37,27 +37,27 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_TIMEOUT_S = 1.5  # s for one question; another member is asked after it
-RETRY_DELAY_S = 0.25  # s until the next try after one in vain
-CACHED_START_DELAY_S = 5.0  # s without any member, after which a start on the rules last known is a start
-AGENT_INTERFACE_VERSION = b"1"  # of the agents
-INTEGER_SETTINGS = ("concurrency",)  # figures that are whole numbers
+REQUEST_TIMEOUT_S = 1.5  # after this another agent is asked
+RETRY_DELAY_S = 0.25
+CACHED_START_DELAY_S = 5.0  # without any answer, before a gateway may start from cached rules
+AGENT_INTERFACE_VERSION = b"1"
+INTEGER_SETTINGS = ("concurrency",)
 
 
 class MatchAll:
-    """In the place of a list that can't be known any more: whatever it is, it may stand there."""
+    """A container that has every element, in place of a list whose content is unknown."""
 
     def __contains__(self, what: object) -> bool:
         return True
 
 
 def boottime() -> float:
-    """Goes on while the machine sleeps, which the ordinary monotonic clock does not."""
+    """Return the time (s) since boot, including suspend, unlike the monotonic clock."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class AgentConnection(asyncio.Protocol):
-    """Questions to one agent, one at a time."""
+    """A connection to an agent, with one request at a time."""
 
     def __init__(self, on_answer: Callable[[int, bytes], None], on_lost: Callable[[], None]) -> None:
         self.on_answer, self.on_lost = on_answer, on_lost
@@ -99,7 +99,7 @@
 
 
 class RulesClient:
-    """One gateway's rules; ``core`` sees ``lease``, ``lease_expires_at``, ``clock`` and ``expire_lease``."""
+    """Implements ``latchspoke.core.Rules`` for a gateway, by asking one of several agents."""
 
     def __init__(
         self,
@@ -115,27 +115,25 @@
         self.loop, self.timers, self.settings, self.config = loop, timers, settings, config
         self.apply_rules, self.on_ready, self.clock = apply_rules, on_ready, clock
         self.rights = Rights(name, secrets.token_hex(4))
-        self.plans = {plan.name: plan for plan in settings.plans}  # as the module has them now
+        self.plans = {plan.name: plan for plan in settings.plans}  # those in effect
         self.lease = DecisionLease("", math.inf)
         self.connection: AgentConnection | None = None
-        self.request_number = (
-            0  # grows with each question; what comes for an earlier one is not wanted any more
-        )
+        self.request_number = 0  # responses to earlier requests are ignored
         self.pending_fetches: list[Fetch] = []
         self.current_fetch: Fetch | None = None
-        self.fetch_in_parts: set[tuple[str, int]] = set()  # contents that are to be fetched by parts
+        self.fetch_in_parts: set[tuple[str, int]] = set()  # (name, version) whose fetch as a change failed
         self.on_response: Callable[[Any], None] = lambda response: None
         self.stopped = self.started = False
-        self.writer = ThreadPoolExecutor(1)  # starts no thread before it is used
+        self.writer = ThreadPoolExecutor(1)  # starts its thread on first use
 
     @property
     def lease_expires_at(self) -> float:
         return self.rights.lapse_at
 
-    # From start to end.
+    # Life cycle.
 
     def start(self) -> None:
-        """Until there is a right to act, or the rules last known must do, all is refused."""
+        """Start to ask for leases; everything is refused until one is granted or cached rules are used."""
         self.apply_rules(api.Rules(self.settings.plans, MatchAll()))
         if self.config.cache_path:
             self.load_cache(self.config.cache_path)
@@ -145,7 +143,7 @@
 
     def start_from_cache(self, now: float) -> None:
         if not self.rights.joined and self.rights.acted_before:
-            log.warning("no member is heard: begins on the rules last known")
+            log.warning("no agent answered: starting with the cached rules")
             self.apply_acting_rules()
             self.on_ready()
 
@@ -156,27 +154,27 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this gateway may take requests: it had a right once, or began on what it last knew."""
+        """Whether this gateway may accept requests: it held a lease at least once, or uses cached rules."""
         return self.started
 
     def load_cache(self, path: str) -> None:
-        """What was last acted on; a file that can't be read is as good as none, and is told of."""
+        """Load the rules that were last in effect; an unreadable file is logged and ignored."""
         try:
             with open(path, encoding="utf-8") as file:
                 self.rights.load(json.load(file))
         except FileNotFoundError:
             return
         except (OSError, ValueError) as e:
-            log.warning("%s can't be used: %s", path, e)
+            log.warning("cached rules %s can't be read: %s", path, e)
 
     def save_cache(self) -> None:
-        """Whole or not at all; one after the other beside the loop, as a list may be long."""
+        """Write the rules in effect atomically, in a single background thread, as they may be large."""
         if self.config.cache_path:
             self.loop.run_in_executor(
                 self.writer, write_cache, self.config.cache_path, self.rights.acted_on()
             )
 
-    # Asking.
+    # Requests to agents.
 
     def ask_question(self) -> None:
         if self.stopped:
@@ -185,7 +183,7 @@
         self.send_request("/v1/rules/question", question, self.question_answered)
 
     def send_request(self, path: str, body: Any, on_response: Callable[[Any], None]) -> None:
-        """To the member whose turn it is; ``then`` gets what it answered."""
+        """Send to the current agent; ``on_response`` is called with the decoded response."""
         self.request_number += 1
         number, self.on_response, data = self.request_number, on_response, json.dumps(body).encode()
         self.timers.schedule(
@@ -222,21 +220,21 @@
             self.request_failed(self.request_number)
 
     def request_timed_out(self, number: int) -> None:
-        """Its connection may have ended before it was here, which nobody would tell again."""
+        """Also covers a connection that was lost before it was assigned, which is not reported otherwise."""
         self.request_failed(number)
 
     def request_failed(self, number: int) -> None:
-        """Somebody else is asked, a little later."""
+        """Close the connection and ask another agent after a delay."""
         if number != self.request_number:
             return
         self.request_number += 1
-        # Also one that answers, but knows nothing: another member may hear the leader.
+        # Also if the agent answered with an error: another one may reach the leader.
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.end()
         self.pending_fetches.clear()
         if self.current_fetch is not None:
-            # Not there as a change, or damaged: next time by those parts of it that differ.
+            # The change was missing or damaged: fetch the differing parts next time.
             self.fetch_in_parts.add((self.current_fetch.name, self.current_fetch.version))
             self.current_fetch = None
         self.on_ready()
@@ -252,14 +250,14 @@
         self.timers.schedule(self.timers.now() + delay, due)
 
     def response_received(self, status: int, body: bytes) -> None:
-        """An answer to what was asked last; whatever is wrong with it, it is one in vain."""
+        """Handle the response to the last request; an invalid one counts as a failure."""
         self.request_number += 1
         try:
             if status != 200:
                 raise ValueError(f"status {status}")
             self.on_response(json.loads(body))
         except (ValueError, KeyError, TypeError, AttributeError) as e:
-            log.warning("an agent's answer about rules is of no use: %s", e)
+            log.warning("invalid response about rules from an agent: %s", e)
             self.request_failed(self.request_number)
 
     def question_answered(self, answer: Any) -> None:
@@ -267,7 +265,7 @@
             if self.label() != self.lease.label:
                 self.apply_acting_rules()
                 self.save_cache()
-            # The same versions, for longer: what is in hand may go on as well.
+            # Renew the lease object in place, so that requests in flight benefit, too.
             self.lease.expires_at = self.rights.stop_at(self.clock())
             self.on_ready()
         self.pending_fetches = self.rights.fetches()
@@ -296,7 +294,7 @@
         )
 
     def content_received(self, fetch: Fetch, base: Document, digests: list[str], response: Any) -> None:
-        """Some of it at a time; as a whole it is tried by its digest."""
+        """Assemble the document from one or more responses; its digest is verified once it is complete."""
         document = assembled(response, base)
         if response.get("then"):
             self.fetch_parts(fetch, document, digests, int(response["then"]))
@@ -304,7 +302,7 @@
         try:
             self.rights.take(fetch.name, fetch.version, document)
         except DocumentError as e:
-            log.warning("fetched in vain: %s", e)
+            log.warning("fetched rules document is invalid: %s", e)
             self.request_failed(self.request_number)
             return
         self.fetch_in_parts.discard((fetch.name, fetch.version))
@@ -314,28 +312,28 @@
         else:
             self.ask_question()
 
-    # Deciding.
+    # Rules in effect.
 
     def label(self) -> str:
-        """Of what is acted on: plans:3,blocked:7-refuse."""
+        """Return the versions in effect, such as ``plans:3,blocked:7-refuse``."""
         now = self.clock()
         return ",".join(f"{name}:{self.rights.label(name, now)}" for name in sorted(self.rights.known))
 
     def expire_lease(self) -> None:
-        """From the moment at which a right ends; also after this process stood still for any time."""
+        """Replace the rules whose lease has expired, also if the process was suspended meanwhile."""
         self.rights.next_lapse(self.clock())
         if self.started:
             self.apply_acting_rules()
-        log.warning("a right to act has ended: %s", self.lease.label)
+        log.warning("lease expired, rules in effect: %s", self.lease.label)
 
     def apply_acting_rules(self) -> None:
-        """In one step between two events of the core; what is in hand keeps the epoch that it came under."""
+        """Put the leased rules into effect atomically; requests in flight keep the lease of their start."""
         now = self.clock()
         acting = {name: self.rights.acting(name, now) for name in KINDS}
         self.rights.next_lapse(now)
         self.started = True
         self.lease = DecisionLease(self.label(), self.rights.stop_at(now))
-        log.info("acts by %s", self.lease.label)
+        log.info("rules in effect: %s", self.lease.label)
         plan_rules = acting[FIGURES]
         self.plans = apply_plan_changes(self.settings, self.plans, plan_rules.document)
         block_everyone = REFUSE in (plan_rules.lapsed, acting[BLOCKED].lapsed)
@@ -343,7 +341,7 @@
         self.apply_rules(api.Rules(tuple(self.plans.values()), blocked, excluded_servers(acting[ASIDE])))
 
     def view(self) -> dict[str, Any]:
-        """For operators."""
+        """Return the state of each rules document, for operators."""
         now = self.clock()
         return {
             name: {
@@ -359,12 +357,12 @@
 def excluded_servers(acting: Acting) -> Container[str]:
     if acting.lapsed == REFUSE:
         return MatchAll()
-    # An empty tuple costs nothing to look into.
+    # Lookups in an empty tuple are the fastest.
     return acting.document if len(acting.document) else ()
 
 
 def assembled(response: Any, base: Document) -> Document:
-    """As ``revisions.machine.assemble``, of a plain object."""
+    """Like ``revisions.machine.assemble``, for a decoded JSON object."""
     if response.get("parts") is not None:
         return base.with_parts({int(number): dict(part) for number, part in response["parts"].items()})
     return base.changed(dict(response.get("put", {})), list(response.get("gone", ())))
@@ -373,7 +371,7 @@
 def apply_plan_changes(
     settings: api.Settings, current_plans: dict[str, api.PlanSettings], plan_values: Document
 ) -> dict[str, api.PlanSettings]:
-    """The file's plans under these plan_values; one that is as before stays the same object."""
+    """Return the configured plans with these values applied; unchanged plans stay the same objects."""
     changes: dict[str, dict[str, Scalar]] = {}
     for path, value in plan_values.items():
         plan_name, _, name = path.rpartition(".")
@@ -384,7 +382,7 @@
         previous = current_plans.get(plan.name)
         plans[plan.name] = previous if previous == updated else updated
     for plan_name in changes:
-        log.warning("rules name a plan that the settings don't: %s", plan_name)
+        log.warning("rules contain a plan that is not configured: %s", plan_name)
     return plans
 
 
@@ -397,4 +395,4 @@
             os.fsync(file.fileno())
         os.replace(f"{path}.new", path)
     except OSError as e:
-        log.warning("the rules last known can't be kept: %s", e)
+        log.warning("rules cache can't be written: %s", e)
--- a/latchspoke/net/serve.py
+++ b/latchspoke/net/serve.py
@@ -1,4 +1,4 @@
-"""Puts the parts together, and runs them from start to SIGTERM."""
+"""Assembles a gateway and runs it until SIGTERM."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from latchspoke.net.http import CONNECT_GRACE_S, ConnectionContext, Dialer, Sockets, has_pending_connections
 from latchspoke.net.listener import ClientConnection, Listener
 from latchspoke.net.process_group import ProcessGroup, bind_shared_socket, route_new_connections
-from latchspoke.net.signals import ENDING, ignore_from_now_on
+from latchspoke.net.signals import TERMINATION_SIGNALS, ignore_signals
 from latchspoke.net.stats import Stats
 from latchspoke.net.target import TargetGroup
 
@@ -36,17 +36,17 @@
 
 log = logging.getLogger(__name__)
 
-STATS_INTERVAL_S = 5.0  # s between lines with the counters: a gateway that is killed prints none at its end
-SWEEP_INTERVAL_S = 0.5  # s between looks at what is idle, silent or unfinished
-READY_DELAY_S = 0.2  # s; if discovery says nothing, the list known at the start must do
-LISTEN_BACKLOG = 1024  # connections that the kernel holds for the listener
-MAX_RESTORE_ATTEMPTS = 8  # looks at what an older process has learnt, half of HEED apart
-PROCESS_SYNC_INTERVAL_S = 0.1  # s between looks at what other processes of this gateway have noted
-DRAIN_DELAY_S = 0.5  # s after SIGTERM in which new connections still come
+STATS_INTERVAL_S = 5.0  # counters are also printed while running, as a killed process prints none at its end
+SWEEP_INTERVAL_S = 0.5  # between checks for expired timeouts
+READY_DELAY_S = 0.2  # without an answer from discovery, before the configured list is used
+LISTEN_BACKLOG = 1024
+MAX_RESTORE_ATTEMPTS = 8  # to read the learned state of an older process
+PROCESS_SYNC_INTERVAL_S = 0.1
+DRAIN_DELAY_S = 0.5  # after SIGTERM, while new connections are still accepted
 
 
 class Ports:
-    """The core's ports on sockets."""
+    """Implements the core's ports with sockets."""
 
     def __init__(self, target_group: TargetGroup, counter: Counter, clock: Clock) -> None:
         self.target_group, self.counter, self.clock = target_group, counter, clock
@@ -65,7 +65,7 @@
 
 
 class Node:
-    """One gateway on its sockets."""
+    """A gateway with its sockets."""
 
     def __init__(self, config: Config, clock: Clock, dialer: Dialer) -> None:
         self.config, self.clock, self.stats = config, clock, Stats()
@@ -97,7 +97,7 @@
         self.stopped_at: float | None = None
 
     def start(self) -> None:
-        """Everything but the listening socket."""
+        """Start everything except the listening socket."""
         now = self.clock.now()
         self.core.start(now)
         self.target_group.update_targets(self.config.known_targets)
@@ -125,7 +125,7 @@
         self.update_readiness()
 
     def use_rules(self, rules: RulesClient) -> None:
-        """Rules with versions decide from now on; without a right to act this gateway is not ready."""
+        """Decide by replicated rules; the gateway is not ready before it holds a lease on them."""
         self.rules = rules
         self.core.rules = rules
 
@@ -136,11 +136,11 @@
 
     @property
     def serving(self) -> bool:
-        """Whether clients are taken in here: what /status tells."""
+        """Whether this process accepts clients, as reported by /status."""
         return self.listener.ready and self.server is not None
 
     def record_known_servers(self, names: list[str]) -> None:
-        """Calls about servers are heard for each that was ever listed."""
+        """Remember listed servers: operators may put any server into maintenance that was ever listed."""
         if self.process_group is None or all(
             name in self.process_group.maintenance.known_servers for name in names
         ):
@@ -149,16 +149,19 @@
             with self.process_group.update() as maintenance:
                 maintenance.known_servers |= dict.fromkeys(names)
         except OSError as e:
-            log.error("the notes can't be kept: %s", e)
+            log.error("maintenance record can't be written: %s", e)
 
     def set_maintenance(self, action: str, name: str) -> bool:
-        """A server taken out by hand, or put back; false where none of that name was ever listed."""
+        """Put a server into maintenance ("enter") or back into service ("exit"); False if it is unknown.
+
+        Raises OSError if the maintenance record can't be written.
+        """
         if self.process_group is None:
             return False
         with self.process_group.update() as maintenance:
             change = maintenance.enter if action == "enter" else maintenance.exit
             known = change(name, self.clock.now())
-        log.info("by hand: %s %s%s", action, name, "" if known else ", which was never listed")
+        log.info("maintenance: %s %s%s", action, name, "" if known else ": unknown server")
         self.apply_maintenance()
         return known
 
@@ -173,7 +176,7 @@
         )
 
     def sync_processes(self, now: float) -> None:
-        """See what operators have said at another process of this gateway, and share its sockets with it."""
+        """Apply maintenance requests that other processes received, and divide the sockets with them."""
         assert self.process_group is not None
         self.clock.schedule(now + PROCESS_SYNC_INTERVAL_S, self.sync_processes)
         if self.process_group.reload_if_changed():
@@ -190,16 +193,16 @@
             part.sweep(now)
 
     def reload(self) -> None:
-        """SIGHUP: what the file names now wins; one that can't be used leaves all as it was."""
+        """Reload the configuration file on SIGHUP; an invalid one changes nothing."""
         if self.listener.stopping:
             return
         try:
             config = self.load_config()
             if missing := sorted(self.config.field_names - config.field_names):
-                raise ConfigError(f"it lacks {', '.join(missing)}")
+                raise ConfigError(f"missing fields: {', '.join(missing)}")
         except ConfigError as e:
             self.stats["conf.invalid"] += 1
-            log.error("%s goes on as before, as the new configuration can't be used: %s", self.config.name, e)
+            log.error("%s: invalid configuration, keeping the current one: %s", self.config.name, e)
             return
         self.watch.set_address(config.discovery)
         self.counter.set_address(config.counter)
@@ -210,24 +213,24 @@
             "%s reloaded: discovery %s:%d, counter %s", self.config.name, *config.discovery, config.counter
         )
         if (config.listen, config.operator_address) != (self.config.listen, self.config.operator_address):
-            log.warning("%s: new addresses of its own take a restart", self.config.name)
+            log.warning("%s: changed listening addresses require a restart", self.config.name)
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Go by other settings, all of them between two events."""
+        """Apply changed settings, all of them between two events of the core."""
         log.info(
-            "%s goes by other settings: classes %s, attempts %d",
+            "%s applies new settings: classes %s, attempts %d",
             self.config.name, ", ".join(kind.name for kind in settings.classes), settings.try_limit,
         )  # fmt: skip
         self.config = replace(self.config, settings=settings)
         self.target_group.take_settings(settings)
         self.counter.timeout_s = settings.counter_limit
         if self.rules is not None:
-            # Rules with versions tell the plans' figures, and stand above the file.
+            # Replicated rules take precedence over the plans of the file.
             settings = replace(settings, plans=tuple(self.core.gateway.plans.values()))
         self.core.submit(settings, self.clock.now())
 
     def stop(self) -> None:
-        """New connections still come for a while: they are taken, and answered with a close."""
+        """Start to drain; for a while new connections are still accepted, for one request each."""
         if self.listener.stopping:
             return
         log.info("%s stops", self.config.name)
@@ -235,7 +238,7 @@
         self.listener.stopping, self.listener.ready = True, False
         self.on_ready()
         if self.process_group is None or not self.process_group.count_others():
-            self.listener.close_idle()  # else they stay a little: clients may be about to ask on them
+            self.listener.close_idle()  # otherwise later, as clients may be about to use them
         self.clock.schedule(self.stopped_at + DRAIN_DELAY_S, self.continue_drain)
 
     def continue_drain(self, now: float) -> None:
@@ -268,7 +271,7 @@
     done = asyncio.Event()
     node.on_done = done.set
     node.load_config = load_config
-    for number in ENDING:
+    for number in TERMINATION_SIGNALS:
         loop.add_signal_handler(number, node.stop)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     if not older_processes:
@@ -283,12 +286,12 @@
         ready.set()
     node.start()
     if older_processes:
-        # Another process of this gateway serves here until this one can.
+        # Another process serves at this address until this one is ready.
         await ready.wait()
         await restore_learned(node)
         await listen(node, loop, older_processes)
     gc.collect()
-    gc.freeze()  # what lives from start to end need not be walked again and again
+    gc.freeze()  # keeps permanent objects out of later collections
     log.info("%s serves on %s:%d", config.name, host, port)
     await done.wait()
     if admin is not None:
@@ -297,13 +300,13 @@
         operator_api.stop()
     if node.rules is not None:
         node.rules.stop()
-    await asyncio.sleep(0)  # connections tell of their end on the loop's next round
+    await asyncio.sleep(0)  # transports report closed connections in the next iteration of the loop
     node.stats.show()
-    ignore_from_now_on(loop)
+    ignore_signals(loop)
 
 
 async def listen(node: Node, loop: asyncio.AbstractEventLoop, older_processes: int) -> None:
-    """Take clients in; where older processes of this gateway do, all new ones come here from now on."""
+    """Accept clients; if older processes share the address, all new connections are routed to this one."""
     if node.listener.stopping:
         return
 
@@ -320,14 +323,14 @@
 
 
 async def restore_learned(node: Node) -> None:
-    """Go on from what the older process has learnt, which it tells as soon as it sees this one."""
+    """Restore the state that the older process has learned, which it writes once it notices this one."""
     for _ in range(MAX_RESTORE_ATTEMPTS):
         if node.process_group is None or node.listener.stopping:
             return
         if learned := node.process_group.load_learned():
             node.core.gateway.restore_learned(learned, node.clock.now())
             log.info(
-                "%s goes on from what the other process has learnt: limit %.3g, answers %.3g s, %d servers",
+                "%s restored the learned state of the older process: limit %.3g, latency %.3g s, %d servers",
                 node.config.name, learned["limit"], learned["latency"], len(learned["servers"]),
             )  # fmt: skip
             return
@@ -335,7 +338,7 @@
 
 
 async def open_operator_api(node: Node, loop: asyncio.AbstractEventLoop, address: Address) -> OperatorApi:
-    """Its modules are loaded only where it is asked for."""
+    """Start the operator API, whose modules are imported only if it is configured."""
     from latchspoke.net.operator_api import OperatorApi
 
     node.process_group = ProcessGroup(Path(tempfile.gettempdir()), node.config.name, node.config.listen)
@@ -345,7 +348,7 @@
 
 
 def open_rules(node: Node, loop: asyncio.AbstractEventLoop, rules_config: RulesConfig) -> RulesClient:
-    """Its modules are loaded only where members are named."""
+    """Start the rules client, whose modules are imported only if agents are configured."""
     from latchspoke.net.rules import RulesClient
 
     config = node.config
@@ -361,7 +364,7 @@
 
 
 async def open_admin(node: Node, loop: asyncio.AbstractEventLoop, path: str) -> AdminServer:
-    """Its modules are loaded only where it is asked for."""
+    """Start the admin socket, whose modules are imported only if it is enabled."""
     from latchspoke.net.admin import AdminServer
     from latchspoke.net.view import gateway_view
 
--- a/latchspoke/net/stats.py
+++ b/latchspoke/net/stats.py
@@ -1,4 +1,4 @@
-"""Counters of what is taken in, sent and answered."""
+"""Counters of requests, attempts and connections."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class Stats(Counter[str]):
-    """Named counts; the names stand in the README."""
+    """Counters by name; the README lists the names."""
 
     def line(self) -> str:
-        """All counts as one line of JSON."""
+        """Return all counters as one line of JSON."""
         return json.dumps(dict(sorted(self.items())), separators=(",", ":"))
 
     def show(self) -> None:
-        """Print them on standard error."""
+        """Print all counters to standard error."""
         print(f"stats {self.line()}", file=sys.stderr, flush=True)
--- a/latchspoke/net/target.py
+++ b/latchspoke/net/target.py
@@ -1,4 +1,4 @@
-"""The targets' side: kept connections to each target, and the forwards on them."""
+"""Target connections: a pool of persistent connections for each target, and the attempts sent on them."""
 
 from __future__ import annotations
 
@@ -25,25 +25,19 @@
     read_decimal,
 )
 
-REUSE_DELAY_S = (
-    0.005  # s; an answer's second copy may follow it: so long its connection gets no further forward
-)
-RESPONSE_STALL_TIMEOUT_S = 0.25  # s; an answer that has begun and does not go on for so long is spoilt
-STREAM_STALL_TIMEOUT_S = (
-    10.0  # s; the same for one that is being passed on: no other attempt can mend it any more
-)
-MAX_TIMER_DELAY_S = (
-    0.02  # s; a timer called later than this says that this process was held up, not its targets
-)
-REQUEST_ERROR_STATUSES = (400, 404, 405, 413, 414, 431)  # the request itself is at fault, whoever is asked
-IDLE_TIMEOUT_FRACTION = 0.8  # of the time a target lets a connection stand idle; later it may just be closing
-MAX_IDLE_CONNECTIONS = 64  # idle connections a target, at most
+REUSE_DELAY_S = 0.005  # after a response, so that a duplicate of it is not taken for the next response
+RESPONSE_STALL_TIMEOUT_S = 0.25  # between two parts of a response
+STREAM_STALL_TIMEOUT_S = 10.0  # the same for a streamed response, which can no longer be retried
+MAX_TIMER_DELAY_S = 0.02  # a timer that fires later shows that this process was delayed, not the target
+REQUEST_ERROR_STATUSES = (400, 404, 405, 413, 414, 431)  # any target would answer the same
+IDLE_TIMEOUT_FRACTION = 0.8  # of the targets' idle timeout, to avoid sending on a connection that they close
+MAX_IDLE_CONNECTIONS = 64  # per target
 MAX_REPORT_FIELDS, MAX_REPORT_VALUE = 8, 1e6
 EMPTY_REPORT: dict[str, float] = {}
 
 
 def parse_load_report(text: bytes) -> dict[str, float]:
-    """``TEXT queue=2, util=0.61``; what can't be read, or can't be, is left out."""
+    """Parse a load report such as ``TEXT queue=2, util=0.61``; invalid fields are skipped."""
     report = {}
     for item in text.removeprefix(b"TEXT ").split(b",", MAX_REPORT_FIELDS):
         name, _, value = item.strip().partition(b"=")
@@ -55,7 +49,7 @@
 
 @runtime_checkable
 class ResponseReceiver(Protocol):
-    """Who gets an answer piece by piece."""
+    """Receiver of a response body that is streamed."""
 
     def stream_part(self, part: bytes) -> None: ...
 
@@ -63,7 +57,7 @@
 
 
 class TargetConnection(Connection):
-    """One connection to a target: one forward at a time."""
+    """A connection to a target, which carries one attempt at a time."""
 
     side = "target"
 
@@ -74,9 +68,9 @@
         self.completed_response: tuple[api.Code, UpstreamResponse | None, dict[str, float]] | None = None
         self.stall_timer: Timer | None = None
         self.last_received_at = 0.0
-        self.receiver: ResponseReceiver | None = None  # to whom the answer is being passed on
-        self.paused = self.write_blocked = self.chunked = False
-        self.upload: Upload | None = None  # the body that is being sent
+        self.receiver: ResponseReceiver | None = None  # while the response is being streamed
+        self.paused = self.write_blocked = self.upload_chunked = False
+        self.upload: Upload | None = None  # the request body that is being streamed
         self.idle_since = 0.0
         self.keep_alive = True
         self.parser = httptools.HttpResponseParser(self)
@@ -105,7 +99,7 @@
         if self.receiver is not None:
             self.forward_received(fault)
         elif self.completed_response is not None:
-            # Only now: what else came in the same bytes must not meet the next forward.
+            # After all bytes are parsed: further ones must not be taken for the next attempt's response.
             self.deliver_response(fault)
         elif fault:
             self.close_code = self.close_code or fault
@@ -126,9 +120,9 @@
         self.stall_timer = self.context.clock.schedule(due, lambda late: self.check_stalled(late, due))
 
     def check_stalled(self, now: float, due: float) -> None:
-        """It has begun and doesn't go on: it is spoilt, and need not be waited for until the deadline."""
+        """Fail the attempt or cut the stream if no data has arrived within the stall timeout."""
         if self.paused or now - due > MAX_TIMER_DELAY_S:
-            self.schedule_stall_check(now)  # the rest may have come, and lie unread
+            self.schedule_stall_check(now)  # data may have arrived that is not read yet
             return
         if now < self.last_received_at + self.stall_timeout_s:
             self.schedule_stall_check(self.last_received_at)
@@ -137,7 +131,7 @@
         self.end_attempt(api.Code.RESET)
         self.end("stalled")
 
-    # An answer above MOST_BODY is passed on as it comes.
+    # Response bodies larger than MAX_BODY_BYTES are streamed.
 
     @property
     def length(self) -> int | None:
@@ -154,10 +148,10 @@
     def on_body(self, part: bytes) -> None:
         self.received_bytes += len(part)
         if self.received_bytes <= MAX_BODY_BYTES or self.parser.get_status_code() == 200:
-            self.parts.append(part)  # what does not fit is passed on as soon as these bytes are looked at
+            self.parts.append(part)  # data_received streams what exceeds the limit
 
     def begin_streaming(self) -> None:
-        """Nothing can be mended from now on: the request has its answer, and the decisions their outcome."""
+        """Report the attempt as successful and start the response, which rules out a retry."""
         attempt, now = self.attempt, self.context.clock.now()
         assert attempt is not None
         self.attempt = attempt.connection = None
@@ -202,18 +196,18 @@
         else:
             self.transport.resume_reading()
 
-    # A body above MOST_BODY is sent on as it comes.
+    # Request bodies larger than MAX_BODY_BYTES are streamed.
 
     def send_part(self, part: bytes, last: bool) -> bool:
         if self.transport is None or self.transport.is_closing():
             return True
         if part:
             size = b"%x\r\n" % len(part)
-            self.transport.writelines((size, part, b"\r\n") if self.chunked else (part,))
+            self.transport.writelines((size, part, b"\r\n") if self.upload_chunked else (part,))
         if last:
             self.upload = None
             self.context.stats["forwards.whole"] += 1
-            if self.chunked:
+            if self.upload_chunked:
                 self.transport.write(b"0\r\n\r\n")
         return not self.write_blocked
 
@@ -228,7 +222,7 @@
             self.upload.set_paused(False)
 
     def detach_upload(self) -> None:
-        """The rest of the body is not wanted here any more."""
+        """Stop receiving the request body; the connection can't be reused."""
         upload, self.upload = self.upload, None
         if upload is not None:
             self.keep_alive = False
@@ -243,7 +237,7 @@
         self.end("cancelled")
 
     def eof_received(self) -> bool | None:
-        """The end of an answer whose size nobody told."""
+        """Complete a response that is delimited by the end of the connection."""
         chunked = b"chunked" in self.headers.get(b"transfer-encoding", b"").lower()
         if self.message_started and self.headers_complete and self.length is None and not chunked:
             self.on_message_complete()
@@ -255,7 +249,7 @@
         return super().eof_received()
 
     def on_message_begin(self) -> None:
-        # More than the one answer that was asked for; that one is good all the same.
+        # An unsolicited response; the completed one before it is still valid.
         if self.completed_response is not None:
             raise FramingError(400, "unasked")
         super().on_message_begin()
@@ -284,7 +278,7 @@
         self.keep_alive = self.parser.should_keep_alive()
 
     def deliver_response(self, fault: str) -> None:
-        """Hand the answer on; the connection goes back to the pool first, as a further attempt may follow."""
+        """Return the connection to the pool, then report the outcome, which may start another attempt."""
         attempt, completed = self.attempt, self.completed_response
         assert attempt is not None and completed is not None
         self.detach_upload()
@@ -319,7 +313,7 @@
     def end_attempt(self, code: api.Code) -> None:
         attempt, self.attempt = self.attempt, None
         if self.upload is not None:
-            code = api.Code.UNREACHABLE  # a target starts on a request with its last byte
+            code = api.Code.UNREACHABLE  # targets do not run a request before its last byte
             self.detach_upload()
         if attempt is not None:
             attempt.connection = None
@@ -327,7 +321,7 @@
 
 
 class Target:
-    """One target as discovery has it, with its idle connections, the newest last."""
+    """A server from the discovery list, with its idle connections, the most recently used last."""
 
     def __init__(self, entry: api.ServerEntry, address: Address) -> None:
         self.entry, self.address = entry, address
@@ -338,7 +332,7 @@
         return self.entry.state is api.ServerState.ACTIVE
 
     def take_idle(self, now: float, idle_timeout_s: float) -> TargetConnection | None:
-        """The one used last that has rested, if any."""
+        """Return the most recently used connection that may be reused, and close expired ones."""
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[index]
             if now - connection.idle_since < REUSE_DELAY_S:
@@ -362,23 +356,23 @@
 
 
 class TargetGroup:
-    """All targets; carries forwards to them."""
+    """All targets, and the core's port for sending attempts to them."""
 
-    core: Core  # comes once it is made, as it needs this port
+    core: Core  # set after construction, as the core needs this port
 
     def __init__(self, context: ConnectionContext, settings: api.Settings) -> None:
         self.context = context
-        self.close_waiting_client: Callable[[], bool] = lambda: False  # gives a waiting client's socket
+        self.close_waiting_client: Callable[[], bool] = lambda: False  # frees a socket
         self.take_settings(settings)
         self.targets: dict[str, Target] = {}
-        self.excluded: Container[str] = ()  # by hand
+        self.excluded: Container[str] = ()  # servers in maintenance
 
     def take_settings(self, settings: api.Settings) -> None:
         self.idle_timeout_s = settings.conn_idle * IDLE_TIMEOUT_FRACTION
         self.connect_timeout_s = settings.connect_limit
 
     def update_targets(self, server_list: TargetList) -> None:
-        """Take in discovery's word; what is gone or leaving keeps only what is under way."""
+        """Apply a list from discovery; removed and draining targets lose their idle connections."""
         for entry in server_list.entries:
             known = self.targets.get(entry.server)
             address = server_list.addresses.get(entry.server) or (known.address if known else None)
@@ -434,7 +428,7 @@
         connection.dial(target.address, self.connect_timeout_s)
 
     def write(self, connection: TargetConnection) -> None:
-        """The last look before the first byte: the target may have begun to drain meanwhile."""
+        """Send the request, unless the target has started to drain while the connection was opened."""
         attempt, now = connection.attempt, self.context.clock.now()
         assert attempt is not None and connection.transport is not None
         if not connection.target.active or attempt.target in self.excluded:
@@ -452,9 +446,9 @@
             b"Content-Length: %d\r\n" % len(message.body) if message.body or content_type_line else b""
         )
         if upload is not None:
-            connection.chunked = upload.length is None
+            connection.upload_chunked = upload.length is None
             length_line = b"Content-Length: %d\r\n" % (upload.length or 0)
-            length_line = b"Transfer-Encoding: chunked\r\n" if connection.chunked else length_line
+            length_line = b"Transfer-Encoding: chunked\r\n" if connection.upload_chunked else length_line
         elif not length_line and message.method != b"GET":
             length_line = b"Content-Length: 0\r\n"
         key_line = b"Idempotency-Key: %b\r\n" % message.idempotency_key if message.idempotency_key else b""
@@ -478,7 +472,7 @@
             upload.attach(connection)
 
     def drop(self, attempt: Attempt) -> None:
-        """Closing the connection is what calls a forward off."""
+        """Cancel the attempt by closing its connection."""
         connection = attempt.connection
         attempt.connection = None
         if isinstance(connection, TargetConnection):
@@ -494,7 +488,7 @@
             connection.end("not_kept", flush=True)
 
     def sweep(self, now: float) -> None:
-        """Close what has stood idle nearly as long as targets allow."""
+        """Close connections whose idle timeout has expired."""
         for target in self.targets.values():
             while target.idle and now - target.idle[0].idle_since >= self.idle_timeout_s:
                 target.idle.pop(0).end("idle")
@@ -504,7 +498,7 @@
             target.close_idle("drained")
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, of all targets."""
+        """Close the connection that has been idle longest among all targets; False if none is idle."""
         heads = [target.idle for target in self.targets.values() if target.idle]
         if not heads:
             return False
--- a/latchspoke/net/view.py
+++ b/latchspoke/net/view.py
@@ -1,7 +1,4 @@
-"""What a gateway tells operators of itself: one plain object, made only when it is asked for.
-
-Nothing here is kept up to date while requests pass; a look costs what walking the servers costs.
-"""
+"""The state of a gateway as a JSON object, for the agent and for operators, computed on request."""
 
 from __future__ import annotations
 
@@ -18,12 +15,12 @@
 from latchspoke.config import Config, ConfigError
 from latchspoke.net.serve import Node
 
-FORMAT = 1  # of the object; a field that goes or changes its meaning makes it grow
-PER_GATEWAY_SETTINGS = ("index", "zone")  # settings in which gateways of one fleet differ rightfully
+FORMAT = 1  # incremented when a field is removed or changes its meaning
+PER_GATEWAY_SETTINGS = ("index", "zone")  # these differ between the gateways of a fleet
 
 
 def to_json_value(value: Any) -> Any:
-    """JSON's own kinds; enumerations by their words."""
+    """Convert to types that JSON has; enum members become their values."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, Mapping):
@@ -34,13 +31,13 @@
 
 
 def digest(value: Any) -> str:
-    """16 hex digits, the same for equal settings whatever their order in the file."""
+    """Return 16 hex digits that do not depend on the order of keys."""
     text = json.dumps(to_json_value(value), sort_keys=True, separators=(",", ":"))
     return blake2b(text.encode(), digest_size=8).hexdigest()
 
 
 def shared_settings(settings: api.Settings) -> dict[str, Any]:
-    """The settings that a whole fleet has in common."""
+    """Return the settings that all gateways of a fleet have in common."""
     return {name: value for name, value in asdict(settings).items() if name not in PER_GATEWAY_SETTINGS}
 
 
@@ -49,7 +46,7 @@
 
 
 def settings_view(settings: api.Settings) -> dict[str, Any]:
-    """Plans and classes by name, so that two gateways' figures can be laid side by side."""
+    """Return the settings with plans and classes by name, which makes those of two gateways comparable."""
     return {
         "digest": digest(shared_settings(settings)),
         "index": settings.index,
@@ -60,7 +57,7 @@
 
 
 def file_view(node: Node, load_config: Callable[[], Config]) -> dict[str, Any]:
-    """What the file on disk says now, and whether this gateway goes by it."""
+    """Return what the configuration file contains now, and whether this gateway has loaded it."""
     try:
         file_config = load_config()
     except ConfigError as e:
@@ -81,7 +78,7 @@
 
 
 def targets_view(node: Node, now: float) -> dict[str, Any]:
-    """What the decisions believe of each server; shares and loads as they are, unrounded they say no more."""
+    """Return the decision module's state of each server."""
     view = {}
     for name, server in node.core.gateway.servers.items():
         target = node.target_group.targets.get(name)
@@ -99,7 +96,7 @@
 
 
 def gateway_view(node: Node, load_config: Callable[[], Config]) -> dict[str, Any]:
-    """All of it; times in seconds, ages as of now."""
+    """Return the complete view; times and ages in s."""
     now, gateway, listener, watch = node.clock.now(), node.core.gateway, node.listener, node.watch
     return {
         "format": FORMAT,
--- a/latchspoke/node_process.py
+++ b/latchspoke/node_process.py
@@ -21,7 +21,7 @@
 from latchspoke.membership.watch import Membership, News
 from latchspoke.membership.words import Member
 from latchspoke.net.clock import Clock
-from latchspoke.net.signals import ENDING, ignore_from_now_on
+from latchspoke.net.signals import TERMINATION_SIGNALS, ignore_signals
 from latchspoke.pool.versions import PoolVersions
 from latchspoke.registry.registry import BeatError, Registry
 from latchspoke.settings import VARIABLE, Settings, SettingsError, load
@@ -160,10 +160,10 @@
     node.settings_watch.seen = initial_stamp
     asked_to_stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, node.reload)
-    for signal_number in ENDING:
+    for signal_number in TERMINATION_SIGNALS:
         loop.add_signal_handler(signal_number, asked_to_stop.set)
     await node.start()
-    for signal_number in ENDING:
+    for signal_number in TERMINATION_SIGNALS:
         loop.add_signal_handler(signal_number, node.stop)
     if asked_to_stop.is_set():
         node.stop()  # an orderly shutdown, as clients may have connected meanwhile
@@ -171,7 +171,7 @@
     gc.freeze()
     await node.stopped.wait()
     await asyncio.sleep(FLUSH_DELAY_S)
-    ignore_from_now_on(loop)
+    ignore_signals(loop)
 
 
 def main(
