--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -50,17 +50,19 @@
         self.now = 1000.0
         self.gateway = Gateway(seed, replace(BASE, **changes))
         self.log: list[api.Action] = list(self.gateway.start(self.now))
-        self.names = 0
+        self.request_count = 0
         if servers:
-            self.listed(*(entry(f"s{i}", cell=i // 2) for i in range(servers)))
+            self.update_servers(*(entry(f"s{i}", cell=i // 2) for i in range(servers)))
 
-    def give(self, event: api.Event) -> list[api.Action]:
+    def send_event(self, event: api.Event) -> list[api.Action]:
         actions = self.gateway.handle(event, self.now)
         self.log += actions
         return actions
 
-    def listed(self, *entries: api.ServerEntry, form: api.ListForm = api.ListForm.WHOLE) -> list[api.Action]:
-        return self.give(api.ServerList(form, entries))
+    def update_servers(
+        self, *entries: api.ServerEntry, form: api.ListForm = api.ListForm.WHOLE
+    ) -> list[api.Action]:
+        return self.send_event(api.ServerList(form, entries))
 
     def ask(
         self,
@@ -70,10 +72,12 @@
         left: float = 3.0,
         spread: int = 3,
     ) -> list[api.Action]:
-        self.names += 1
-        return self.give(api.Request(f"r{self.names}", customer, service, plan, 1.0, left, spread))
+        self.request_count += 1
+        return self.send_event(
+            api.Request(f"r{self.request_count}", customer, service, plan, 1.0, left, spread)
+        )
 
-    def told(self, total: float, plan: str = "plan", **more: Any) -> list[api.Action]:
+    def ask_with_total(self, total: float, plan: str = "plan", **more: Any) -> list[api.Action]:
         """Ask, and answer each call that the request waits for with this faded total."""
         actions = self.ask(plan=plan, **more)
         while self.gateway.counter_calls:
@@ -87,13 +91,13 @@
         self.now += took
         attempt = sum(isinstance(a, api.Send) and a.request == send.request for a in self.log) - 1
         done = closed or code is api.Code.OK
-        return self.give(api.Outcome(send.request, attempt, send.server, code, took, done))
+        return self.send_event(api.Outcome(send.request, attempt, send.server, code, took, done))
 
     def answer(self, code: api.Code, total: float = 0.0, took: float = 0.003) -> list[api.Action]:
         """Answer the counter call that is out longest."""
         self.now += took
         name = next(iter(self.gateway.counter_calls))
-        return self.give(api.CountAnswer(name, code, took, total))
+        return self.send_event(api.CountAnswer(name, code, took, total))
 
 
 def entry(server: str, **more: Any) -> api.ServerEntry:
--- a/tests/dataplane/player.py
+++ b/tests/dataplane/player.py
@@ -39,7 +39,7 @@
 from latchspoke.settings import parse
 from latchspoke.transport.connection import Message, MessageConnection
 from latchspoke.transport.netstring import encode_frame
-from tests.player import FakeTransport, Stage, play_steps, steps
+from tests.player import BasePlayer, FakeTransport, play_steps, steps
 
 FOLDER = Path(__file__).parent / "exchanges"
 ZONES = {"waw-a": "mazowsze", "waw-b": "mazowsze", "krk-a": "malopolska"}
@@ -74,7 +74,7 @@
 CORE = Member("core-waw-a-1", "10.1.0.11", 7600, {"role": "core"}, 0, "one")
 
 
-class Player(Stage):
+class Player(BasePlayer):
     def __init__(self, *bounds: str) -> None:
         super().__init__()
         settings = parse(json.dumps({**SETTINGS, "bounds": [*SETTINGS["bounds"], *bounds]}), "local.yaml")
@@ -128,7 +128,7 @@
         change = {"k": "orders", "index": self.index, "version": version, "evac": self.evacuated}
         self.send_change(change | {"doc": self.document})
 
-    def own_step(self, head: str, rest: str) -> bool:
+    def program_step(self, head: str, rest: str) -> bool:
         match head:
             case "orders":
                 version = f"{int(self.document['version'], 16) + 1:08x}"
@@ -152,7 +152,7 @@
             case "ready":
                 assert self.node.ready == (rest == "yes")
             case "unsent":
-                self.links[rest].unsent = 1
+                self.transports[rest].unsent = 1
             case "term":
                 self.node.stop()
             case "unproven":
@@ -196,7 +196,7 @@
                 key = "" if route == "open" else r"Authorization: Token k1\r\n"
                 self.bytes(name, ">", request(route, ident, r"X-Deadline-Remaining: 3000\r\n" + key))
             case "sent", route, ident:
-                instance_id = cast(Any, self.links[name].connection).pool.upstream.ident
+                instance_id = cast(Any, self.transports[name].connection).pool.upstream.ident
                 tenant_header = "" if route == "open" else r"X-Tenant-Name: acme\r\n"
                 added = rf"X-Deadline-Remaining: *\r\nX-Expected-Instance: {instance_id}\r\n{tenant_header}"
                 self.bytes(name, "<", request(route, ident, added))
--- a/tests/dataplane/test_session_affinity.py
+++ b/tests/dataplane/test_session_affinity.py
@@ -94,7 +94,7 @@
 
     def take_written(self, name: str, link: str) -> str:
         """Data written to a connection since the last call."""
-        transport = self.gateways[name].links[link]
+        transport = self.gateways[name].transports[link]
         data, transport.written = transport.written.decode(), b""
         return data
 
@@ -222,7 +222,8 @@
     link = next(
         name
         for name in ("t2", "t3")
-        if name in cluster.gateways["edge-3"].links and cluster.gateways["edge-3"].links[name].written
+        if name in cluster.gateways["edge-3"].transports
+        and cluster.gateways["edge-3"].transports[name].written
     )
     cluster.run_steps("edge-3", f"sent {link} book b002", f"answer {link} b002", "got c2 b002")
 
--- a/tests/opsdays/test_forms.py
+++ b/tests/operations/test_message_forms.py
@@ -5,10 +5,18 @@
 import pytest
 
 from latchspoke.net.listener import WRITE_BUFFER_HIGH_BYTES
-from tests.opsdays.test_bulk import PIECE, POST, come, give, uploading, wait, written
-from tests.opsdays.test_settings import ask, started
+from tests.operations.test_settings_reload import send_request, start_gateway
+from tests.operations.test_streaming import (
+    PART_BYTES,
+    POST_HEAD,
+    advance,
+    client_sends,
+    start_upload,
+    take_written,
+    target_sends,
+)
 
-BODIES = {
+BODY_FORMS = {
     "a size": "Content-Length:\t5 \\r\\n\\r\\nhello",
     "chunks": "Transfer-Encoding: chunked\\r\\n\\r\\n2\\r\\nhe\\r\\n3\\r\\nllo\\r\\n0\\r\\n\\r\\n",
     "a coding in capitals, zeros ahead": "TRANSFER-ENCODING: Chunked\\r\\n\\r\\n"
@@ -20,24 +28,24 @@
 }
 
 
-@pytest.mark.parametrize("name", BODIES)
-@pytest.mark.parametrize("cut", [1, 1000])
-def test_a_body_is_read_in_each_of_its_forms(name: str, cut: int) -> None:
-    player = started()
+@pytest.mark.parametrize("name", BODY_FORMS)
+@pytest.mark.parametrize("part_size", [1, 1000])
+def test_request_body_encodings_are_parsed(name: str, part_size: int) -> None:
+    player = start_gateway()
     player.step("open c1")
-    raw = (POST + BODIES[name]).encode().decode("unicode_escape").encode()
-    for place in range(0, len(raw), cut):
-        give(player, raw[place : place + cut])
+    raw = (POST_HEAD + BODY_FORMS[name]).encode().decode("unicode_escape").encode()
+    for offset in range(0, len(raw), part_size):
+        client_sends(player, raw[offset : offset + part_size])
     player.step("dial t1 127.0.0.9:1")
     player.step("t1 < POST /read?key=1 *Req-Id: a1\\r\\n*Content-Length: 5\\r\\n\\r\\nhello")
     player.step("t1 > HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
     player.step("c1 < HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
 
 
-def test_who_waits_to_be_told_to_go_on_is_told() -> None:
-    player = started()
+def test_expect_100_continue_is_answered() -> None:
+    player = start_gateway()
     player.step("open c1")
-    player.step(f"c1 > {POST}Content-Length: 5\\r\\nExpect: 100-Continue\\r\\n\\r\\n")
+    player.step(f"c1 > {POST_HEAD}Content-Length: 5\\r\\nExpect: 100-Continue\\r\\n\\r\\n")
     player.step("c1 < HTTP/1.1 100 Continue\\r\\n\\r\\n")
     player.step("c1 > hello")
     player.step("dial t1 127.0.0.9:1")
@@ -50,8 +58,8 @@
     ("version", "words", "kept"),
     [("1.1", "", True), ("1.1", "Connection: Close\\r\\n", False), ("1.0", "", False)],
 )
-def test_a_connection_is_kept_or_closed_as_its_client_says(version: str, words: str, kept: bool) -> None:
-    player = started()
+def test_client_controls_whether_the_connection_is_kept_alive(version: str, words: str, kept: bool) -> None:
+    player = start_gateway()
     player.step("open c1")
     player.step(
         f"c1 > GET /read?key=1 HTTP/{version}\\r\\n{words}Req-Id: a1\\r\\nReq-Kind: read\\r\\n"
@@ -62,10 +70,10 @@
     player.step("t1 > HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
     end = "" if kept else "Connection: close\\r\\n"
     player.step(f"c1 < HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n{end}\\r\\nhi")
-    assert player.links["c1"].ended != kept
+    assert player.transports["c1"].ended != kept
 
 
-ANSWERS = {
+RESPONSE_FORMS = {
     "no reason": "HTTP/1.1 200 \\r\\ncontent-LENGTH:  2\\r\\n\\r\\nhi",
     "news ahead": "HTTP/1.1 103 Early Hints\\r\\nLink: x\\r\\n\\r\\nHTTP/1.1 100 Continue\\r\\n\\r\\n"
     "HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi",
@@ -76,50 +84,50 @@
 }
 
 
-@pytest.mark.parametrize("name", ANSWERS)
-@pytest.mark.parametrize("cut", [1, 1000])
-def test_an_answer_is_read_in_each_of_its_forms(name: str, cut: int) -> None:
-    player = started()
-    ask(player, "c1", "a1", "read")
+@pytest.mark.parametrize("name", RESPONSE_FORMS)
+@pytest.mark.parametrize("part_size", [1, 1000])
+def test_response_encodings_are_parsed(name: str, part_size: int) -> None:
+    player = start_gateway()
+    send_request(player, "c1", "a1", "read")
     player.step("dial t1 127.0.0.9:1")
     player.step("t1 < GET *")
-    raw = ANSWERS[name].encode().decode("unicode_escape").encode()
-    for place in range(0, len(raw), cut):
-        come(player, raw[place : place + cut])
+    raw = RESPONSE_FORMS[name].encode().decode("unicode_escape").encode()
+    for offset in range(0, len(raw), part_size):
+        target_sends(player, raw[offset : offset + part_size])
     if name == "up to the close":
         player.step("t1 eof")
     player.step("c1 < HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
     player.step("stats answered.read=1 forwards.ok=1")
 
 
-def test_32_mb_both_ways_through_a_client_of_64_kb_a_second() -> None:
-    size, seconds = 512 * PIECE, 512
-    player = uploading(f"Content-Length: {size}")
+def test_slow_client_streams_32_mib_both_ways() -> None:
+    size, seconds = 512 * PART_BYTES, 512
+    player = start_upload(f"Content-Length: {size}")
     passed = 0
     for second in range(seconds):
-        give(player, b"z" * PIECE)
+        client_sends(player, b"z" * PART_BYTES)
         if second == 1:
             player.step("dial t1 127.0.0.9:1")
         if second:
-            body = written(player, "t1").partition(b"\r\n\r\n" if second == 1 else b"z")
+            body = take_written(player, "t1").partition(b"\r\n\r\n" if second == 1 else b"z")
             passed += len(body[2]) + (second > 1)
-        assert sum(map(len, player.links["c1"].connection.parts)) <= PIECE
-        wait(player, 1.0)
+        assert sum(map(len, player.transports["c1"].connection.parts)) <= PART_BYTES
+        advance(player, 1.0)
     assert passed == size
-    client, server = player.links["c1"], player.links["t1"]
+    client, server = player.transports["c1"], player.transports["t1"]
     player.step(f"t1 > HTTP/1.1 200 OK\\r\\nContent-Length: {size}\\r\\n\\r\\n")
     given = taken = most = 0
     while given < size or client.written:
         while given < size and not server.paused:  # it gives as fast as it is read
-            come(player, b"a" * PIECE)
-            given += PIECE
+            target_sends(player, b"a" * PART_BYTES)
+            given += PART_BYTES
             if len(client.written) > WRITE_BUFFER_HIGH_BYTES:
                 client.connection.pause_writing()
         most = max(most, len(client.written))
-        taken += client.written[:PIECE].count(b"a")
-        client.written = client.written[PIECE:]
+        taken += client.written[:PART_BYTES].count(b"a")
+        client.written = client.written[PART_BYTES:]
         if len(client.written) <= WRITE_BUFFER_HIGH_BYTES // 4:
             client.connection.resume_writing()
-        wait(player, 1.0)
-    assert taken > size - PIECE and not client.ended and most <= 3 * PIECE
+        advance(player, 1.0)
+    assert taken > size - PART_BYTES and not client.ended and most <= 3 * PART_BYTES
     player.step("stats answered.read=1 flows.passed=1 flows.overdue=0 forwards.timeout=0")
--- a/tests/opsdays/test_two_processes.py
+++ b/tests/operations/test_process_replacement.py
@@ -21,7 +21,7 @@
 from latchspoke.net.process_group import ProcessGroup
 from tests.agent.world import free_port
 from tests.conftest import Bench
-from tests.opsdays.test_door import World
+from tests.operations.test_operator_api import OperatorApiSetup
 from tests.player import configuration
 
 TARGETS = ("s1", "s2")
@@ -37,11 +37,11 @@
     return int(head.split()[1]), body
 
 
-def until_ready(process: subprocess.Popen[bytes], door: int) -> None:
+def wait_until_ready(process: subprocess.Popen[bytes], operator_port: int) -> None:
     for _ in range(100):
         assert process.poll() is None, "the process has ended"
         try:
-            if call(door, "GET /status")[0] == 200:
+            if call(operator_port, "GET /status")[0] == 200:
                 return
         except OSError:
             pass
@@ -49,7 +49,7 @@
     raise AssertionError("never ready")
 
 
-class Place:
+class GatewayProcesses:
     """A gateway's address, its folder, and what may be started there."""
 
     def __init__(self, folder: Path, targets: list[int]) -> None:
@@ -60,30 +60,30 @@
             for name, port in zip(TARGETS, targets, strict=True)
         ]
         (folder / "config.json").write_text(json.dumps(file))
-        self.processes: list[subprocess.Popen[bytes]] = []
+        self.started: list[subprocess.Popen[bytes]] = []
 
     def start(self) -> tuple[subprocess.Popen[bytes], int]:
-        door = free_port()
+        operator_port = free_port()
         env = os.environ | {
             "GW_CONFIG": str(self.folder / "config.json"),
-            "GW_CONTROL": f"127.0.0.1:{door}",
+            "GW_CONTROL": f"127.0.0.1:{operator_port}",
             "TMPDIR": str(self.folder),
         }
-        log = (self.folder / f"log{len(self.processes)}").open("wb")
+        log = (self.folder / f"log{len(self.started)}").open("wb")
         command = [sys.executable, "-m", "latchspoke", "serve"]
         process = subprocess.Popen(command, env=env, stderr=log, stdout=log)
-        self.processes.append(process)
-        until_ready(process, door)
-        return process, door
+        self.started.append(process)
+        wait_until_ready(process, operator_port)
+        return process, operator_port
 
 
 @contextmanager
-def place(folder: Path, targets: list[int]) -> Iterator[Place]:
-    here = Place(folder, targets)
+def gateway_processes(folder: Path, targets: list[int]) -> Iterator[GatewayProcesses]:
+    processes = GatewayProcesses(folder, targets)
     try:
-        yield here
+        yield processes
     finally:
-        for process in here.processes:
+        for process in processes.started:
             process.kill()
             process.wait()
 
@@ -91,18 +91,22 @@
 async def serve_target(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     try:
         while line := await reader.readuntil(b"\r\n\r\n"):
-            ident = line.partition(b"Req-Id: ")[2].partition(b"\r\n")[0]
+            request_id = line.partition(b"Req-Id: ")[2].partition(b"\r\n")[0]
             await asyncio.sleep(0.15)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(ident), ident))
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(request_id), request_id))
     except (OSError, asyncio.IncompleteReadError):
         pass
     writer.close()
 
 
-async def ask(port: int, ident: str, kept: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]) -> bytes:
-    reader, writer = kept.pop() if kept else await asyncio.open_connection("127.0.0.1", port)
+async def send_request(
+    port: int, request_id: str, idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]
+) -> bytes:
+    reader, writer = (
+        idle_connections.pop() if idle_connections else await asyncio.open_connection("127.0.0.1", port)
+    )
     writer.write(
-        f"GET /read?key=1 HTTP/1.1\r\nReq-Id: {ident}\r\nReq-Kind: read\r\nX-Tier: basic\r\n"
+        f"GET /read?key=1 HTTP/1.1\r\nReq-Id: {request_id}\r\nReq-Kind: read\r\nX-Tier: basic\r\n"
         "Req-Deadline: 3\r\n\r\n".encode()
     )
     head = await reader.readuntil(b"\r\n\r\n")
@@ -111,77 +115,82 @@
     if b"Connection: close" in head:
         writer.close()
     else:
-        kept.append((reader, writer))
+        idle_connections.append((reader, writer))
     return head.split()[1] + b" " + body
 
 
-def test_one_replaces_the_other_while_clients_ask(tmp_path: Path) -> None:
+def test_replacement_under_load_loses_no_requests(tmp_path: Path) -> None:
     async def main() -> tuple[list[str], list[bytes]]:
         targets = [await asyncio.start_server(serve_target, "127.0.0.1", 0) for _ in TARGETS]
         ports = [server.sockets[0].getsockname()[1] for server in targets]
-        with place(tmp_path, ports) as here:
-            old, door = await asyncio.to_thread(here.start)
-            assert (await asyncio.to_thread(call, door, "PUT /maintenance/enter/s2"))[0] == 200
-            kept: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-            asked: list[tuple[str, asyncio.Task[bytes]]] = []
+        with gateway_processes(tmp_path, ports) as processes:
+            old, operator_port = await asyncio.to_thread(processes.start)
+            assert (await asyncio.to_thread(call, operator_port, "PUT /maintenance/enter/s2"))[0] == 200
+            idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+            requests: list[tuple[str, asyncio.Task[bytes]]] = []
 
             async def load(seconds: float) -> None:
                 end = time.monotonic() + seconds
                 while time.monotonic() < end:
-                    ident = f"r{len(asked)}"
-                    asked.append((ident, asyncio.create_task(ask(here.listen, ident, kept))))
+                    request_id = f"r{len(requests)}"
+                    requests.append(
+                        (
+                            request_id,
+                            asyncio.create_task(send_request(processes.listen, request_id, idle_connections)),
+                        )
+                    )
                     await asyncio.sleep(0.02)
 
             running = asyncio.create_task(load(4.0))
             await asyncio.sleep(0.5)
-            new, new_door = await asyncio.to_thread(here.start)
+            new, new_operator_port = await asyncio.to_thread(processes.start)
             old.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
             # Asked while it leaves, the old one says that it is not ready, and hears operators all the same.
-            assert (await asyncio.to_thread(call, door, "GET /status"))[0] == 503
-            assert (await asyncio.to_thread(call, door, "PUT /maintenance/enter/s2"))[0] == 200
+            assert (await asyncio.to_thread(call, operator_port, "GET /status"))[0] == 503
+            assert (await asyncio.to_thread(call, operator_port, "PUT /maintenance/enter/s2"))[0] == 200
             assert await asyncio.to_thread(old.wait, 5) == 0
             await running
-            answers = await asyncio.gather(*(task for _, task in asked))
-            figures = (await asyncio.to_thread(call, new_door, "GET /status/metrics"))[1]
+            answers = await asyncio.gather(*(task for _, task in requests))
+            figures = (await asyncio.to_thread(call, new_operator_port, "GET /status/metrics"))[1]
             assert b"app.cluster_unhealthy:1|g\n" in figures and b"app.cluster_size:2|g\n" in figures
             new.send_signal(signal.SIGTERM)
             assert await asyncio.to_thread(new.wait, 5) == 0
-            return [ident for ident, _ in asked], answers
+            return [request_id for request_id, _ in requests], answers
 
-    idents, answers = asyncio.run(main())
-    assert len(idents) > 50
-    assert answers == [f"200 {ident}".encode() for ident in idents]
+    request_ids, answers = asyncio.run(main())
+    assert len(request_ids) > 50
+    assert answers == [f"200 {request_id}".encode() for request_id in request_ids]
 
 
-def test_a_process_that_is_killed_leaves_no_trace_but_the_notes(tmp_path: Path) -> None:
-    with place(tmp_path, [9, 9]) as here:
-        first, door = here.start()
-        assert call(door, "PUT /maintenance/enter/s1")[0] == 200
+def test_maintenance_survives_a_killed_process(tmp_path: Path) -> None:
+    with gateway_processes(tmp_path, [9, 9]) as processes:
+        first, operator_port = processes.start()
+        assert call(operator_port, "PUT /maintenance/enter/s1")[0] == 200
         first.kill()
         first.wait()
-        _, door = here.start()
-        assert b"app.cluster_unhealthy:1|g\n" in call(door, "GET /status/metrics")[1]
+        _, operator_port = processes.start()
+        assert b"app.cluster_unhealthy:1|g\n" in call(operator_port, "GET /status/metrics")[1]
 
 
-def test_each_process_counts_the_others_that_live(tmp_path: Path) -> None:
+def test_processes_count_running_peers(tmp_path: Path) -> None:
     code = "import sys; from pathlib import Path; from latchspoke.net.process_group import ProcessGroup\n"
     code += (
         "k = ProcessGroup(Path(sys.argv[1]), 'n', ('a', 1)); "
         "print(k.count_others(), flush=True); sys.stdin.read()"
     )
-    own = ProcessGroup(tmp_path, "n", ("a", 1))
-    assert own.count_others() == 0
+    own_group = ProcessGroup(tmp_path, "n", ("a", 1))
+    assert own_group.count_others() == 0
     command = [sys.executable, "-c", code, str(tmp_path)]
     other = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     assert other.stdout is not None
-    assert other.stdout.readline() == b"1\n" and own.count_others() == 1
+    assert other.stdout.readline() == b"1\n" and own_group.count_others() == 1
     other.communicate()
-    assert own.count_others() == 0
-    own.close()
+    assert own_group.count_others() == 0
+    own_group.close()
 
 
-def test_notes_that_can_t_be_read_change_nothing(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_unreadable_maintenance_record_is_ignored(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     process_group = ProcessGroup(tmp_path, "n", ("a", 1))
     with process_group.update() as maintenance:
         maintenance.known_servers["s1"] = None
@@ -192,22 +201,28 @@
     process_group.close()
 
 
-def test_the_new_process_goes_on_from_what_the_old_one_has_learnt(tmp_path: Path) -> None:
-    old, new = World(tmp_path), World(tmp_path)
-    old.listed("s1:1:0", "s2:2:0", "s3:3:0")
+def test_new_process_restores_the_learned_state_of_the_old_one(tmp_path: Path) -> None:
+    old, new = OperatorApiSetup(tmp_path), OperatorApiSetup(tmp_path)
+    old.list_servers("s1:1:0", "s2:2:0", "s3:3:0")
     assert new.node.process_group is not None and old.node.process_group is not None
     old.node.server = cast(asyncio.Server, old)
     old.node.update_readiness()
-    was, now = old.node.core.gateway, old.player.clock.now()
-    was.in_flight_limit, was.latency, was.slow_share, was.mean_in_flight, was.slowdowns["read"] = (
+    old_gateway, now = old.node.core.gateway, old.player.clock.now()
+    (
+        old_gateway.in_flight_limit,
+        old_gateway.latency,
+        old_gateway.slow_share,
+        old_gateway.mean_in_flight,
+        old_gateway.slowdowns["read"],
+    ) = (
         2.5,
         0.1,
         0.25,
         7.0,
         1.5,
     )
-    was.servers["s1"].health.restore(4.0, 0.5, now)
-    pool = was.servers["s1"].group
+    old_gateway.servers["s1"].health.restore(4.0, 0.5, now)
+    pool = old_gateway.servers["s1"].group
     pool.restore(1.2, 0.1, now)
     pool.answered_units, pool.size_weighted_units, pool.server_time, pool.accounted_at = (
         240.0,
@@ -218,14 +233,14 @@
     assert new.node.process_group.load_learned() is None  # not while it is alone
     old.node.process_group.count_others = lambda: 1  # type: ignore[method-assign]
     old.player.clock.advance(0.11)
-    learnt = new.node.process_group.load_learned()
-    assert learnt is not None and learnt["limit"] == 2.5 and learnt["ratios"] == {"read": 1.5}
+    learned = new.node.process_group.load_learned()
+    assert learned is not None and learned["limit"] == 2.5 and learned["ratios"] == {"read": 1.5}
 
     # A server that has started again since is another one.
-    new.listed("s2:2:0", "s3:3:1700000000000", "s1:1:0")
-    learnt["servers"]["s3"][1] = 9.0
+    new.list_servers("s2:2:0", "s3:3:1700000000000", "s1:1:0")
+    learned["servers"]["s3"][1] = 9.0
     successor_gateway = new.node.core.gateway
-    successor_gateway.restore_learned(learnt, now)
+    successor_gateway.restore_learned(learned, now)
     assert (
         successor_gateway.in_flight_limit,
         successor_gateway.latency,
@@ -238,27 +253,31 @@
     assert successor_gateway.servers["s3"].health.slowdown == 1.0
     # What a cold server is given is a part of what the warm ones were seen to do.
     entry = successor_gateway.servers["s2"].entry
-    assert successor_gateway.unit_rate(entry) == pytest.approx(was.unit_rate(entry)) == pytest.approx(10.0)
+    assert (
+        successor_gateway.unit_rate(entry)
+        == pytest.approx(old_gateway.unit_rate(entry))
+        == pytest.approx(10.0)
+    )
 
     path = new.node.process_group.path.with_suffix(".learnt")
-    stand = learnt["pools"][0][0]
+    stand = learned["pools"][0][0]
     bad: list[dict[str, object]] = [
         {"limit": -1}, {"latency": "x"}, {"slow": 2}, {"busy": float("nan")}, {"servers": {"s1": [0, 1]}},
         {"servers": {"s1": [0, 0, 0]}}, {"pools": [[stand, [1, 0, 1, 1, 0]]]}, {"pools": 3},
     ]  # fmt: skip
-    for broken in ("", "{}", *(json.dumps(learnt | change) for change in bad)):
+    for broken in ("", "{}", *(json.dumps(learned | change) for change in bad)):
         path.write_text(broken)
         assert new.node.process_group.load_learned() is None, broken
-    path.write_text(json.dumps(learnt))
-    assert new.node.process_group.load_learned() == learnt
+    path.write_text(json.dumps(learned))
+    assert new.node.process_group.load_learned() == learned
     os.utime(path, (1.0, 1.0))
     assert new.node.process_group.load_learned() is None
 
 
-def test_two_processes_hold_the_limits_of_one(tmp_path: Path) -> None:
-    old = World(tmp_path)
+def test_two_processes_share_the_limits_of_one(tmp_path: Path) -> None:
+    old = OperatorApiSetup(tmp_path)
     alone = old.node.context.sockets.max_used
-    new = World(tmp_path)  # in one process the locks don't tell the two apart
+    new = OperatorApiSetup(tmp_path)  # in one process the locks don't tell the two apart
     for world in (old, new):
         assert world.node.process_group is not None
         world.node.process_group.count_others = lambda: 1  # type: ignore[method-assign]
@@ -275,7 +294,7 @@
     assert first.ceiling_allowance + second.ceiling_allowance <= share + 1e-9
 
 
-def test_two_processes_keep_a_customer_s_quota_as_one() -> None:
+def test_two_processes_share_a_customer_quota() -> None:
     """By the counter, whose numbers both name alike: a second process is not a second quota."""
 
     def admitted(*processes: Bench) -> int:
@@ -284,16 +303,16 @@
         for number in range(200):
             bench = processes[number % len(processes)]
             bench.now = 1000.0 + 0.02 * number
-            todo = bench.ask(plan="plan", spread=2)
-            while todo:
-                action = todo.pop(0)
+            pending_actions = bench.ask(plan="plan", spread=2)
+            while pending_actions:
+                action = pending_actions.pop(0)
                 if isinstance(action, api.AddCount):
                     totals[action.name] = totals.get(action.name, 0.0) + action.amount
-                    told = api.CountAnswer(action.name, api.Code.OK, 0.001, totals[action.name])
-                    todo += bench.give(told)
+                    answer = api.CountAnswer(action.name, api.Code.OK, 0.001, totals[action.name])
+                    pending_actions += bench.send_event(answer)
                 elif isinstance(action, api.Send):
                     sent += 1
-                    todo += bench.end(action, api.Code.OK, took=0.0)
+                    pending_actions += bench.end(action, api.Code.OK, took=0.0)
         return sent
 
     alone = admitted(Bench(seed=1))
--- a/tests/opsdays/test_settings.py
+++ b/tests/operations/test_settings_reload.py
@@ -17,12 +17,12 @@
 ASK = "{name} > GET /{kind}?key=1 HTTP/1.1\\r\\n" + HEAD + "\\r\\n"
 
 
-def ask(player: Player, name: str, ident: str, kind: str) -> None:
+def send_request(player: Player, name: str, ident: str, kind: str) -> None:
     player.step(f"open {name}")
     player.step(ASK.format(name=name, id=ident, kind=kind))
 
 
-def changed(**allowed: Any) -> dict[str, Any]:
+def changed_config(**allowed: Any) -> dict[str, Any]:
     """The file with a second class; ``allowed`` changes what is allowed."""
     file = configuration({})
     first = file["settings"]["Categories"][0]
@@ -31,27 +31,27 @@
     return file
 
 
-def hup(player: Player, text: str) -> None:
+def reload_with(player: Player, text: str) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(text)
         player.node.load_config = lambda: reload({}, os.fspath(path))
         player.node.reload()
-    player.settle()
+    player.report_closed()
 
 
-def started() -> Player:
+def start_gateway() -> Player:
     player = Player({})
     player.step("dial w 127.0.0.2:2")
     return player
 
 
-def test_a_class_is_added_and_its_requests_are_served() -> None:
-    player = started()
-    ask(player, "c1", "a1", "write")
+def test_added_class_is_served() -> None:
+    player = start_gateway()
+    send_request(player, "c1", "a1", "write")
     player.step("c1 < HTTP/1.1 400 *")
-    hup(player, json.dumps(changed()))
-    ask(player, "c2", "a2", "write")
+    reload_with(player, json.dumps(changed_config()))
+    send_request(player, "c2", "a2", "write")
     player.step("dial t1 127.0.0.9:1")
     player.step("t1 < GET /write?key=1 *")
     player.step("t1 > HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
@@ -59,47 +59,47 @@
     player.step("stats conf.loaded=1 conf.invalid=0 answered.write=1")
 
 
-def test_a_request_open_under_a_class_that_is_dropped_keeps_it() -> None:
-    player = started()
-    ask(player, "c1", "a1", "read")
+def test_request_in_flight_keeps_its_removed_class() -> None:
+    player = start_gateway()
+    send_request(player, "c1", "a1", "read")
     player.step("dial t1 127.0.0.9:1")
     player.step("t1 < GET /read?key=1 *")
-    file = changed()
+    file = changed_config()
     del file["settings"]["Categories"][0]
-    hup(player, json.dumps(file))
+    reload_with(player, json.dumps(file))
     # It was safe to repeat when it came, so that another attempt follows an error.
     player.step("t1 > HTTP/1.1 500 X\\r\\nContent-Length: 0\\r\\n\\r\\n")
     player.step("dial t2 127.0.0.9:1")
     player.step("t2 < GET /read?key=1 *")
     player.step("t2 > HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
     player.step("c1 < HTTP/1.1 200 *hi")
-    ask(player, "c2", "a2", "read")
+    send_request(player, "c2", "a2", "read")
     player.step("c2 < HTTP/1.1 400 *unknown class*")
     player.step("stats answered.read=1 errors=0")
 
 
-def test_the_effect_and_the_attempts_of_a_class_change() -> None:
-    player = started()
-    file = changed(TryLimit=1)
-    hup(player, json.dumps(file))
-    ask(player, "c1", "a1", "read")
+def test_repeat_mode_and_attempt_limit_change() -> None:
+    player = start_gateway()
+    file = changed_config(TryLimit=1)
+    reload_with(player, json.dumps(file))
+    send_request(player, "c1", "a1", "read")
     player.step("dial t1 127.0.0.9:1")
     player.step("t1 < GET /read?key=1 *")
     player.step("t1 > HTTP/1.1 500 X\\r\\nContent-Length: 0\\r\\n\\r\\n")
     player.step("c1 < HTTP/1.1 429 *")  # safe, and one attempt is all it has
     player.clock.advance(0.01)
-    ask(player, "c2", "a2", "write")
+    send_request(player, "c2", "a2", "write")
     player.step("t1 < GET /write?key=1 *")
     player.step("t1 > HTTP/1.1 500 X\\r\\nContent-Length: 0\\r\\n\\r\\n")
     player.step("c2 < HTTP/1.1 502 *")
     assert not player.dialled
 
 
-def broken() -> dict[str, str]:
-    whole = json.dumps(changed())
+def broken_configs() -> dict[str, str]:
+    whole = json.dumps(changed_config())
 
     def edited(change: Any) -> str:
-        file = changed()
+        file = changed_config()
         change(file, file["settings"], file["settings"]["Categories"][1])
         return json.dumps(file)
 
@@ -124,12 +124,12 @@
     return texts
 
 
-@pytest.mark.parametrize("case", broken())
-def test_nothing_is_taken_from_a_broken_file(case: str) -> None:
-    player = started()
+@pytest.mark.parametrize("case", broken_configs())
+def test_invalid_file_changes_nothing(case: str) -> None:
+    player = start_gateway()
     before = player.node.config, player.node.core.gateway.settings
-    hup(player, broken()[case])
+    reload_with(player, broken_configs()[case])
     assert (player.node.config, player.node.core.gateway.settings) == before, case
     player.step("stats conf.loaded=0 conf.invalid=1")
-    ask(player, "c1", "a1", "write")
+    send_request(player, "c1", "a1", "write")
     player.step("c1 < HTTP/1.1 400 *")
--- a/tests/player.py
+++ b/tests/player.py
@@ -39,7 +39,7 @@
 from tests.test_drill import OPTIONS
 
 FOLDER = Path(__file__).parent / "exchanges"
-START = 1_800_000_000.0
+START_TIME = 1_800_000_000.0
 
 
 class FakeLoop:
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.timers: list[tuple[float, Callable[[], None]]] = []
-        self.now = START
+        self.now = START_TIME
 
     def call_later(self, delay: float, call: Callable[[], None]) -> FakeLoop:
         self.timers = [(self.now + delay, call)]  # the clock has one timer at a time
@@ -81,7 +81,7 @@
     def __init__(self, connection: http.Connection) -> None:
         self.connection, self.written, self.ended, self.unsent = connection, b"", False, 0
         self.paused = False
-        self.ends: tuple[socket.socket, ...] = ()  # a socket with unread bytes, its other end
+        self.socket_pair: tuple[socket.socket, ...] = ()  # a socket with unread bytes, its other end
 
     def write(self, data: bytes) -> None:
         assert not self.ended, "written after the close"
@@ -114,27 +114,27 @@
         return self.unsent
 
     def get_extra_info(self, name: str) -> socket.socket | None:
-        return self.ends[0] if name == "socket" and self.ends else None
+        return self.socket_pair[0] if name == "socket" and self.socket_pair else None
 
-    def hold(self) -> None:
-        self.ends = socket.socketpair()
-        self.ends[1].send(b"G")
+    def hold_input(self) -> None:
+        self.socket_pair = socket.socketpair()
+        self.socket_pair[1].send(b"G")
 
-    def hand_on(self) -> None:
-        for end in self.ends:
+    def deliver_input(self) -> None:
+        for end in self.socket_pair:
             end.close()
-        self.ends = ()
+        self.socket_pair = ()
 
 
-class Stage:
+class BasePlayer:
     """What is the same for every program: connections, bytes and the clock."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
-        self.words: dict[str, str] = {}
+        self.variables: dict[str, str] = {}
         self.dialled: list[tuple[http.Connection, Address]] = []
-        self.links: dict[str, FakeTransport] = {}
-        self.named: set[str] = set()  # connections whose end a step has named
+        self.transports: dict[str, FakeTransport] = {}
+        self.expected_ends: set[str] = set()  # connections whose end a step has named
 
     def ended(self) -> bool:
         """Whether the program has ended."""
@@ -146,26 +146,26 @@
         return lambda: connection.dial_failed("unreachable")
 
     def up(self, name: str) -> None:
-        link = self.links[name]
-        link.connection.connection_made(cast(asyncio.Transport, link))
-        self.settle()
+        transport = self.transports[name]
+        transport.connection.connection_made(cast(asyncio.Transport, transport))
+        self.report_closed()
 
-    def settle(self) -> None:
+    def report_closed(self) -> None:
         """A transport tells of its end only after the call that ended it."""
-        for link in list(self.links.values()):
-            if link.ended and not link.connection.lost:
-                link.connection.connection_lost(None)
+        for transport in list(self.transports.values()):
+            if transport.ended and not transport.connection.lost:
+                transport.connection.connection_lost(None)
 
     def step(self, line: str) -> None:
-        for word, text in self.words.items():
-            line = line.replace(f"${word}", text)
+        for variable, text in self.variables.items():
+            line = line.replace(f"${variable}", text)
         head, _, rest = line.partition(" ")
         match head:
             case "let":
-                word, _, text = rest.partition(" ")
-                self.words[word] = text
+                variable, _, text = rest.partition(" ")
+                self.variables[variable] = text
             case "open":
-                self.links[rest] = FakeTransport(self.client())
+                self.transports[rest] = FakeTransport(self.client())
                 self.up(rest)
             case "dial":
                 self.expect_dial(*rest.split())
@@ -176,12 +176,12 @@
             case "done":
                 assert self.ended(), "the program has not ended"
             case "stats":
-                told, stats = dict(item.split("=") for item in rest.split()), self.stats()
-                assert told == {key: str(stats[key]) for key in told}, stats
+                expected, stats = dict(item.split("=") for item in rest.split()), self.stats()
+                assert expected == {key: str(stats[key]) for key in expected}, stats
             case _:
-                if not self.own_step(head, rest):
+                if not self.program_step(head, rest):
                     self.bytes(head, *rest.split(" ", 1))
-        self.settle()
+        self.report_closed()
 
     def client(self) -> http.Connection:
         """The program's side of a new client's connection."""
@@ -190,7 +190,7 @@
     def stats(self) -> Counter[str]:
         raise NotImplementedError
 
-    def own_step(self, head: str, rest: str) -> bool:
+    def program_step(self, head: str, rest: str) -> bool:
         """Whether this was a step of one program's own."""
         raise NotImplementedError
 
@@ -198,46 +198,50 @@
         assert self.dialled, "nothing was dialled"
         connection, (host, port) = self.dialled.pop(0)
         assert f"{host}:{port}" == address, f"dialled {host}:{port}"
-        self.links[name] = FakeTransport(connection)
+        self.transports[name] = FakeTransport(connection)
         if not held:
             self.up(name)
 
     def bytes(self, name: str, verb: str, text: str = "") -> None:
-        link = self.links[name]
+        transport = self.transports[name]
         raw = text.encode().decode("unicode_escape").encode("latin-1")
         match verb:
             case "unread":
-                link.hold()
+                transport.hold_input()
             case ">":
-                link.hand_on()
-                link.connection.data_received(raw)
+                transport.deliver_input()
+                transport.connection.data_received(raw)
             case "<":
                 pattern = b".*".join(re.escape(part) for part in raw.split(b"*"))
-                assert re.fullmatch(pattern, link.written, re.S), f"{name} was written {link.written!r}"
-                link.written = b""
+                assert re.fullmatch(pattern, transport.written, re.S), (
+                    f"{name} was written {transport.written!r}"
+                )
+                transport.written = b""
             case "eof" | "reset":
-                self.named.add(name)
+                self.expected_ends.add(name)
                 if verb == "eof":
-                    link.connection.eof_received()
-                link.connection.connection_lost(None if verb == "eof" else ConnectionResetError())
+                    transport.connection.eof_received()
+                transport.connection.connection_lost(None if verb == "eof" else ConnectionResetError())
             case "refused":
-                self.named.add(name)
-                link.connection.dial_failed("unreachable")
+                self.expected_ends.add(name)
+                transport.connection.dial_failed("unreachable")
             case "closed":
-                self.named.add(name)
-                code = link.connection.close_code
-                assert link.connection.lost and code == text, f"{name} has ended: {code!r}"
+                self.expected_ends.add(name)
+                code = transport.connection.close_code
+                assert transport.connection.lost and code == text, f"{name} has ended: {code!r}"
             case _:
                 raise AssertionError(f"no such step: {verb}")
 
     def check_end(self) -> None:
         assert not self.dialled, f"dialled beside the steps: {self.dialled[0][1]}"
-        for name, link in self.links.items():
-            assert not link.written, f"{name} was written {link.written!r}"
-            assert name in self.named or not link.connection.lost, f"{name}: {link.connection.close_code}"
+        for name, transport in self.transports.items():
+            assert not transport.written, f"{name} was written {transport.written!r}"
+            assert name in self.expected_ends or not transport.connection.lost, (
+                f"{name}: {transport.connection.close_code}"
+            )
 
 
-class Player(Stage):
+class Player(BasePlayer):
     def __init__(self, changes: dict[str, Any]) -> None:
         super().__init__()
         self.changes, self.done = changes, False
@@ -257,7 +261,7 @@
     def stats(self) -> Counter[str]:
         return self.node.stats
 
-    def own_step(self, head: str, rest: str) -> bool:
+    def program_step(self, head: str, rest: str) -> bool:
         match head:
             case "count":
                 name, amount = rest.split()
@@ -271,22 +275,22 @@
         return True
 
     def hup(self, text: str) -> None:
-        told = dict(item.partition("=")[::2] for item in text.split())
+        expected = dict(item.partition("=")[::2] for item in text.split())
 
         def load_config() -> Config:
             if text == "bad":
                 raise ConfigError("not JSON")
-            return parse_config(configuration(self.changes) | told, {})
+            return parse_config(configuration(self.changes) | expected, {})
 
         self.node.load_config = load_config
         self.node.reload()
 
 
-WORTH = {"AimNs": 10**9, "GiveUpNs": 3 * 10**9, "Worth": 3.0, "LateWorth": 0.2}
+CLASS_VALUES = {"AimNs": 10**9, "GiveUpNs": 3 * 10**9, "Worth": 3.0, "LateWorth": 0.2}
 # Beside the class that is safe to repeat: one whose repeats a rack drops for 4 s, one that never runs twice.
 KEYED_AND_ONCE: list[dict[str, Any]] = [
-    WORTH | {"Name": "keyed", "Repeat": "keyed", "Group": "cell", "RepeatWindowNs": 4 * 10**9},
-    WORTH | {"Name": "once", "Repeat": "unsafe"},
+    CLASS_VALUES | {"Name": "keyed", "Repeat": "keyed", "Group": "cell", "RepeatWindowNs": 4 * 10**9},
+    CLASS_VALUES | {"Name": "once", "Repeat": "unsafe"},
 ]
 
 
@@ -319,7 +323,7 @@
     return [line for line in path.read_text().splitlines() if line and not line.startswith("#")]
 
 
-def play_steps(stage: Stage, name: str, lines: list[str]) -> None:
+def play_steps(stage: BasePlayer, name: str, lines: list[str]) -> None:
     for line in lines:
         try:
             stage.step(line)
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -39,12 +39,16 @@
 
     def reached(self) -> list[str]:
         """Servers that hold a request that nobody has answered."""
-        links = [link for name, link in self.player.links.items() if name[0] == "t" and link.written]
-        return [cast(Any, link.connection).pool.upstream.ident for link in links]
+        transports = [
+            transport
+            for name, transport in self.player.transports.items()
+            if name[0] == "t" and transport.written
+        ]
+        return [cast(Any, transport.connection).pool.upstream.ident for transport in transports]
 
     def answered(self, status: int) -> None:
-        link = self.player.links[f"c{self.number}"]
-        assert link.written.startswith(b"HTTP/1.1 %d " % status), link.written
+        transport = self.player.transports[f"c{self.number}"]
+        assert transport.written.startswith(b"HTTP/1.1 %d " % status), transport.written
         assert not self.player.dialled, "nothing more goes out"
 
 
@@ -102,7 +106,7 @@
     scene.ask("read", key)
     scene.connect()
     assert scene.reached()
-    scene.player.links[f"t{scene.number}"].written = b""
+    scene.player.transports[f"t{scene.number}"].written = b""
     scene.play(f"time {seconds}", f"t{scene.number} reset")
 
 
@@ -174,7 +178,7 @@
 def whole(scene: Scene) -> None:
     answer = rf"HTTP/1.1 200 OK\r\nX-Attempt-Id: r{scene.number}\r\nX-Server-Seal: s\r\n"
     answer += r"Content-Length: 4\r\n\r\ndone"
-    scene.player.links[f"t{scene.number}"].written = b""
+    scene.player.transports[f"t{scene.number}"].written = b""
     scene.play(f"t{scene.number} > {answer}", rf"c{scene.number} < HTTP/1.1 200 OK\r\n*\r\n\r\ndone")
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -23,7 +23,7 @@
     return gateway_view(player.node, lambda: parse_config(configuration({}) | file, {}))
 
 
-def test_the_view_tells_settings_targets_and_load() -> None:
+def test_view_contains_settings_targets_and_load() -> None:
     player = Player({})
     player.step("dial d 127.0.0.2:2")
     told = view_of(player)
@@ -36,7 +36,7 @@
     assert json.loads(json.dumps(told)) == told
 
 
-def test_a_file_that_was_not_taken_up_shows() -> None:
+def test_view_shows_a_file_that_was_not_reloaded() -> None:
     player = Player({})
     player.step("dial d 127.0.0.2:2")
     changed = configuration({"burst": 50.0})
@@ -45,14 +45,14 @@
     assert not view_of(player, discovery="127.0.0.8:8")["file"]["taken_up"]
 
 
-def test_a_reload_that_moves_an_address_is_taken_up() -> None:
+def test_view_shows_a_reloaded_address() -> None:
     player = Player({})
     player.step("dial d 127.0.0.2:2")
     player.step("hup discovery=127.0.0.8:8")
     assert view_of(player, discovery="127.0.0.8:8")["file"]["taken_up"]
 
 
-def test_a_file_that_can_t_be_used_shows() -> None:
+def test_view_shows_an_invalid_file() -> None:
     player = Player({})
 
     def broken() -> Any:
@@ -62,7 +62,7 @@
     assert told == {"error": "f is not JSON", "taken_up": False}
 
 
-def test_the_drain_shows_how_far_it_has_come() -> None:
+def test_view_shows_drain_progress() -> None:
     player = Player({})
     assert view_of(player)["drain"]["asked"] is False
     player.node.stop()
@@ -71,7 +71,7 @@
     assert (drain["asked"], drain["since"], drain["clients_busy"]) == (True, 0.2, 0)
 
 
-def test_the_index_of_a_gateway_is_not_in_the_digest() -> None:
+def test_settings_digest_excludes_the_gateway_index() -> None:
     # Gateways of one fleet differ in it rightfully, and would all seem to disagree.
     first, second = Player({}), Player({})
     settings = dict(configuration({})["settings"], Index=1)
@@ -119,7 +119,7 @@
 GET = b"GET /v1/view HTTP/1.1\r\nHost: admin\r\n\r\n"
 
 
-def test_it_answers_the_view_in_pieces_too(tmp_path: Path) -> None:
+def test_request_in_two_segments_is_answered(tmp_path: Path) -> None:
     said = with_socket(tmp_path / "s", ask(GET[:9], GET[9:]))
     assert said.startswith(b"HTTP/1.1 200 OK") and said.endswith(b'{"name":"n0"}')
 
@@ -133,13 +133,13 @@
         (b"GET /" + b"x" * 5000, b"400"),
     ],
 )
-def test_what_else_is_asked_changes_nothing(tmp_path: Path, asked: bytes, status: bytes) -> None:
+def test_other_requests_are_rejected(tmp_path: Path, asked: bytes, status: bytes) -> None:
     calls: list[int] = []
     assert with_socket(tmp_path / "s", ask(asked), calls).split()[1] == status
     assert not calls
 
 
-def test_only_its_owner_may_ask_and_it_leaves_no_file(tmp_path: Path) -> None:
+def test_socket_is_private_and_removed_on_stop(tmp_path: Path) -> None:
     modes: list[int] = []
 
     def look(path: str) -> bytes:
@@ -150,7 +150,7 @@
     assert modes == [0o600] and not (tmp_path / "s").exists()
 
 
-def test_a_dead_socket_is_replaced_and_a_live_one_is_not(tmp_path: Path) -> None:
+def test_only_stale_sockets_are_replaced(tmp_path: Path) -> None:
     path = str(tmp_path / "s")
     dead = socket.socket(socket.AF_UNIX)
     dead.bind(path)
@@ -165,7 +165,7 @@
     assert (tmp_path / "file").read_text() == "not ours"
 
 
-def test_of_too_many_connections_the_oldest_makes_room(tmp_path: Path) -> None:
+def test_oldest_connection_is_closed_above_the_limit(tmp_path: Path) -> None:
     def crowd(path: str) -> bytes:
         held = [socket.socket(socket.AF_UNIX) for _ in range(admin.AdminServer.max_connections)]
         for sock in held:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -35,7 +35,7 @@
         account.refused.usage = account.refused.mean_usage = account.capacity / 0.4 - 2.0
         account.admitted.read_at = account.refused.read_at = bench.now
         assert 0.0 < account.admission_probability(1.0) < 1.0
-        admitted += len(only(bench.told(2.0, spread=300), api.Send))
+        admitted += len(only(bench.ask_with_total(2.0, spread=300), api.Send))
     assert abs(admitted - 160) <= 40
 
 
@@ -97,20 +97,20 @@
 
 def test_the_concurrency_limit_covers_requests_at_other_gateways() -> None:
     bench = Bench()
-    assert only(bench.told(1.0, plan="open"), api.Send)
+    assert only(bench.ask_with_total(1.0, plan="open"), api.Send)
     bench.gateway.accounts["c"].in_flight = 0
-    assert only(bench.told(1.1, plan="open"), api.Send)
+    assert only(bench.ask_with_total(1.1, plan="open"), api.Send)
     bench.gateway.latency = bench.gateway.accounts["c"].decay_time
-    assert only(bench.told(4.0, plan="open"), api.Refuse)
+    assert only(bench.ask_with_total(4.0, plan="open"), api.Refuse)
 
 
 def test_a_refusal_says_when_a_unit_fits_again() -> None:
     bench = Bench()
-    assert only(bench.told(50.0), api.Refuse)[0].retry_after == pytest.approx(0.5)
+    assert only(bench.ask_with_total(50.0), api.Refuse)[0].retry_after == pytest.approx(0.5)
 
 
 def test_shed_requests_do_not_count_against_the_quota() -> None:
     bench = Bench()
     bench.gateway.in_flight = 1000  # above the in-flight limit, though the mean in flight lags behind
-    assert only(bench.told(1.0), api.Refuse)
+    assert only(bench.ask_with_total(1.0), api.Refuse)
     assert bench.gateway.accounts["c"].refused.unreported == 0.0
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -42,12 +42,12 @@
         self.assertEqual((code, out), (2, ""))
         self.assertIn("Usage:", err)
 
-    def test_the_example_is_good(self) -> None:
+    def test_example_is_valid(self) -> None:
         code, out, err = self.run_main("check-config", "--config", "examples/config.json")
         self.assertEqual((code, err), (0, ""))
         self.assertIn("127.0.0.1:7070", out)
 
-    def test_what_is_wrong_is_said_in_one_line(self) -> None:
+    def test_configuration_errors_are_one_line(self) -> None:
         whole = configuration({})
         cases: list[tuple[str, Any]] = [
             ("not JSON", "{"),
@@ -64,12 +64,12 @@
             self.assertEqual((code, out, err.count("\n")), (2, "", 1), err)
             self.assertIn(said, err)
 
-    def test_no_file(self) -> None:
+    def test_missing_file(self) -> None:
         for env in ({}, {"GW_CONFIG": "/no/such/file"}):
             code, _, err = self.run_main("serve", **env)
             self.assertEqual((code, err.count("\n")), (2, 1))
 
-    def test_the_environment_wins(self) -> None:
+    def test_environment_takes_precedence(self) -> None:
         env = {"GW_NAME": "n9", "GW_LISTEN": "127.0.0.7:7"}
         told = config.parse_config(configuration({}), env)
         self.assertEqual((told.name, told.listen), ("n9", ("127.0.0.7", 7)))
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -15,13 +15,13 @@
     def set(self, after: float, name: str) -> object:
         return self.clock.schedule(self.clock.now() + after, lambda now: self.called.append(name))
 
-    def test_in_order_of_time(self) -> None:
+    def test_timers_fire_in_order(self) -> None:
         for after, name in ((3.0, "c"), (1.0, "a"), (2.0, "b")):
             self.set(after, name)
         self.clock.advance(2.5)
         self.assertEqual(self.called, ["a", "b"])
 
-    def test_a_cancelled_timer_does_not_wake_the_loop(self) -> None:
+    def test_cancelled_timer_does_not_wake_the_loop(self) -> None:
         """Nearly every timer is a deadline that is met: waking for each would cost more than they save."""
         timer = self.clock.schedule(self.clock.now() + 1.0, lambda now: self.called.append("never"))
         self.set(2.0, "then")
@@ -30,13 +30,13 @@
         self.clock.advance(3.0)
         self.assertEqual((self.called, self.clock.loop.timers), (["then"], []))
 
-    def test_an_early_wake_does_not_spin(self) -> None:
+    def test_early_wakeup_does_not_spin(self) -> None:
         """The loop counts in ms and may call early: what is due within one is called, not waited for."""
         self.set(0.0008, "soon")
         self.clock.run_due()
         self.assertEqual(self.called, ["soon"])
 
-    def test_who_asks_again_for_the_same_moment_is_called_in_the_next_round(self) -> None:
+    def test_rescheduling_for_the_same_time_waits_for_the_next_iteration(self) -> None:
         """Gateways hung here for good: a stopped answer's timer came a little early, and asked again."""
         due = self.clock.now() + 0.0008
 
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -231,13 +231,13 @@
     """Its own measured rate is near 0, as it was listed while it was down."""
     bench = Bench(servers=0, counter=False)
     warm = [replace(entry(f"{zone}{k}"), zone=zone) for zone in "ab" for k in range(2)]
-    bench.listed(*warm)
+    bench.update_servers(*warm)
     for _ in range(200):
         (send,) = bench.ask()
         assert isinstance(send, api.Send)
         bench.end(send, Code.OK if send.server.startswith("a") else Code.UNREACHABLE)
     back = [replace(e, launched=bench.now) if e.zone == "b" else e for e in warm]
-    bench.listed(*back, form=api.ListForm.CHANGES)
+    bench.update_servers(*back, form=api.ListForm.CHANGES)
     lost, other = (bench.gateway.groups[zone, ""].unit_rate(1.0) for zone in "ba")
     assert lost < 0.1 * other
     assert bench.gateway.unit_rate(back[-1]) >= 0.4 * other
@@ -251,7 +251,7 @@
         assert isinstance(send, api.Send)
         bench.end(send, Code.OK)
     warm = [entry(f"s{k}", launched=0.0) for k in range(2)]
-    bench.listed(*warm, *(entry(f"cold{k}", launched=bench.now) for k in range(10)))
+    bench.update_servers(*warm, *(entry(f"cold{k}", launched=bench.now) for k in range(10)))
     rate, sent, started_at = bench.gateway.unit_rate(entry("cold0")), Counter[str](), bench.now
     for _ in range(120):
         (send,) = bench.ask()
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -13,21 +13,21 @@
 from tests.conftest import Bench, only
 
 
-def test_a_call_timed_out_is_never_added_again() -> None:
+def test_timed_out_amount_is_not_added_again() -> None:
     bench = Bench()
     bench.ask(plan="plan")
     bench.answer(Code.TIMEOUT, took=0.05)
     assert bench.gateway.accounts["c"].admitted.unreported <= 0.0
 
 
-def test_a_refused_call_is_told_with_the_next() -> None:
+def test_rejected_amount_is_added_with_the_next_call() -> None:
     bench = Bench()
     bench.ask(plan="plan")
     bench.answer(Code.FULL)
     assert bench.gateway.accounts["c"].admitted.unreported == pytest.approx(1.0, abs=0.1)
 
 
-def test_a_crowded_counter_is_asked_less_and_not_taken_for_silent() -> None:
+def test_overloaded_counter_is_called_less_and_not_considered_down() -> None:
     bench = Bench()
     for _ in range(2):
         bench.ask(plan="wide")
@@ -37,7 +37,7 @@
     assert not bench.gateway.counter_down
 
 
-def test_a_silent_counter_is_said_once_and_refuses_not_everybody() -> None:
+def test_silent_counter_is_logged_once_and_does_not_refuse_everything() -> None:
     bench = Bench(servers=30)
     actions: list[api.Action] = []
     ended = 0
@@ -53,11 +53,11 @@
     assert len(only(actions, api.Send)) >= 30
     while bench.gateway.counter_down:
         bench.now += 1.0
-        actions += bench.told(1.0, customer="back", spread=300)
+        actions += bench.ask_with_total(1.0, customer="back", spread=300)
     assert only(actions, api.Log)[-1].text == "counter back"
 
 
-def test_those_who_ask_count_for_those_who_could_not() -> None:
+def test_sampled_calls_account_for_unsampled_requests() -> None:
     """Over many requests, what is told is what was sent, also when only some may ask."""
     told = asked = 0.0
     for seed in range(400):
@@ -70,7 +70,7 @@
     assert abs(told - 400) < 100
 
 
-def test_without_totals_requests_go_by_how_those_like_them_fared() -> None:
+def test_requests_without_totals_use_the_acceptance_rate_of_their_plan() -> None:
     bench = Bench(counter=False)
     for backed in (True, False):
         bench.gateway.fit_rates["plan", backed] = 0.0
@@ -79,34 +79,34 @@
     assert only(bench.ask(plan="plan"), api.Send)
 
 
-def test_refusals_are_told_in_batches() -> None:
+def test_refusals_are_reported_in_batches() -> None:
     bench = Bench()
-    calls = [only(bench.told(50.0), api.AddCount) for _ in range(12)]
+    calls = [only(bench.ask_with_total(50.0), api.AddCount) for _ in range(12)]
     turned = bench.gateway.accounts["c"].refused
     assert turned.read_at > 0 and sum(map(len, calls)) < 36
 
 
-def test_a_request_whose_client_leaves_soon_is_not_held_for_a_total() -> None:
+def test_request_close_to_its_deadline_does_not_wait_for_a_total() -> None:
     bench = Bench()
     assert only(bench.ask(plan="plan", left=0.05), (api.Refuse, api.Send))  # type: ignore[arg-type]
 
 
-def test_a_withdrawn_request_is_not_sent_when_its_total_comes() -> None:
+def test_withdrawn_request_is_not_sent_when_its_total_arrives() -> None:
     bench = Bench()
     bench.ask(plan="plan")
-    bench.give(api.Withdrawn("r1"))
+    bench.send_event(api.Withdrawn("r1"))
     assert not only(bench.answer(Code.OK, 1.0), (api.Send, api.Refuse))  # type: ignore[arg-type]
 
 
-def test_an_answer_for_a_call_no_longer_held_is_passed_over(bench: Bench) -> None:
-    assert bench.give(api.CountAnswer(42, Code.OK, 0.01, 5.0)) == []
+def test_answer_to_an_unknown_call_is_ignored(bench: Bench) -> None:
+    assert bench.send_event(api.CountAnswer(42, Code.OK, 0.01, 5.0)) == []
 
 
 def test_names_do_not_depend_on_the_hash_seed() -> None:
     code = (
         "from tests.conftest import Bench\n"
         "b = Bench()\n"
-        "for i in range(40): b.told(3.0, customer=f'c{i % 7}')\n"
+        "for i in range(40): b.ask_with_total(3.0, customer=f'c{i % 7}')\n"
         "print(b.log)"
     )
     outs = {
@@ -123,7 +123,7 @@
     assert "AddCount" in outs.pop()
 
 
-def test_what_the_servers_have_no_room_for_calls_no_counter() -> None:
+def test_request_without_server_capacity_does_not_call_the_counter() -> None:
     """In overload half of all calls were made for requests that were refused all the same, and a
     further call each took their units back: that crowded the counter of a large fleet."""
     bench = Bench()
--- a/tests/test_counter_amounts.py
+++ b/tests/test_counter_amounts.py
@@ -24,7 +24,7 @@
 
     def test_units_above_the_limit_are_reported_with_the_next_call(self) -> None:
         bench = Bench()
-        bench.told(1.0)
+        bench.ask_with_total(1.0)
         account = bench.gateway.accounts["c"]
         for sign in (1, -1):
             counter = account.admitted
@@ -33,4 +33,4 @@
             amount = only(bench.gateway.actions, api.AddCount)[0].amount
             self.assertAlmostEqual(amount, sign * MAX_COUNTER_AMOUNT, delta=1.0)
             self.assertAlmostEqual(counter.unreported + (counter.in_flight or 0.0), sign * 1e10, delta=1.0)
-            bench.give(api.CountAnswer(account.counter_name(counter), Code.OK, 0.0, amount))
+            bench.send_event(api.CountAnswer(account.counter_name(counter), Code.OK, 0.0, amount))
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -39,7 +39,7 @@
         account = bench.gateway.accounts["c"]
         total = 5.0 * account.weight(account.admitted, bench.now)
         for _ in range(2):  # a second total of the same call is ignored
-            bench.give(api.CountAnswer(call.name, Code.OK, 0.07, total, late=True))
+            bench.send_event(api.CountAnswer(call.name, Code.OK, 0.07, total, late=True))
             self.assertAlmostEqual(account.admitted.usage, 5.0)
             total = 0.0
 
@@ -47,7 +47,7 @@
         """Refused requests make no calls, so that an old total would go on refusing all requests."""
         bench = Bench()
         bench.gateway.sampling_rate = 0.0
-        bench.told(1.0)
+        bench.ask_with_total(1.0)
         account = bench.gateway.accounts["c"]
         account.refused.usage = account.refused.mean_usage = 1e6
         account.admitted.read_at = account.refused.read_at = bench.now
@@ -84,7 +84,7 @@
         first = only(bench.ask(), api.Send)[0]
         for took, counts in ((0.01, True), (5.0, False)):
             bench.now += took
-            bench.give(
+            bench.send_event(
                 api.Outcome(first.request, 0, first.server, Code.OK, 0.01, True, report={"backlog": 30.0})
             )
             bench.gateway.servers[first.server].update_load_report({"backlog": 30.0}, bench.now)
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -12,7 +12,7 @@
 class Exchanges(unittest.TestCase):
     """One test an exchange, added below."""
 
-    def test_each_says_what_it_guards_against(self) -> None:
+    def test_each_exchange_states_its_purpose(self) -> None:
         self.assertGreater(len(list(FOLDER.glob("*.txt"))), 10)
         for path in FOLDER.glob("*.txt"):
             self.assertTrue(path.read_text().startswith("# "), path.name)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -10,14 +10,14 @@
 from tests.player import FakeTransport, Player
 
 
-class ManyClients(unittest.TestCase):
-    def test_each_that_is_too_many_closes_another_one(self) -> None:
+class ClientLimitTest(unittest.TestCase):
+    def test_each_excess_client_closes_a_different_connection(self) -> None:
         """One closed client chosen twice would leave the process over its limit on sockets."""
         player = Player({"sockets": 40})
         for number in range(12):
-            link = player.links[str(number)] = FakeTransport(ClientConnection(player.node.listener))
-            link.connection.connection_made(cast(asyncio.Transport, link))
-        player.settle()
+            transport = player.transports[str(number)] = FakeTransport(ClientConnection(player.node.listener))
+            transport.connection.connection_made(cast(asyncio.Transport, transport))
+        player.report_closed()
         listener = player.node.listener
         self.assertEqual(
             (len(listener.clients), len(listener.new_clients)), (listener.max_clients, listener.max_clients)
--- a/tests/test_rule_changes.py
+++ b/tests/test_rule_changes.py
@@ -37,7 +37,7 @@
     def change_plan(self, plan: api.PlanSettings) -> None:
         self.plan = plan
         for bench in self.benches:
-            bench.give(rules(plan))
+            bench.send_event(rules(plan))
 
     def run(self, seconds: float, rate: float) -> None:
         for _ in range(round(seconds / STEP_S)):
@@ -52,11 +52,12 @@
     def answer_call(self, bench: Bench, call: api.AddCount) -> None:
         bench.now = self.now
         if self.random.random() < self.lost_share:
-            self.handle_actions(bench, bench.give(api.CountAnswer(call.name, Code.TIMEOUT, 0.05)))
+            self.handle_actions(bench, bench.send_event(api.CountAnswer(call.name, Code.TIMEOUT, 0.05)))
             return
         self.totals[call.name] += call.amount
         self.handle_actions(
-            bench, bench.give(api.CountAnswer(call.name, Code.OK, COUNTER_LATENCY_S, self.totals[call.name]))
+            bench,
+            bench.send_event(api.CountAnswer(call.name, Code.OK, COUNTER_LATENCY_S, self.totals[call.name])),
         )
 
     def handle_actions(self, bench: Bench, actions: list[api.Action]) -> None:
@@ -66,7 +67,8 @@
             elif isinstance(action, api.Send):
                 self.admitted.append(self.now - self.started_at)
                 self.handle_actions(
-                    bench, bench.give(api.Outcome(action.request, 0, action.server, Code.OK, 0.05, True))
+                    bench,
+                    bench.send_event(api.Outcome(action.request, 0, action.server, Code.OK, 0.05, True)),
                 )
 
     def admitted_between(self, first: float, last: float) -> int:
@@ -130,7 +132,7 @@
 
 def test_after_a_change_the_capacity_of_an_unknown_customer_counts_as_used() -> None:
     bench = Bench()
-    bench.give(rules(replace(CAPPED, rate=3.0)))
+    bench.send_event(rules(replace(CAPPED, rate=3.0)))
     bench.ask(plan="capped", customer="new")
     account = bench.gateway.accounts["new"]
     assert account.expected_usage(account.admitted) - account.admitted.unreported == pytest.approx(
@@ -146,30 +148,30 @@
     bench = Bench()
     bench.ask(plan="plan")
     account = bench.gateway.accounts["c"]
-    bench.give(rules())
+    bench.send_event(rules())
     bench.ask(plan="plan")
     assert bench.gateway.accounts["c"] is account
-    bench.give(rules(replace(PLAN, rate=3.0)))
+    bench.send_event(rules(replace(PLAN, rate=3.0)))
     bench.ask(plan="plan")
     assert bench.gateway.accounts["c"].name_suffix != account.name_suffix
 
 
 def test_only_blocked_customers_are_refused(bench: Bench) -> None:
-    bench.give(rules(blocked=("c",)))
+    bench.send_event(rules(blocked=("c",)))
     assert only(bench.ask(), api.Refuse) and not only(bench.ask(customer="d"), api.Refuse)
     assert bench.gateway.stats["refused.blocked"] == 1
-    bench.give(rules())
+    bench.send_event(rules())
     assert only(bench.ask(), api.Send)
 
 
 def test_a_request_keeps_the_server_exclusions_that_it_arrived_under(bench: Bench) -> None:
     """Its retries avoid the servers excluded then, even after the exclusion is lifted."""
-    bench.give(rules(aside=("s0", "s2")))
+    bench.send_event(rules(aside=("s0", "s2")))
     first = only(bench.ask(), api.Send)[0]
     assert first.server == "s1"
-    bench.give(rules())
+    bench.send_event(rules())
     again = only(bench.end(first, Code.UNREACHABLE), api.Send)
     assert [send.server for send in again] == ["s1"]
     assert {send.server for _ in range(20) for send in only(bench.ask(), api.Send)} >= {"s0", "s2"}
-    bench.give(rules(aside=("s0", "s1", "s2")))
+    bench.send_event(rules(aside=("s0", "s1", "s2")))
     assert only(bench.ask(), api.Refuse)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,13 +20,13 @@
     return sum(isinstance(a, FINAL) and a.request == request for a in bench.log)
 
 
-def test_a_request_with_no_server_is_answered_at_once() -> None:
+def test_request_without_servers_is_refused_at_once() -> None:
     bench = Bench(servers=0, counter=False)
     assert only(bench.ask(left=1.0), api.Refuse)
     assert finals(bench, "r1") == 1
 
 
-def test_time_out_at_the_deadline_gets_its_final_answer(bench: Bench) -> None:
+def test_timeout_at_the_deadline_is_answered(bench: Bench) -> None:
     send = only(bench.ask("add", left=0.5), api.Send)[0]
     bench.end(send, Code.TIMEOUT, took=0.5)
     assert finals(bench, "r1") == 1
@@ -34,21 +34,21 @@
 
 
 @pytest.mark.parametrize("code", [Code.ERROR, Code.TIMEOUT, Code.RESET, Code.CANCELLED])
-def test_unsafe_that_may_have_run_is_failed_and_not_sent_again(bench: Bench, code: Code) -> None:
+def test_unsafe_request_that_may_have_run_is_not_retried(bench: Bench, code: Code) -> None:
     send = only(bench.ask("add"), api.Send)[0]
     actions = bench.end(send, code)
     assert only(actions, api.Fail)
     assert not only(actions, api.Send) and not only(actions, api.Refuse)
 
 
-def test_unsafe_that_never_ran_goes_to_another_server(bench: Bench) -> None:
+def test_unsafe_request_that_did_not_run_is_retried_elsewhere(bench: Bench) -> None:
     send = only(bench.ask("add"), api.Send)[0]
     again = only(bench.end(send, Code.FULL), api.Send)
     assert again and again[0].server != send.server
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_keyed_stays_in_its_cell_and_its_window(seed: int) -> None:
+def test_keyed_request_is_retried_only_within_its_cell_and_window(seed: int) -> None:
     bench = Bench(seed=seed, servers=6, counter=False)
     send = only(bench.ask("put", left=6.0), api.Send)[0]
     cell = int(send.server[1:]) // 2
@@ -58,7 +58,7 @@
     assert only(actions, api.Fail) and not only(actions, api.Send)
 
 
-def test_refusals_everywhere_end_in_a_refusal(bench: Bench) -> None:
+def test_request_that_all_servers_decline_is_refused(bench: Bench) -> None:
     send = only(bench.ask(), api.Send)[0]
     for _ in range(3):
         send = only(bench.end(send, Code.FULL, took=0.001), api.Send)[0]
@@ -66,31 +66,31 @@
     assert finals(bench, "r1") == 1
 
 
-def test_nothing_goes_to_a_draining_or_unlisted_server(bench: Bench) -> None:
-    bench.listed(entry("s0", state=api.ServerState.LEAVING), form=api.ListForm.CHANGES)
+def test_draining_and_unlisted_servers_get_no_requests(bench: Bench) -> None:
+    bench.update_servers(entry("s0", state=api.ServerState.LEAVING), form=api.ListForm.CHANGES)
     assert {s.server for _ in range(4) for s in only(bench.ask(), api.Send)} == {"s1", "s2"}
-    bench.listed(entry("s1"))
+    bench.update_servers(entry("s1"))
     assert {s.server for _ in range(4) for s in only(bench.ask(), api.Send)} <= {"s1"}
 
 
-def test_withdrawn_ends_it_and_outcomes_after_it_are_passed_over(bench: Bench) -> None:
+def test_outcomes_after_withdrawal_are_ignored(bench: Bench) -> None:
     send = only(bench.ask(), api.Send)[0]
-    bench.give(api.Withdrawn("r1"))
+    bench.send_event(api.Withdrawn("r1"))
     assert not only(bench.end(send, Code.ERROR), (api.Send, api.Refuse, api.Fail))  # type: ignore[arg-type]
-    assert bench.give(api.Withdrawn("unknown")) == []
+    assert bench.send_event(api.Withdrawn("unknown")) == []
     assert not only(bench.end(send, Code.OK), api.Send)
 
 
-def test_a_stream_that_flows_has_no_deadline(bench: Bench) -> None:
+def test_started_stream_has_no_deadline(bench: Bench) -> None:
     send = only(bench.ask(left=0.5), api.Send)[0]
-    bench.give(api.StreamStarted("r1", 0, send.server))
+    bench.send_event(api.StreamStarted("r1", 0, send.server))
     bench.now += 10.0
     bench.ask()
     assert finals(bench, "r1") == 0
 
 
-def test_a_cold_server_gets_its_warmth_of_the_usual(bench: Bench) -> None:
-    bench.listed(entry("s0"), entry("s1"), entry("cold", launched=bench.now))
+def test_cold_server_gets_a_reduced_share(bench: Bench) -> None:
+    bench.update_servers(entry("s0"), entry("s1"), entry("cold", launched=bench.now))
     cold = warm = 0
     for _ in range(300):
         bench.now += 0.01
@@ -101,7 +101,7 @@
     assert cold <= 0.4 * warm
 
 
-def test_the_ceiling_holds_with_a_counter_that_is_silent_and_after_a_restart() -> None:
+def test_ceiling_holds_without_a_counter_and_after_restarts() -> None:
     """Three gateways without totals, each restarted once: what all send keeps the ceiling."""
     passed = []
     for seed in range(40):
@@ -114,14 +114,14 @@
     assert max(passed) <= 12 + 1.2
 
 
-def test_totals_within_the_quota_need_no_part_of_the_ceiling() -> None:
+def test_totals_within_the_quota_do_not_use_the_ceiling() -> None:
     bench = Bench(servers=12)
-    sent = [len(only(bench.told(n + 1.0, plan="capped", spread=12), api.Send)) for n in range(10)]
+    sent = [len(only(bench.ask_with_total(n + 1.0, plan="capped", spread=12), api.Send)) for n in range(10)]
     assert sent[:5] == [1] * 5
     assert sent[7:] == [0] * 3
 
 
-def test_a_failing_server_does_not_attract_load(bench: Bench) -> None:
+def test_failing_server_does_not_attract_load(bench: Bench) -> None:
     sends = {"s0": 0, "s1": 0, "s2": 0}
     for _ in range(150):
         bench.now += 0.02
@@ -133,7 +133,7 @@
     assert sends["s1"] + sends["s2"] > 100
 
 
-def test_when_all_look_bad_nobody_is_left_out(bench: Bench) -> None:
+def test_servers_are_used_when_all_of_them_fail(bench: Bench) -> None:
     for _ in range(30):
         bench.now += 0.1
         for send in only(bench.ask("add"), api.Send):
@@ -141,7 +141,7 @@
     assert only(bench.ask("add"), api.Send)
 
 
-def test_work_out_is_bounded_and_recovers(bench: Bench) -> None:
+def test_in_flight_limit_recovers_after_overload(bench: Bench) -> None:
     """Incidents ia10606, ic35199: a jam must not shut the gateway for good."""
     sends = [s for _ in range(60) for s in only(bench.ask(), api.Send)]
     assert len(sends) < 50
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("late_worth", [0.0, 0.2])
-def test_what_is_still_worth_something_after_its_aim_is_not_given_up(late_worth: float) -> None:
+def test_attempt_timeout_depends_on_the_worth_of_late_answers(late_worth: float) -> None:
     """Servers go on unseen with what was given up, and what is out no longer tells what they hold."""
     kind = replace(SAFE, late_worth=late_worth)
     bench = Bench(counter=False, servers=2, classes=(kind,))
@@ -161,7 +161,7 @@
     assert [send.timeout for send in sends] == [limit] * len(sends)
 
 
-def test_the_limit_never_falls_under_what_shows_a_recovery(bench: Bench) -> None:
+def test_in_flight_limit_has_a_minimum(bench: Bench) -> None:
     for _ in range(60):
         bench.gateway.adapt_limit(1.0, bench.now)
         bench.now += 1.0
@@ -170,17 +170,17 @@
     assert only(bench.ask(), api.Send)
 
 
-def test_the_limit_goes_by_what_the_servers_can_do() -> None:
+def test_in_flight_limit_follows_warm_capacity() -> None:
     """Six in ten servers leave and come back cold: what all could bear would jam those that are left."""
     bench = Bench(servers=12, counter=False)
     before = bench.gateway.in_flight_bound(bench.now)
     cold = [entry(f"n{i}", launched=bench.now) for i in range(6)]
-    bench.listed(*(entry(f"s{i}") for i in range(6)), *cold)
+    bench.update_servers(*(entry(f"s{i}") for i in range(6)), *cold)
     part = (6 + 6 * bench.gateway.settings.start_capacity) / 12
     assert bench.gateway.in_flight_bound(bench.now) == pytest.approx(before * part)
 
 
-def test_a_surge_is_not_let_in_beyond_the_limit_until_a_mean_has_seen_it() -> None:
+def test_surge_is_bounded_before_the_mean_reflects_it() -> None:
     """A fleet that lets in twice its limit for a second has jammed its servers for five."""
     bench = Bench(servers=12, gateways=3, counter=False)
     most = bench.gateway.in_flight_bound(bench.now)
@@ -192,7 +192,7 @@
     assert peak < 3 * most
 
 
-def test_with_more_gateways_than_servers_one_attempt_out_does_not_refuse_all() -> None:
+def test_fractional_limit_does_not_refuse_everything() -> None:
     """At full size a gateway's part of the limit is under one attempt: a chance, not a bound."""
     second = 0
     for seed in range(200):
@@ -202,7 +202,7 @@
     assert second > 60
 
 
-def test_the_limit_goes_by_the_mean_of_attempts_out() -> None:
+def test_limit_applies_to_the_mean_number_of_attempts() -> None:
     """At full size one attempt out is no overload; one out all the time may be."""
     after = {}
     for wait in (0.0, 20.0):
@@ -217,7 +217,7 @@
     assert after[20.0] < after[0.0] / 2
 
 
-def test_a_long_attempt_is_slow_before_its_answer_and_only_once(bench: Bench) -> None:
+def test_long_attempt_counts_as_slow_once(bench: Bench) -> None:
     bench.ask()
     bench.now += 0.9
     for _ in range(5):
@@ -225,17 +225,17 @@
     assert bench.gateway.slow_share == pytest.approx(0.15)
 
 
-def test_cold_servers_get_their_warmths_share_from_all_gateways_together() -> None:
+def test_cold_servers_get_a_reduced_share_from_a_large_fleet() -> None:
     """Hundreds of gateways that each send one: the chance, not a count, bounds the sum."""
     sent = 0
     for seed in range(400):
         bench = Bench(seed=seed, servers=0, gateways=400, counter=False)
-        bench.listed(*(entry(f"s{i}", launched=bench.now if i < 30 else 0.0) for i in range(60)))
+        bench.update_servers(*(entry(f"s{i}", launched=bench.now if i < 30 else 0.0) for i in range(60)))
         sent += sum(int(s.server[1:]) < 30 for s in only(bench.ask(), api.Send))
     assert sent < 400 / 2 * 0.7
 
 
-def test_silence_of_one_class_on_a_server_is_not_held_against_the_others(bench: Bench) -> None:
+def test_timeouts_of_one_class_do_not_affect_other_classes(bench: Bench) -> None:
     for _ in range(3):
         for send in only(bench.ask("add"), api.Send):
             bench.end(send, Code.TIMEOUT, took=0.5)
@@ -244,14 +244,14 @@
     assert all(s.health.error_rate == 0.0 and "read" not in s.health_by_label for s in silent)
 
 
-def test_a_full_for_one_plan_is_kept_with_server_and_plan(bench: Bench) -> None:
+def test_decline_for_one_plan_does_not_affect_other_plans(bench: Bench) -> None:
     send = only(bench.ask(plan="wide"), api.Send)[0]
     bench.end(send, Code.FULL, took=0.01)
     server = bench.gateway.servers[send.server]
     assert server.health_by_label["wide"].error_rate > 0 and "plan" not in server.health_by_label
 
 
-def test_a_customer_long_idle_is_forgotten(bench: Bench) -> None:
+def test_idle_customer_accounts_are_evicted(bench: Bench) -> None:
     for i in range(20):
         for send in only(bench.ask(customer=f"c{i}"), api.Send):
             bench.end(send, Code.OK, took=0.01)
@@ -261,7 +261,7 @@
     assert "c0" not in bench.gateway.accounts and "d0" in bench.gateway.accounts
 
 
-def test_an_idle_gateway_sets_no_timer(bench: Bench) -> None:
+def test_idle_gateway_sets_no_timer(bench: Bench) -> None:
     bench.ask()
     assert not only(bench.log, api.SetTimer)
 
@@ -273,7 +273,7 @@
         api.PlanSettings(**values)  # type: ignore[arg-type]
 
 
-def test_settings_that_cannot_hold() -> None:
+def test_inconsistent_settings_are_rejected() -> None:
     with pytest.raises(ValueError, match="repeat_window"):
         api.ClassSettings("k", 1.0, 1.0, Repeat.KEYED)
     kind = api.ClassSettings("k", 1.0, 1.0, Repeat.SAFE)
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -21,7 +21,7 @@
     result = []
     for index in range(gateways):
         bench = Bench(seed=index, servers=0, counter=False, index=index, gateways=gateways)
-        bench.listed(*(entries if index % 2 else entries[::-1]))
+        bench.update_servers(*(entries if index % 2 else entries[::-1]))
         result.append([server.entry for server in bench.gateway.subset])
     return result
 
@@ -63,8 +63,8 @@
 @pytest.mark.parametrize(("index", "gateways"), [(0, 0), (99, 40), (-1, 3), (5, 1)])
 def test_invalid_gateway_indexes_and_counts_do_not_fail(index: int, gateways: int) -> None:
     bench = Bench(servers=0, counter=False, index=index, gateways=gateways)
-    bench.listed(*server_entries(60, zones=1))
+    bench.update_servers(*server_entries(60, zones=1))
     assert len(bench.gateway.subset) >= SUBSET_SIZE
     assert isinstance(bench.ask()[0], api.Send)
-    bench.listed()
+    bench.update_servers()
     assert isinstance(bench.ask()[0], api.Refuse)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -41,7 +41,7 @@
 
 
 class TestWatch(unittest.TestCase):
-    def test_forty_that_are_turned_away_together_do_not_come_back_together(self) -> None:
+    def test_rejected_fleet_spreads_its_attempts(self) -> None:
         """In step they kept discovery down for 20 s: it works on calls that nobody waits for any more."""
         drawn = pauses(40, 6, rejected=True)
         for nth in zip(*drawn, strict=True):
@@ -50,17 +50,17 @@
             self.assertLessEqual(within, 12)
         self.assertGreater(min(each[5] for each in drawn), 40 * RECONNECT_SLOT_S * 2)
 
-    def test_few_come_back_at_once_and_try_often(self) -> None:
+    def test_small_fleet_reconnects_quickly_and_often(self) -> None:
         for each in pauses(3, 12, rejected=False):
             self.assertLess(each[0], 0.25)
             self.assertLessEqual(max(each), 3.0)
 
-    def test_a_silent_discovery_is_watched_all_the_time_by_a_large_fleet_too(self) -> None:
+    def test_large_fleet_keeps_watching_a_silent_discovery(self) -> None:
         """What it tells at its return counts as told; a send 0.3 s later breaks the rule on drains."""
         for each in pauses(200, 6, rejected=False, lasting=SILENCE_TIMEOUT_S):
             self.assertLessEqual(max(each), 0.15)
 
-    def test_a_watch_that_works_again_starts_with_the_shortest_pause(self) -> None:
+    def test_working_watch_resets_the_backoff(self) -> None:
         clock = StillClock()
         context: Any = SimpleNamespace(clock=clock)
         watch = Watch(context, ("127.0.0.1", 1), 0, lambda servers: None, lambda: None, 40)
