--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A gateway of one's own, played by hand."""
+"""A test bench for the decision module, and common settings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from barleyhub.interface import Code
 
 if signal.getsignal(signal.SIGINT) is signal.SIG_IGN:
-    # A run that a shell put in the background ignores Ctrl-C, and so would each process that a test starts.
+    # A run in the background of a shell ignores SIGINT, and processes started by tests would inherit that.
     signal.signal(signal.SIGINT, signal.default_int_handler)
 
 SAFE = api.ClassSettings("read", aim=1.0, give_up=3.0, repeat=api.Repeat.SAFE)
@@ -44,7 +44,7 @@
 
 
 class Bench:
-    """Gives events to a gateway and keeps what it did."""
+    """Sends events to a gateway's decision module and records its actions."""
 
     def __init__(self, seed: int = 1, servers: int = 3, **changes: Any) -> None:
         self.now = 1000.0
@@ -78,7 +78,7 @@
         )
 
     def ask_with_total(self, total: float, plan: str = "plan", **more: Any) -> list[api.Action]:
-        """Ask, and answer each call that the request waits for with this faded total."""
+        """Send a request, and answer each counter call that it waits for with this decayed total."""
         actions = self.ask(plan=plan, **more)
         while self.gateway.counter_calls:
             account, tally = next(iter(self.gateway.counter_calls.values()))
@@ -94,7 +94,7 @@
         return self.send_event(api.Outcome(send.request, attempt, send.server, code, took, done))
 
     def answer(self, code: api.Code, total: float = 0.0, took: float = 0.003) -> list[api.Action]:
-        """Answer the counter call that is out longest."""
+        """Answer the oldest outstanding counter call."""
         self.now += took
         name = next(iter(self.gateway.counter_calls))
         return self.send_event(api.CountAnswer(name, code, took, total))
@@ -110,5 +110,5 @@
 
 @pytest.fixture
 def bench() -> Bench:
-    """Without a counter, so that a request is sent at once."""
+    """A bench without a counter, so that requests are sent at once."""
     return Bench(counter=False)
--- a/tests/operations/test_message_forms.py
+++ b/tests/operations/test_message_forms.py
@@ -1,4 +1,4 @@
-"""Every form that a request and an answer may have, and the largest both ways through a slow client."""
+"""Encodings of requests and responses, and the largest bodies in both directions with a slow client."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 )
 
 BODY_FORMS = {
-    "a size": "Content-Length:\t5 \\r\\n\\r\\nhello",
-    "chunks": "Transfer-Encoding: chunked\\r\\n\\r\\n2\\r\\nhe\\r\\n3\\r\\nllo\\r\\n0\\r\\n\\r\\n",
-    "a coding in capitals, zeros ahead": "TRANSFER-ENCODING: Chunked\\r\\n\\r\\n"
+    "content length": "Content-Length:\t5 \\r\\n\\r\\nhello",
+    "chunked": "Transfer-Encoding: chunked\\r\\n\\r\\n2\\r\\nhe\\r\\n3\\r\\nllo\\r\\n0\\r\\n\\r\\n",
+    "upper case and leading zeros": "TRANSFER-ENCODING: Chunked\\r\\n\\r\\n"
     "0005\\r\\nhello\\r\\n000\\r\\n\\r\\n",
-    "chunks with words and a trailer": "Transfer-Encoding: chunked\\r\\n\\r\\n"
+    "chunk extensions and trailer": "Transfer-Encoding: chunked\\r\\n\\r\\n"
     '5;a="b;c";d\\r\\nhello\\r\\n0;e\\r\\nReq-Id: other\\r\\nX-Tier: gold\\r\\n\\r\\n',
-    "words that are passed over": "Connection: keep-alive, X-Own\\r\\nX-Own: 1\\r\\nX-Empty:\\r\\n"
+    "ignored headers": "Connection: keep-alive, X-Own\\r\\nX-Own: 1\\r\\nX-Empty:\\r\\n"
     "Content-Length: 5\\r\\n\\r\\nhello",
 }
 
@@ -74,13 +74,13 @@
 
 
 RESPONSE_FORMS = {
-    "no reason": "HTTP/1.1 200 \\r\\ncontent-LENGTH:  2\\r\\n\\r\\nhi",
-    "news ahead": "HTTP/1.1 103 Early Hints\\r\\nLink: x\\r\\n\\r\\nHTTP/1.1 100 Continue\\r\\n\\r\\n"
+    "no reason phrase": "HTTP/1.1 200 \\r\\ncontent-LENGTH:  2\\r\\n\\r\\nhi",
+    "1xx first": "HTTP/1.1 103 Early Hints\\r\\nLink: x\\r\\n\\r\\nHTTP/1.1 100 Continue\\r\\n\\r\\n"
     "HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi",
-    "chunks with words and a trailer": "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n"
+    "chunk extensions and trailer": "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n"
     "1;a=b\\r\\nh\\r\\n01\\r\\ni\\r\\n0\\r\\nSrv-Load: TEXT queue=9\\r\\n\\r\\n",
-    "an old one": "HTTP/1.0 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi",
-    "up to the close": "HTTP/1.1 200 OK\\r\\nConnection: close\\r\\n\\r\\nhi",
+    "HTTP/1.0": "HTTP/1.0 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi",
+    "delimited by close": "HTTP/1.1 200 OK\\r\\nConnection: close\\r\\n\\r\\nhi",
 }
 
 
@@ -94,7 +94,7 @@
     raw = RESPONSE_FORMS[name].encode().decode("unicode_escape").encode()
     for offset in range(0, len(raw), part_size):
         target_sends(player, raw[offset : offset + part_size])
-    if name == "up to the close":
+    if name == "delimited by close":
         player.step("t1 eof")
     player.step("c1 < HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nhi")
     player.step("stats answered.read=1 forwards.ok=1")
@@ -118,7 +118,7 @@
     player.step(f"t1 > HTTP/1.1 200 OK\\r\\nContent-Length: {size}\\r\\n\\r\\n")
     given = taken = most = 0
     while given < size or client.written:
-        while given < size and not server.paused:  # it gives as fast as it is read
+        while given < size and not server.paused:
             target_sends(player, b"a" * PART_BYTES)
             given += PART_BYTES
             if len(client.written) > WRITE_BUFFER_HIGH_BYTES:
--- a/tests/operations/test_operator_api.py
+++ b/tests/operations/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' door: its calls, its figures, and servers out by hand."""
+"""The operator API: its calls, its metrics, and servers in maintenance."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class OperatorApiSetup:
-    """A gateway with a door whose calls are made directly."""
+    """A gateway whose operator API is called directly, without sockets."""
 
     def __init__(self, folder: Path, targets: int = 1) -> None:
         self.player = Player({"targets": targets})
@@ -77,7 +77,7 @@
     setup.node.server = None
     setup.node.stop()
     assert setup.call("GET /status") == 503
-    # One that leaves still takes an operator's word, as the ban is the gateway's and not its own.
+    # A draining process still accepts maintenance calls, which apply to all processes of the gateway.
     assert setup.call("PUT /maintenance/enter/s1") == 200
     assert setup.call("GET /status/metrics") == 200
 
@@ -96,7 +96,7 @@
     assert setup.call("PUT /maintenance/exit/s9") == 404
     setup.list_servers("s9:1:0")
     setup.list_servers("s1:1:0")
-    assert setup.call("PUT /maintenance/enter/s9") == 200  # it was, once
+    assert setup.call("PUT /maintenance/enter/s9") == 200  # it was listed before
 
 
 def test_servers_in_maintenance_get_no_requests_after_list_changes(setup: OperatorApiSetup) -> None:
@@ -185,7 +185,7 @@
 
 
 def with_operator_api(use: Callable[[int], Any]) -> Any:
-    """A real door of a gateway that has nothing else; ``use`` runs beside its loop."""
+    """Serve the operator API over TCP, and run ``use`` with its port in a thread."""
 
     async def main() -> Any:
         gateway = Player({})
--- a/tests/operations/test_process_replacement.py
+++ b/tests/operations/test_process_replacement.py
@@ -1,4 +1,4 @@
-"""Two real processes of one gateway at one address: nobody is turned back, the old one leaves in order."""
+"""Replacing a gateway process by another one at the same address must not lose requests or state."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class GatewayProcesses:
-    """A gateway's address, its folder, and what may be started there."""
+    """Starts processes of one gateway, with a common address and folder."""
 
     def __init__(self, folder: Path, targets: list[int]) -> None:
         self.folder, self.listen = folder, free_port()
@@ -146,7 +146,7 @@
             new, new_operator_port = await asyncio.to_thread(processes.start)
             old.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
-            # Asked while it leaves, the old one says that it is not ready, and hears operators all the same.
+            # While draining, the old process is not ready but still accepts maintenance calls.
             assert (await asyncio.to_thread(call, operator_port, "GET /status"))[0] == 503
             assert (await asyncio.to_thread(call, operator_port, "PUT /maintenance/enter/s2"))[0] == 200
             assert await asyncio.to_thread(old.wait, 5) == 0
@@ -230,13 +230,13 @@
         24.0,
         now,
     )
-    assert new.node.process_group.load_learned() is None  # not while it is alone
+    assert new.node.process_group.load_learned() is None  # nothing is written without another process
     old.node.process_group.count_others = lambda: 1  # type: ignore[method-assign]
     old.player.clock.advance(0.11)
     learned = new.node.process_group.load_learned()
     assert learned is not None and learned["limit"] == 2.5 and learned["ratios"] == {"read": 1.5}
 
-    # A server that has started again since is another one.
+    # The learned state of a server is not applied after the server has restarted.
     new.list_servers("s2:2:0", "s3:3:1700000000000", "s1:1:0")
     learned["servers"]["s3"][1] = 9.0
     successor_gateway = new.node.core.gateway
@@ -251,7 +251,7 @@
         "s1"
     ].health.current_error_rate(now) == pytest.approx(0.5, rel=0.01)
     assert successor_gateway.servers["s3"].health.slowdown == 1.0
-    # What a cold server is given is a part of what the warm ones were seen to do.
+    # The rate of a cold server derives from the restored rate of its pool.
     entry = successor_gateway.servers["s2"].entry
     assert (
         successor_gateway.unit_rate(entry)
@@ -277,14 +277,14 @@
 def test_two_processes_share_the_limits_of_one(tmp_path: Path) -> None:
     old = OperatorApiSetup(tmp_path)
     alone = old.node.context.sockets.max_used
-    new = OperatorApiSetup(tmp_path)  # in one process the locks don't tell the two apart
+    new = OperatorApiSetup(tmp_path)  # locks of one process do not exclude each other
     for world in (old, new):
         assert world.node.process_group is not None
         world.node.process_group.count_others = lambda: 1  # type: ignore[method-assign]
         world.player.clock.advance(0.2)
     reserve = old.node.context.sockets.RESERVED
     assert sum(world.node.context.sockets.max_used + reserve for world in (old, new)) <= alone + reserve
-    # They name the same counts, and what one may still spend of a ceiling at its start the other never holds.
+    # They use the same counters, and together they never spend more than one share of the ceiling.
     request = api.Request("r", "c", "read", "basic", units=1.0, left=3.0, spread=2)
     plan = api.PlanSettings("basic", rate=1.0, burst=2.0, ceiling_rate=4.0, ceiling_burst=40.0)
     first, second = (world.node.core.gateway.open_account(request, plan, 5.0) for world in (old, new))
@@ -295,7 +295,7 @@
 
 
 def test_two_processes_share_a_customer_quota() -> None:
-    """By the counter, whose numbers both name alike: a second process is not a second quota."""
+    """Both processes use the same counters, so a second process must not add a second quota."""
 
     def admitted(*processes: Bench) -> int:
         totals: dict[int, float] = {}
--- a/tests/operations/test_settings_reload.py
+++ b/tests/operations/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change at SIGHUP: whole or not at all, and open requests keep their class."""
+"""Settings change at SIGHUP completely or not at all, and requests in flight keep their class."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def changed_config(**allowed: Any) -> dict[str, Any]:
-    """The file with a second class; ``allowed`` changes what is allowed."""
+    """Return the configuration with a second class; ``allowed`` updates the section "Allowed"."""
     file = configuration({})
     first = file["settings"]["Categories"][0]
     file["settings"]["Categories"].append(dict(first, Name="write", Repeat="unsafe"))
@@ -67,7 +67,7 @@
     file = changed_config()
     del file["settings"]["Categories"][0]
     reload_with(player, json.dumps(file))
-    # It was safe to repeat when it came, so that another attempt follows an error.
+    # Its class was safe to repeat when the request arrived, so the error is retried.
     player.step("t1 > HTTP/1.1 500 X\\r\\nContent-Length: 0\\r\\n\\r\\n")
     player.step("dial t2 127.0.0.9:1")
     player.step("t2 < GET /read?key=1 *")
@@ -86,7 +86,7 @@
     player.step("dial t1 127.0.0.9:1")
     player.step("t1 < GET /read?key=1 *")
     player.step("t1 > HTTP/1.1 500 X\\r\\nContent-Length: 0\\r\\n\\r\\n")
-    player.step("c1 < HTTP/1.1 429 *")  # safe, and one attempt is all it has
+    player.step("c1 < HTTP/1.1 429 *")  # safe to repeat, but limited to one attempt
     player.clock.advance(0.01)
     send_request(player, "c2", "a2", "write")
     player.step("t1 < GET /write?key=1 *")
--- a/tests/operations/test_streaming.py
+++ b/tests/operations/test_streaming.py
@@ -1,4 +1,4 @@
-"""Answers and bodies above 64 KiB go through in pieces, and no more of them is held than a piece or two."""
+"""Bodies above 64 KiB are streamed in both directions, without buffering more than a part or two."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def start_large_response(length: str, headers: str = "") -> Player:
-    """A client c1 whose request is out at t1, which begins its answer."""
+    """Let client c1 send a request, and target t1 send the head of its response."""
     player = start_gateway()
     send_request(player, "c1", "a1", "read")
     player.step("dial t1 127.0.0.9:1")
@@ -26,7 +26,7 @@
 
 
 def advance(player: Player, seconds: float) -> None:
-    """Discovery says nothing in these tests, and is asked anew."""
+    """Advance the clock, and drop attempts to reconnect to discovery, which is silent in these tests."""
     player.clock.advance(seconds)
     player.report_closed()
     player.dialled = [(c, address) for c, address in player.dialled if address != ("127.0.0.2", 2)]
@@ -50,12 +50,12 @@
     for _ in range(511):
         target_sends(player, b"b" * PART_BYTES)
         passed += len(take_written(player))
-        advance(player, 0.02)  # far beyond the request's deadline in the end
+        advance(player, 0.02)  # in total far beyond the request's deadline
     target_sends(player, b"c" * (512 * PART_BYTES - passed))
     assert passed + len(take_written(player)) == 512 * PART_BYTES
     player.step("stats flows.served=1 answered.read=1 flows.passed=1 forwards.timeout=0 flows.overdue=0")
     assert player.node.listener.requests_in_flight == 0
-    # Both connections go on.
+    # Both connections are reused.
     advance(player, 0.01)
     player.step(
         "c1 > GET /read?key=1 HTTP/1.1\\r\\nReq-Id: a2\\r\\nReq-Kind: read\\r\\nX-Tier: basic\\r\\n"
@@ -70,7 +70,7 @@
     client, server = player.transports["c1"], player.transports["t1"]
     client.connection.pause_writing()
     assert server.paused
-    advance(player, 30.0)  # its silence is not the server's fault
+    advance(player, 30.0)  # no stall timeout for the target while the client blocks
     assert not server.ended and not client.ended
     client.connection.resume_writing()
     assert not server.paused
@@ -178,13 +178,13 @@
 
 TIER = "X-Tier: basic\\r\\n"
 REQUEST_FORMS = {
-    "blanks": "GET /read?key=1 HTTP/1.1\r\nreq-id:a1\r\nREQ-KIND:  read \t\r\nX-Tier: basic "
+    "whitespace": "GET /read?key=1 HTTP/1.1\r\nreq-id:a1\r\nREQ-KIND:  read \t\r\nX-Tier: basic "
     "\r\nReq-Deadline:\t3 ",
     "absolute": "GET http://gw.local:70/read?key=1 HTTP/1.1\r\nReq-Id: a1\r\nReq-Kind: read\r\nX-Tier: basic"
     "\r\nReq-Deadline: 3",
-    "offer": "GET /read?key=1 HTTP/1.1\r\nUpgrade: h2c\r\nConnection: Upgrade\r\nReq-Id: a1\r\nReq-Kind: read"
+    "h2c": "GET /read?key=1 HTTP/1.1\r\nUpgrade: h2c\r\nConnection: Upgrade\r\nReq-Id: a1\r\nReq-Kind: read"
     "\r\nX-Tier: basic\r\nReq-Deadline: 3",
-    "empty lines first": "\r\n\r\nGET /read?key=1 HTTP/1.1\r\nReq-Id: a1\r\nReq-Kind: read\r\nX-Tier: basic"
+    "leading empty lines": "\r\n\r\nGET /read?key=1 HTTP/1.1\r\nReq-Id: a1\r\nReq-Kind: read\r\nX-Tier: basic"
     "\r\nReq-Deadline: 3",
 }
 
@@ -246,9 +246,7 @@
     for number in range(30):
         client_sends(player, (b"10000\r\n%b\r\n" if chunked else b"%b") % (b"z" * PART_BYTES))
         if number == 2:
-            assert player.transports[
-                "c1"
-            ].paused  # nobody takes it yet, and no more than a piece or two is held
+            assert player.transports["c1"].paused  # until the target is connected
             player.step("dial t1 127.0.0.9:1")
             assert not player.transports["c1"].paused
         if number >= 2:
@@ -289,7 +287,7 @@
     assert not player.transports["c1"].ended
     player.transports["t1"].connection.resume_writing()
     assert not player.transports["c1"].paused
-    # A client that does not go on is given up, and no target waits for it.
+    # A client that stops sending runs into its read timeout, which cancels the attempt.
     advance(player, 6.0)
     player.step("c1 closed read_timeout")
     take_written(player, "t1")
@@ -307,7 +305,7 @@
     player.step("t1 closed asked_close")
     player.step("c1 < HTTP/1.1 429 *")
     assert not player.dialled
-    # The rest of the body is read and dropped, and the connection goes on.
+    # The rest of the body is discarded, and the connection is reused.
     client_sends(player, b"z" * (3 * PART_BYTES - 1))
     player.step("c1 > GET /-/healthy HTTP/1.1\\r\\n\\r\\n")
     player.step("c1 < HTTP/1.1 200 *")
--- a/tests/player.py
+++ b/tests/player.py
@@ -1,25 +1,25 @@
-"""Plays a recorded exchange of bytes against the program: no sockets, and a clock set by hand.
+"""Plays a recorded exchange of bytes against a program, without sockets and with a simulated clock.
 
-An exchange is a text file, one step a line; ``#`` begins a remark, ``NAME`` is a connection:
+An exchange is a text file with one step per line; ``#`` starts a comment, ``NAME`` is a connection:
 
     config KEY=VALUE ...     settings for this exchange, before all other steps
-    let WORD TEXT            $WORD stands for TEXT from here on
+    let WORD TEXT            replaces $WORD by TEXT in the following steps
     open NAME                a client connects
-    dial NAME ADDRESS        the program has begun to open a connection; it comes up
-    dial NAME ADDRESS held   the same, but it does not come up yet; ``up NAME`` may follow
-    NAME > TEXT              bytes come in
-    NAME unread              bytes have come that the loop hands on with the next such step
-    NAME < TEXT              these bytes, and no others, have been written; ``*`` is any text
-    NAME eof | NAME reset    the other side ends it; ``NAME refused``: it never comes up
-    NAME closed CODE         the program has ended it, for this reason
-    time SECONDS             the clock moves on, and what is due is called
+    dial NAME ADDRESS        the program has started to connect; the connection is established
+    dial NAME ADDRESS held   the same, but it is not established before the step ``up NAME``
+    NAME > TEXT              these bytes arrive
+    NAME unread              input has arrived that the event loop has not read yet
+    NAME < TEXT              exactly these bytes have been written; ``*`` matches any text
+    NAME eof | NAME reset    the peer closes or resets it; ``NAME refused``: connecting fails
+    NAME closed CODE         the program has closed it with this code
+    time SECONDS             the clock advances, and due timers fire
     count NAME AMOUNT        the core calls the counter
-    hup KEY=ADDRESS ...      SIGHUP, with these in the file now; ``hup bad``: it can't be used
+    hup KEY=ADDRESS ...      SIGHUP after these changes of the file; ``hup bad``: an invalid file
     term                     SIGTERM
-    done                     the program has ended
-    stats KEY=VALUE ...      these counters stand so
+    done                     the program has terminated
+    stats KEY=VALUE ...      these counters have these values
 
-At the end nothing may have been written, dialled or closed that no step has named.
+At the end there must not be any output, dial or close that no step expects.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class FakeLoop:
-    """Only a time and the timers asked for."""
+    """An event loop with a settable time and a single timer."""
 
     def __init__(self) -> None:
         self.timers: list[tuple[float, Callable[[], None]]] = []
@@ -76,15 +76,15 @@
 
 
 class FakeTransport:
-    """Keeps what was written; ``ended`` once the program has closed it."""
+    """Records written bytes; ``ended`` once the program has closed it."""
 
     def __init__(self, connection: http.Connection) -> None:
         self.connection, self.written, self.ended, self.unsent = connection, b"", False, 0
         self.paused = False
-        self.socket_pair: tuple[socket.socket, ...] = ()  # a socket with unread bytes, its other end
+        self.socket_pair: tuple[socket.socket, ...] = ()  # one with unread input, and its peer
 
     def write(self, data: bytes) -> None:
-        assert not self.ended, "written after the close"
+        assert not self.ended, "write after close"
         self.written += data
 
     def writelines(self, parts: Iterable[bytes]) -> None:
@@ -127,21 +127,21 @@
 
 
 class BasePlayer:
-    """What is the same for every program: connections, bytes and the clock."""
+    """Steps that all programs have in common: connections, bytes and the clock."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
         self.variables: dict[str, str] = {}
         self.dialled: list[tuple[http.Connection, Address]] = []
         self.transports: dict[str, FakeTransport] = {}
-        self.expected_ends: set[str] = set()  # connections whose end a step has named
+        self.expected_ends: set[str] = set()  # connections whose end a step expects
 
     def ended(self) -> bool:
         """Whether the program has ended."""
         raise NotImplementedError
 
     def dial(self, connection: http.Connection, address: Address) -> Callable[[], object]:
-        """The program's dialler."""
+        """Implements ``Dialer.dial``."""
         self.dialled.append((connection, address))
         return lambda: connection.dial_failed("unreachable")
 
@@ -151,7 +151,7 @@
         self.report_closed()
 
     def report_closed(self) -> None:
-        """A transport tells of its end only after the call that ended it."""
+        """Report closed connections, which transports do only after the call that closed them."""
         for transport in list(self.transports.values()):
             if transport.ended and not transport.connection.lost:
                 transport.connection.connection_lost(None)
@@ -184,14 +184,14 @@
         self.report_closed()
 
     def client(self) -> http.Connection:
-        """The program's side of a new client's connection."""
+        """Return a new client connection of the program."""
         raise NotImplementedError
 
     def stats(self) -> Counter[str]:
         raise NotImplementedError
 
     def program_step(self, head: str, rest: str) -> bool:
-        """Whether this was a step of one program's own."""
+        """Run a step that is specific to a program; False if there is no such step."""
         raise NotImplementedError
 
     def expect_dial(self, name: str, address: str, held: str = "") -> None:
@@ -214,7 +214,7 @@
             case "<":
                 pattern = b".*".join(re.escape(part) for part in raw.split(b"*"))
                 assert re.fullmatch(pattern, transport.written, re.S), (
-                    f"{name} was written {transport.written!r}"
+                    f"{name}: unexpected output {transport.written!r}"
                 )
                 transport.written = b""
             case "eof" | "reset":
@@ -233,9 +233,9 @@
                 raise AssertionError(f"no such step: {verb}")
 
     def check_end(self) -> None:
-        assert not self.dialled, f"dialled beside the steps: {self.dialled[0][1]}"
+        assert not self.dialled, f"unexpected dial: {self.dialled[0][1]}"
         for name, transport in self.transports.items():
-            assert not transport.written, f"{name} was written {transport.written!r}"
+            assert not transport.written, f"{name}: unexpected output {transport.written!r}"
             assert name in self.expected_ends or not transport.connection.lost, (
                 f"{name}: {transport.connection.close_code}"
             )
@@ -287,7 +287,7 @@
 
 
 CLASS_VALUES = {"AimNs": 10**9, "GiveUpNs": 3 * 10**9, "Worth": 3.0, "LateWorth": 0.2}
-# Beside the class that is safe to repeat: one whose repeats a rack drops for 4 s, one that never runs twice.
+# In addition to the class that is safe to repeat: a keyed one with a window of 4 s, and an unsafe one.
 KEYED_AND_ONCE: list[dict[str, Any]] = [
     CLASS_VALUES | {"Name": "keyed", "Repeat": "keyed", "Group": "cell", "RepeatWindowNs": 4 * 10**9},
     CLASS_VALUES | {"Name": "once", "Repeat": "unsafe"},
@@ -295,9 +295,9 @@
 
 
 def configuration(changes: dict[str, Any]) -> dict[str, Any]:
-    """One target, a plan too wide to refuse, and no counter; ``changes`` overrule this.
+    """Return a configuration with one target, a plan that refuses nothing, and no counter.
 
-    With ``racks`` there are so many targets, each in a rack of its own, and classes of all three kinds.
+    ``changes`` override this; with ``racks`` there is one target per rack, and classes of all three kinds.
     """
     options = json.loads(json.dumps(OPTIONS))
     options["Allowed"] |= {"RetryAfter": True, "MaxRetryAfterNs": 2 * 10**9}
--- a/tests/rules/configurations.feature
+++ b/tests/rules/configurations.feature
@@ -1,13 +1,13 @@
-Feature: Configurations go forward only
+Feature: Configuration versions only increase
 
-  Scenario: Another source is behind
+  Scenario: A control-plane node is behind
     Given a gateway that knows server s1
-    When the operator takes key k1 away
-    And a control machine that is behind tells of the configuration before
+    When the operator revokes key k1
+    And a control-plane node that is behind sends the previous configuration
     Then a request with key k1 is answered 401
 
   Scenario: The gateway has missed a change
     Given a gateway that knows server s1
-    When a change comes whose number doesn't follow
-    Then the gateway asks for the whole
-    And nothing is proven by an index that it doesn't know
+    When a change arrives out of sequence
+    Then the gateway requests a full snapshot
+    And a proof for an index that it has not received does not extend its lease
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules that operators care for, in their words; see the features beside this file."""
+"""Steps of the feature files in this folder, which describe the rules of the service for operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Scene:
-    """One gateway; each request has a client of its own."""
+    """A gateway, and a new client for each request."""
 
     def __init__(self) -> None:
         self.player, self.number = Player(), 0
@@ -26,7 +26,7 @@
             self.player.step(line)
 
     def ask(self, route: str, key: str = "k1") -> None:
-        """Its bytes; whatever the gateway dials comes up at once, unless ``held`` was said."""
+        """Let a new client send a request."""
         self.number += 1
         head = rf"{'POST' if route == 'book' else 'GET'} /{route}/x HTTP/1.1\r\nHost: shop\r\n"
         head += rf"X-Attempt-Id: r{self.number}\r\nAuthorization: Token {key}\r\nContent-Length: 0\r\n\r\n"
@@ -38,7 +38,7 @@
             self.play(f"dial t{self.number} {host}:{port}{held}")
 
     def reached(self) -> list[str]:
-        """Servers that hold a request that nobody has answered."""
+        """Return the servers with an unanswered request."""
         transports = [
             transport
             for name, transport in self.player.transports.items()
@@ -63,19 +63,19 @@
     scene.play(f"server {name}")
 
 
-@given("it has just proven that its configuration is the newest")
+@given("it has just confirmed that its configuration is the latest")
 def proven(scene: Scene) -> None:
     scene.play("proof 0")
 
 
-@when(parsers.parse("the operator takes key {key} away"))
+@when(parsers.parse("the operator revokes key {key}"))
 def revoke(scene: Scene, key: str) -> None:
     tenants = json.loads(json.dumps(CONFIGURATION["tenants"]))
     tenants[0]["apiKeys"].remove(key)
     scene.play("orders " + json.dumps({"tenants": tenants}), "proof 0")
 
 
-@when(parsers.parse("{seconds:g} seconds pass without a word"))
+@when(parsers.parse("{seconds:g} seconds pass without any message"))
 def pass_by(scene: Scene, seconds: float) -> None:
     scene.play(f"time {seconds}")
 
@@ -87,7 +87,7 @@
     scene.play(f"time {seconds}", f"up t{scene.number}")
 
 
-@when(parsers.parse("another gateway passes on a proof that is {age:g} seconds old"))
+@when(parsers.parse("another gateway relays a proof that is {age:g} seconds old"))
 def passed_on(scene: Scene, age: float) -> None:
     scene.play("time 1")
     node = scene.player.node
@@ -99,7 +99,7 @@
 
 @when(
     parsers.parse(
-        "a repeatable request with key {key} is sent, and its server breaks off {seconds:g} seconds later"
+        "a repeatable request with key {key} is sent, and its server resets it {seconds:g} seconds later"
     )
 )
 def breaks_later(scene: Scene, key: str, seconds: float) -> None:
@@ -117,7 +117,7 @@
     assert scene.reached() == [name]
 
 
-@when(parsers.parse("server {name} is told to be draining"))
+@when(parsers.parse("server {name} is reported as draining"))
 def drains(scene: Scene, name: str) -> None:
     scene.play(f"server {name} state=draining")
 
@@ -127,7 +127,7 @@
     scene.play("term")
 
 
-@when("a control machine that is behind tells of the configuration before")
+@when("a control-plane node that is behind sends the previous configuration")
 def behind(scene: Scene) -> None:
     player = scene.player
     old = {"version": f"{player.index - 1:08x}", **CONFIGURATION}
@@ -142,7 +142,7 @@
     player.send_change(told)
 
 
-@when("a change comes whose number doesn't follow")
+@when("a change arrives out of sequence")
 def gap(scene: Scene) -> None:
     scene.player.number += 1
     cast(Any, scene.player.connection.transport).written = b""
@@ -174,7 +174,7 @@
     scene.answered(503)
 
 
-@then("the answer of s1 reaches the client whole")
+@then("the complete response of s1 reaches the client")
 def whole(scene: Scene) -> None:
     answer = rf"HTTP/1.1 200 OK\r\nX-Attempt-Id: r{scene.number}\r\nX-Server-Seal: s\r\n"
     answer += r"Content-Length: 4\r\n\r\ndone"
@@ -187,18 +187,18 @@
     scene.play("ready no")
 
 
-@then(parsers.parse("the gateway ends before its grace of {seconds:g} seconds is over"))
+@then(parsers.parse("the gateway terminates within its grace period of {seconds:g} seconds"))
 def ends(scene: Scene, seconds: float) -> None:
     scene.play(f"time {scene.player.node.stopping_at + seconds - 0.1 - scene.player.clock.now()}", "done")
 
 
-@then("the gateway asks for the whole")
+@then("the gateway requests a full snapshot")
 def asks(scene: Scene) -> None:
     said = FrameDecoder().feed(cast(FakeTransport, scene.player.connection.transport).written)
     assert {"k": "again", "version": scene.player.node.published_state.orders.version} in said
 
 
-@then("nothing is proven by an index that it doesn't know")
+@then("a proof for an index that it has not received does not extend its lease")
 def unproven(scene: Scene) -> None:
     before = scene.player.node.lease.until
     scene.play("time 1", "proof 0")
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The gateway's own view, over its Unix socket, with a real loop and no gateway sockets beside it."""
+"""The view of the gateway's state, and its Unix socket on a real event loop."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 def test_settings_digest_excludes_the_gateway_index() -> None:
-    # Gateways of one fleet differ in it rightfully, and would all seem to disagree.
+    # The index differs between the gateways of a fleet, whose digests are compared.
     first, second = Player({}), Player({})
     settings = dict(configuration({})["settings"], Index=1)
     other = parse_config(configuration({}) | {"settings": settings}, {})
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line and the configuration: what is wrong is said in one plain line, with exit code 2."""
+"""Command line and configuration: errors are reported in one line, with exit code 2."""
 
 from __future__ import annotations
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The timers: what the loop is asked to wake for."""
+"""Timers, and which of them wake the event loop."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         self.assertEqual(self.called, ["a", "b"])
 
     def test_cancelled_timer_does_not_wake_the_loop(self) -> None:
-        """Nearly every timer is a deadline that is met: waking for each would cost more than they save."""
+        """Most timers are cancelled, so waking up for each of them would be expensive."""
         timer = self.clock.schedule(self.clock.now() + 1.0, lambda now: self.called.append("never"))
         self.set(2.0, "then")
         timer.cancel()
@@ -31,13 +31,13 @@
         self.assertEqual((self.called, self.clock.loop.timers), (["then"], []))
 
     def test_early_wakeup_does_not_spin(self) -> None:
-        """The loop counts in ms and may call early: what is due within one is called, not waited for."""
+        """The event loop may wake up to 1 ms early; timers due within that time must fire."""
         self.set(0.0008, "soon")
         self.clock.run_due()
         self.assertEqual(self.called, ["soon"])
 
     def test_rescheduling_for_the_same_time_waits_for_the_next_iteration(self) -> None:
-        """Gateways hung here for good: a stopped answer's timer came a little early, and asked again."""
+        """A timer that fires early and reschedules itself for the same time must not loop forever."""
         due = self.clock.now() + 0.0008
 
         def early(now: float) -> None:
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""Each way in which the counter can fail."""
+"""Failures of the shared counter."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def test_sampled_calls_account_for_unsampled_requests() -> None:
-    """Over many requests, what is told is what was sent, also when only some may ask."""
+    """On average the reported amounts match the requests, also when only some requests are sampled."""
     told = asked = 0.0
     for seed in range(400):
         bench = Bench(seed=seed)
@@ -124,8 +124,7 @@
 
 
 def test_request_without_server_capacity_does_not_call_the_counter() -> None:
-    """In overload half of all calls were made for requests that were refused all the same, and a
-    further call each took their units back: that crowded the counter of a large fleet."""
+    """In overload, calls for requests that are refused anyway would overload the counter."""
     bench = Bench()
     bench.gateway.in_flight, bench.gateway.mean_in_flight = 1000, 1000.0
     actions = bench.ask(plan="plan")
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange is played against the program; each says what it guards against."""
+"""Plays every recorded exchange against a gateway; each file states which failure it guards against."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Exchanges(unittest.TestCase):
-    """One test an exchange, added below."""
+    """One test per exchange, added below."""
 
     def test_each_exchange_states_its_purpose(self) -> None:
         self.assertGreater(len(list(FOLDER.glob("*.txt"))), 10)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Clients that come faster than transports tell of their end."""
+"""Clients that connect before the transports of closed connections have reported their end."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 class ClientLimitTest(unittest.TestCase):
     def test_each_excess_client_closes_a_different_connection(self) -> None:
-        """One closed client chosen twice would leave the process over its limit on sockets."""
+        """Choosing the same client twice would leave the process above its socket limit."""
         player = Player({"sockets": 40})
         for number in range(12):
             transport = player.transports[str(number)] = FakeTransport(ClientConnection(player.node.listener))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules in awkward orders of events, and the guards around them."""
+"""The rules of the decision module for unusual orders of events, and its protection against overload."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
 
 
 def test_ceiling_holds_without_a_counter_and_after_restarts() -> None:
-    """Three gateways without totals, each restarted once: what all send keeps the ceiling."""
+    """Three gateways without counter totals, each restarted once, together stay below the ceiling."""
     passed = []
     for seed in range(40):
         passed.append(0)
@@ -142,7 +142,7 @@
 
 
 def test_in_flight_limit_recovers_after_overload(bench: Bench) -> None:
-    """Incidents ia10606, ic35199: a jam must not shut the gateway for good."""
+    """Overload must not stop a gateway permanently (incidents ia10606, ic35199)."""
     sends = [s for _ in range(60) for s in only(bench.ask(), api.Send)]
     assert len(sends) < 50
     for send in sends:
@@ -152,11 +152,11 @@
 
 @pytest.mark.parametrize("late_worth", [0.0, 0.2])
 def test_attempt_timeout_depends_on_the_worth_of_late_answers(late_worth: float) -> None:
-    """Servers go on unseen with what was given up, and what is out no longer tells what they hold."""
+    """Servers keep working on abandoned attempts, which the in-flight count no longer includes."""
     kind = replace(SAFE, late_worth=late_worth)
     bench = Bench(counter=False, servers=2, classes=(kind,))
     sends = [send for _ in range(20) for send in only(bench.ask(), api.Send)]
-    assert len(sends) > 4  # under pressure, and before
+    assert len(sends) > 4  # with and without load on the servers
     limit = None if late_worth else pytest.approx(kind.aim - bench.gateway.margin)
     assert [send.timeout for send in sends] == [limit] * len(sends)
 
@@ -171,7 +171,7 @@
 
 
 def test_in_flight_limit_follows_warm_capacity() -> None:
-    """Six in ten servers leave and come back cold: what all could bear would jam those that are left."""
+    """When servers are replaced by cold ones, the former limit would overload the remaining ones."""
     bench = Bench(servers=12, counter=False)
     before = bench.gateway.in_flight_bound(bench.now)
     cold = [entry(f"n{i}", launched=bench.now) for i in range(6)]
@@ -181,7 +181,7 @@
 
 
 def test_surge_is_bounded_before_the_mean_reflects_it() -> None:
-    """A fleet that lets in twice its limit for a second has jammed its servers for five."""
+    """A short surge above the limit overloads the servers for a multiple of its duration."""
     bench = Bench(servers=12, gateways=3, counter=False)
     most = bench.gateway.in_flight_bound(bench.now)
     peak = 0
@@ -193,7 +193,7 @@
 
 
 def test_fractional_limit_does_not_refuse_everything() -> None:
-    """At full size a gateway's part of the limit is under one attempt: a chance, not a bound."""
+    """A limit below one attempt must act as a probability, not as a bound."""
     second = 0
     for seed in range(200):
         bench = Bench(seed=seed, servers=60, gateways=300, counter=False)
@@ -203,13 +203,13 @@
 
 
 def test_limit_applies_to_the_mean_number_of_attempts() -> None:
-    """At full size one attempt out is no overload; one out all the time may be."""
+    """With a fractional limit a single attempt is not an overload, but a permanent one may be."""
     after = {}
     for wait in (0.0, 20.0):
         after[wait] = 0
         for seed in range(200):
             bench = Bench(seed=seed, servers=60, gateways=300, counter=False)
-            bench.gateway.in_flight_limit = 2.5  # half an attempt here
+            bench.gateway.in_flight_limit = 2.5  # half an attempt for this gateway
             bench.gateway.change_in_flight(1, bench.now)
             bench.now += wait
             bench.gateway.change_in_flight(0, bench.now)
@@ -226,7 +226,7 @@
 
 
 def test_cold_servers_get_a_reduced_share_from_a_large_fleet() -> None:
-    """Hundreds of gateways that each send one: the chance, not a count, bounds the sum."""
+    """Limits per gateway would not bound the sum over hundreds of gateways with one request each."""
     sent = 0
     for seed in range(400):
         bench = Bench(seed=seed, servers=0, gateways=400, counter=False)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""When the watches of a whole fleet break at once: how their next tries are spread."""
+"""How reconnection attempts are spread when the watches of a whole fleet break at once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StillClock:
-    """Time stands; what is scheduled is kept."""
+    """A clock that stands still and records the scheduled times."""
 
     def __init__(self) -> None:
         self.due: list[float] = []
@@ -27,7 +27,7 @@
 
 
 def pauses(gateways: int, tries: int, rejected: bool, lasting: float = 0.0) -> list[list[float]]:
-    """For each gateway, the pauses after so many tries in a row that have failed."""
+    """Return for each gateway the delays after this many failed attempts in a row."""
     result = []
     for seed in range(gateways):
         clock = StillClock()
@@ -42,7 +42,7 @@
 
 class TestWatch(unittest.TestCase):
     def test_rejected_fleet_spreads_its_attempts(self) -> None:
-        """In step they kept discovery down for 20 s: it works on calls that nobody waits for any more."""
+        """Synchronized attempts would keep discovery overloaded."""
         drawn = pauses(40, 6, rejected=True)
         for nth in zip(*drawn, strict=True):
             times = sorted(nth)
@@ -56,7 +56,7 @@
             self.assertLessEqual(max(each), 3.0)
 
     def test_large_fleet_keeps_watching_a_silent_discovery(self) -> None:
-        """What it tells at its return counts as told; a send 0.3 s later breaks the rule on drains."""
+        """A change that discovery sends to an open watch counts as announced, so gaps must be short."""
         for each in pauses(200, 6, rejected=False, lasting=SILENCE_TIMEOUT_S):
             self.assertLessEqual(max(each), 0.15)
 
