--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -26,22 +26,22 @@
 def test_view_contains_settings_targets_and_load() -> None:
     player = Player({})
     player.step("dial d 127.0.0.2:2")
-    told = view_of(player)
-    assert told["settings"]["plans"]["basic"]["rate"] == 100.0
-    assert told["discovery"] == {
+    view = view_of(player)
+    assert view["settings"]["plans"]["basic"]["rate"] == 100.0
+    assert view["discovery"] == {
         "address": "127.0.0.2:2", "generation": 41, "told_ago": None, "connected": True
     }  # fmt: skip
-    assert told["targets"]["s1"]["state"] == "active"
-    assert told["file"]["taken_up"] and told["file"]["digest"] == told["settings"]["digest"]
-    assert json.loads(json.dumps(told)) == told
+    assert view["targets"]["s1"]["state"] == "active"
+    assert view["file"]["taken_up"] and view["file"]["digest"] == view["settings"]["digest"]
+    assert json.loads(json.dumps(view)) == view
 
 
 def test_view_shows_a_file_that_was_not_reloaded() -> None:
     player = Player({})
     player.step("dial d 127.0.0.2:2")
     changed = configuration({"burst": 50.0})
-    told = view_of(player, settings=changed["settings"])
-    assert not told["file"]["taken_up"] and told["file"]["digest"] != told["settings"]["digest"]
+    view = view_of(player, settings=changed["settings"])
+    assert not view["file"]["taken_up"] and view["file"]["digest"] != view["settings"]["digest"]
     assert not view_of(player, discovery="127.0.0.8:8")["file"]["taken_up"]
 
 
@@ -58,8 +58,8 @@
     def broken() -> Any:
         raise ConfigError("f is not JSON")
 
-    told = gateway_view(player.node, broken)["file"]
-    assert told == {"error": "f is not JSON", "taken_up": False}
+    view = gateway_view(player.node, broken)["file"]
+    assert view == {"error": "f is not JSON", "taken_up": False}
 
 
 def test_view_shows_drain_progress() -> None:
@@ -81,8 +81,8 @@
     assert digest({"b": 1, "a": 2}) == digest({"a": 2, "b": 1})
 
 
-def with_socket(path: Path, talk: Callable[[str], bytes], calls: list[int] | None = None) -> bytes:
-    """Serve the view at this path while ``talk`` runs in a thread."""
+def with_socket(path: Path, client: Callable[[str], bytes], calls: list[int] | None = None) -> bytes:
+    """Serve the view at this path while ``client`` runs in a thread."""
     calls = calls if calls is not None else []
 
     def view() -> dict[str, str]:
@@ -91,41 +91,41 @@
 
     async def run() -> bytes:
         loop = asyncio.get_running_loop()
-        served = admin.AdminServer(loop, str(path), view)
-        await served.start()
+        admin_server = admin.AdminServer(loop, str(path), view)
+        await admin_server.start()
         try:
-            return await asyncio.wait_for(loop.run_in_executor(None, talk, str(path)), 10)
+            return await asyncio.wait_for(loop.run_in_executor(None, client, str(path)), 10)
         finally:
-            served.stop()
+            admin_server.stop()
 
     return asyncio.run(run())
 
 
-def ask(*parts: bytes, until: bytes = b"}") -> Callable[[str], bytes]:
-    def talk(path: str) -> bytes:
+def exchange(*parts: bytes, until: bytes = b"}") -> Callable[[str], bytes]:
+    def client(path: str) -> bytes:
         with socket.socket(socket.AF_UNIX) as sock:
             sock.settimeout(5)
             sock.connect(path)
             for part in parts:
                 sock.sendall(part)
-            said = b""
-            while not said.endswith(until) and (data := sock.recv(65536)):
-                said += data
-            return said
+            response = b""
+            while not response.endswith(until) and (data := sock.recv(65536)):
+                response += data
+            return response
 
-    return talk
+    return client
 
 
 GET = b"GET /v1/view HTTP/1.1\r\nHost: admin\r\n\r\n"
 
 
 def test_request_in_two_segments_is_answered(tmp_path: Path) -> None:
-    said = with_socket(tmp_path / "s", ask(GET[:9], GET[9:]))
-    assert said.startswith(b"HTTP/1.1 200 OK") and said.endswith(b'{"name":"n0"}')
+    response = with_socket(tmp_path / "s", exchange(GET[:9], GET[9:]))
+    assert response.startswith(b"HTTP/1.1 200 OK") and response.endswith(b'{"name":"n0"}')
 
 
 @pytest.mark.parametrize(
-    ("asked", "status"),
+    ("payload", "status"),
     [
         (b"GET /v2 HTTP/1.1\r\nHost: a\r\n\r\n", b"404"),
         (b"POST /v1/view HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", b"405"),
@@ -133,20 +133,20 @@
         (b"GET /" + b"x" * 5000, b"400"),
     ],
 )
-def test_other_requests_are_rejected(tmp_path: Path, asked: bytes, status: bytes) -> None:
+def test_other_requests_are_rejected(tmp_path: Path, payload: bytes, status: bytes) -> None:
     calls: list[int] = []
-    assert with_socket(tmp_path / "s", ask(asked), calls).split()[1] == status
+    assert with_socket(tmp_path / "s", exchange(payload), calls).split()[1] == status
     assert not calls
 
 
 def test_socket_is_private_and_removed_on_stop(tmp_path: Path) -> None:
     modes: list[int] = []
 
-    def look(path: str) -> bytes:
+    def check_mode(path: str) -> bytes:
         modes.append(stat.S_IMODE(os.stat(path).st_mode))
-        return ask(GET)(path)
+        return exchange(GET)(path)
 
-    with_socket(tmp_path / "s", look)
+    with_socket(tmp_path / "s", check_mode)
     assert modes == [0o600] and not (tmp_path / "s").exists()
 
 
@@ -166,23 +166,23 @@
 
 
 def test_oldest_connection_is_closed_above_the_limit(tmp_path: Path) -> None:
-    def crowd(path: str) -> bytes:
-        held = [socket.socket(socket.AF_UNIX) for _ in range(admin.AdminServer.max_connections)]
-        for sock in held:
+    def open_many(path: str) -> bytes:
+        open_sockets = [socket.socket(socket.AF_UNIX) for _ in range(admin.AdminServer.max_connections)]
+        for sock in open_sockets:
             sock.connect(path)
             sock.sendall(GET)
             sock.recv(4096)
-        with socket.socket(socket.AF_UNIX) as late:
-            late.settimeout(5)
-            late.connect(path)
-            late.sendall(GET)
-            assert late.recv(4096).startswith(b"HTTP/1.1 200")
+        with socket.socket(socket.AF_UNIX) as new_socket:
+            new_socket.settimeout(5)
+            new_socket.connect(path)
+            new_socket.sendall(GET)
+            assert new_socket.recv(4096).startswith(b"HTTP/1.1 200")
         try:
-            said = held[0].recv(1)
+            response = open_sockets[0].recv(1)
         except ConnectionResetError:
-            said = b""
-        for sock in held:
+            response = b""
+        for sock in open_sockets:
             sock.close()
-        return said
+        return response
 
-    assert with_socket(tmp_path / "s", crowd) == b""
+    assert with_socket(tmp_path / "s", open_many) == b""
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -48,21 +48,21 @@
         self.assertIn("127.0.0.1:7070", out)
 
     def test_configuration_errors_are_one_line(self) -> None:
-        whole = configuration({})
+        valid = configuration({})
         cases: list[tuple[str, Any]] = [
             ("not JSON", "{"),
-            ("'settings'", {k: v for k, v in whole.items() if k != "settings"}),
-            ("not an address", whole | {"listen": "nowhere"}),
-            ("'resting'", whole | {"known": {"generation": 1, "instances": [
+            ("'settings'", {k: v for k, v in valid.items() if k != "settings"}),
+            ("not an address", valid | {"listen": "nowhere"}),
+            ("'resting'", valid | {"known": {"generation": 1, "instances": [
                 {"instanceId": "s", "hostPort": "127.0.0.1:1", "lifecycle": "resting"}]}}),
-            ("stands twice", whole | {"settings": whole["settings"] | {
-                "Tariffs": whole["settings"]["Tariffs"] * 2}}),
+            ("stands twice", valid | {"settings": valid["settings"] | {
+                "Tariffs": valid["settings"]["Tariffs"] * 2}}),
             ("", []),
         ]  # fmt: skip
-        for said, data in cases:
+        for expected, data in cases:
             code, out, err = self.with_file(data if isinstance(data, str) else json.dumps(data))
             self.assertEqual((code, out, err.count("\n")), (2, "", 1), err)
-            self.assertIn(said, err)
+            self.assertIn(expected, err)
 
     def test_missing_file(self) -> None:
         for env in ({}, {"GW_CONFIG": "/no/such/file"}):
@@ -71,5 +71,5 @@
 
     def test_environment_takes_precedence(self) -> None:
         env = {"GW_NAME": "n9", "GW_LISTEN": "127.0.0.7:7"}
-        told = config.parse_config(configuration({}), env)
-        self.assertEqual((told.name, told.listen), ("n9", ("127.0.0.7", 7)))
+        parsed = config.parse_config(configuration({}), env)
+        self.assertEqual((parsed.name, parsed.listen), ("n9", ("127.0.0.7", 7)))
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -40,13 +40,13 @@
         """A timer that fires early and reschedules itself for the same time must not loop forever."""
         due = self.clock.now() + 0.0008
 
-        def early(now: float) -> None:
+        def reschedule(now: float) -> None:
             self.called.append("early")
             self.assertLess(len(self.called), 5, "called for ever")
             if now < due:
-                self.clock.schedule(due, early)
+                self.clock.schedule(due, reschedule)
 
-        self.clock.schedule(due, early)
+        self.clock.schedule(due, reschedule)
         self.clock.run_due()
         self.assertEqual(self.called, ["early"])
         self.clock.advance(0.001)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -59,15 +59,15 @@
 
 def test_sampled_calls_account_for_unsampled_requests() -> None:
     """On average the reported amounts match the requests, also when only some requests are sampled."""
-    told = asked = 0.0
+    reported = sampled = 0.0
     for seed in range(400):
         bench = Bench(seed=seed)
         bench.gateway.sampling_rate = 0.4
         bench.ask(plan="wide", spread=300)
         job = next(iter(bench.gateway.jobs.values()))
-        told, asked = told + job.counted_units, asked + (job.counted_units > 0)
-    assert 110 < asked < 210
-    assert abs(told - 400) < 100
+        reported, sampled = reported + job.counted_units, sampled + (job.counted_units > 0)
+    assert 110 < sampled < 210
+    assert abs(reported - 400) < 100
 
 
 def test_requests_without_totals_use_the_acceptance_rate_of_their_plan() -> None:
@@ -82,8 +82,8 @@
 def test_refusals_are_reported_in_batches() -> None:
     bench = Bench()
     calls = [only(bench.ask_with_total(50.0), api.AddCount) for _ in range(12)]
-    turned = bench.gateway.accounts["c"].refused
-    assert turned.read_at > 0 and sum(map(len, calls)) < 36
+    refused_tally = bench.gateway.accounts["c"].refused
+    assert refused_tally.read_at > 0 and sum(map(len, calls)) < 36
 
 
 def test_request_close_to_its_deadline_does_not_wait_for_a_total() -> None:
@@ -109,7 +109,7 @@
         "for i in range(40): b.ask_with_total(3.0, customer=f'c{i % 7}')\n"
         "print(b.log)"
     )
-    outs = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
             env={**os.environ, "PYTHONHASHSEED": seed},
@@ -119,8 +119,8 @@
         ).stdout
         for seed in ("1", "2", "3")
     }
-    assert len(outs) == 1
-    assert "AddCount" in outs.pop()
+    assert len(outputs) == 1
+    assert "AddCount" in outputs.pop()
 
 
 def test_request_without_server_capacity_does_not_call_the_counter() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,23 +13,23 @@
 from barleyhub.interface import Code, Repeat
 from tests.conftest import SAFE, Bench, entry, only
 
-FINAL = (api.Refuse, api.Fail)
+FINAL_ACTIONS = (api.Refuse, api.Fail)
 
 
-def finals(bench: Bench, request: str) -> int:
-    return sum(isinstance(a, FINAL) and a.request == request for a in bench.log)
+def count_final_answers(bench: Bench, request: str) -> int:
+    return sum(isinstance(a, FINAL_ACTIONS) and a.request == request for a in bench.log)
 
 
 def test_request_without_servers_is_refused_at_once() -> None:
     bench = Bench(servers=0, counter=False)
     assert only(bench.ask(left=1.0), api.Refuse)
-    assert finals(bench, "r1") == 1
+    assert count_final_answers(bench, "r1") == 1
 
 
 def test_timeout_at_the_deadline_is_answered(bench: Bench) -> None:
     send = only(bench.ask("add", left=0.5), api.Send)[0]
     bench.end(send, Code.TIMEOUT, took=0.5)
-    assert finals(bench, "r1") == 1
+    assert count_final_answers(bench, "r1") == 1
     assert only(bench.log, api.Fail)
 
 
@@ -63,7 +63,7 @@
     for _ in range(3):
         send = only(bench.end(send, Code.FULL, took=0.001), api.Send)[0]
     assert only(bench.end(send, Code.FULL, took=0.001), api.Refuse)
-    assert finals(bench, "r1") == 1
+    assert count_final_answers(bench, "r1") == 1
 
 
 def test_draining_and_unlisted_servers_get_no_requests(bench: Bench) -> None:
@@ -86,7 +86,7 @@
     bench.send_event(api.StreamStarted("r1", 0, send.server))
     bench.now += 10.0
     bench.ask()
-    assert finals(bench, "r1") == 0
+    assert count_final_answers(bench, "r1") == 0
 
 
 def test_cold_server_gets_a_reduced_share(bench: Bench) -> None:
@@ -103,15 +103,15 @@
 
 def test_ceiling_holds_without_a_counter_and_after_restarts() -> None:
     """Three gateways without counter totals, each restarted once, together stay below the ceiling."""
-    passed = []
+    sent_by_seed = []
     for seed in range(40):
-        passed.append(0)
+        sent_by_seed.append(0)
         for gateway in range(3):
             for life in range(2):
                 bench = Bench(seed=10 * seed + 2 * gateway + life, counter=False)
-                passed[-1] += sum(len(only(bench.ask(plan="capped"), api.Send)) for _ in range(30))
-    assert sum(passed) > 0
-    assert max(passed) <= 12 + 1.2
+                sent_by_seed[-1] += sum(len(only(bench.ask(plan="capped"), api.Send)) for _ in range(30))
+    assert sum(sent_by_seed) > 0
+    assert max(sent_by_seed) <= 12 + 1.2
 
 
 def test_totals_within_the_quota_do_not_use_the_ceiling() -> None:
@@ -176,45 +176,45 @@
     before = bench.gateway.in_flight_bound(bench.now)
     cold = [entry(f"n{i}", launched=bench.now) for i in range(6)]
     bench.update_servers(*(entry(f"s{i}") for i in range(6)), *cold)
-    part = (6 + 6 * bench.gateway.settings.start_capacity) / 12
-    assert bench.gateway.in_flight_bound(bench.now) == pytest.approx(before * part)
+    remaining_share = (6 + 6 * bench.gateway.settings.start_capacity) / 12
+    assert bench.gateway.in_flight_bound(bench.now) == pytest.approx(before * remaining_share)
 
 
 def test_surge_is_bounded_before_the_mean_reflects_it() -> None:
     """A short surge above the limit overloads the servers for a multiple of its duration."""
     bench = Bench(servers=12, gateways=3, counter=False)
-    most = bench.gateway.in_flight_bound(bench.now)
+    limit = bench.gateway.in_flight_bound(bench.now)
     peak = 0
     for _ in range(150):
         bench.ask()
         bench.now += 0.01
         peak = max(peak, bench.gateway.in_flight)
-    assert peak < 3 * most
+    assert peak < 3 * limit
 
 
 def test_fractional_limit_does_not_refuse_everything() -> None:
     """A limit below one attempt must act as a probability, not as a bound."""
-    second = 0
+    second_sent = 0
     for seed in range(200):
         bench = Bench(seed=seed, servers=60, gateways=300, counter=False)
         bench.ask()
-        second += len(only(bench.ask(), api.Send))
-    assert second > 60
+        second_sent += len(only(bench.ask(), api.Send))
+    assert second_sent > 60
 
 
 def test_limit_applies_to_the_mean_number_of_attempts() -> None:
     """With a fractional limit a single attempt is not an overload, but a permanent one may be."""
-    after = {}
+    sent = {}
     for wait in (0.0, 20.0):
-        after[wait] = 0
+        sent[wait] = 0
         for seed in range(200):
             bench = Bench(seed=seed, servers=60, gateways=300, counter=False)
             bench.gateway.in_flight_limit = 2.5  # half an attempt for this gateway
             bench.gateway.change_in_flight(1, bench.now)
             bench.now += wait
             bench.gateway.change_in_flight(0, bench.now)
-            after[wait] += len(only(bench.ask(), api.Send))
-    assert after[20.0] < after[0.0] / 2
+            sent[wait] += len(only(bench.ask(), api.Send))
+    assert sent[20.0] < sent[0.0] / 2
 
 
 def test_long_attempt_counts_as_slow_once(bench: Bench) -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,66 +9,66 @@
 from latchspoke.net.discovery import RECONNECT_SLOT_S, SILENCE_TIMEOUT_S, Watch
 
 
-class StillClock:
+class FrozenClock:
     """A clock that stands still and records the scheduled times."""
 
     def __init__(self) -> None:
-        self.due: list[float] = []
+        self.scheduled: list[float] = []
 
     def now(self) -> float:
         return 0.0
 
     def schedule(self, when: float, call: Any) -> None:
-        self.due.append(when)
+        self.scheduled.append(when)
 
 
-def broken(rejected: bool = False, opened_at: float = 0.0) -> Any:
+def ended_connection(rejected: bool = False, opened_at: float = 0.0) -> Any:
     return SimpleNamespace(rejected=rejected, opened_at=opened_at)
 
 
-def pauses(gateways: int, tries: int, rejected: bool, lasting: float = 0.0) -> list[list[float]]:
+def backoff_delays(gateways: int, attempts: int, rejected: bool, duration: float = 0.0) -> list[list[float]]:
     """Return for each gateway the delays after this many failed attempts in a row."""
     result = []
     for seed in range(gateways):
-        clock = StillClock()
+        clock = FrozenClock()
         context: Any = SimpleNamespace(clock=clock)
         watch = Watch(context, ("127.0.0.1", 1), 0, lambda servers: None, lambda: None, gateways, seed)
-        for _ in range(tries):
-            watch.connection = broken(rejected, -lasting)
+        for _ in range(attempts):
+            watch.connection = ended_connection(rejected, -duration)
             watch.connection_ended(watch.connection)
-        result.append(clock.due)
+        result.append(clock.scheduled)
     return result
 
 
 class TestWatch(unittest.TestCase):
     def test_rejected_fleet_spreads_its_attempts(self) -> None:
         """Synchronized attempts would keep discovery overloaded."""
-        drawn = pauses(40, 6, rejected=True)
-        for nth in zip(*drawn, strict=True):
-            times = sorted(nth)
+        delays_by_gateway = backoff_delays(40, 6, rejected=True)
+        for attempt_delays in zip(*delays_by_gateway, strict=True):
+            times = sorted(attempt_delays)
             within = max(sum(at <= other < at + 0.25 for other in times) for at in times)
             self.assertLessEqual(within, 12)
-        self.assertGreater(min(each[5] for each in drawn), 40 * RECONNECT_SLOT_S * 2)
+        self.assertGreater(min(delays[5] for delays in delays_by_gateway), 40 * RECONNECT_SLOT_S * 2)
 
     def test_small_fleet_reconnects_quickly_and_often(self) -> None:
-        for each in pauses(3, 12, rejected=False):
-            self.assertLess(each[0], 0.25)
-            self.assertLessEqual(max(each), 3.0)
+        for delays in backoff_delays(3, 12, rejected=False):
+            self.assertLess(delays[0], 0.25)
+            self.assertLessEqual(max(delays), 3.0)
 
     def test_large_fleet_keeps_watching_a_silent_discovery(self) -> None:
         """A change that discovery sends to an open watch counts as announced, so gaps must be short."""
-        for each in pauses(200, 6, rejected=False, lasting=SILENCE_TIMEOUT_S):
-            self.assertLessEqual(max(each), 0.15)
+        for delays in backoff_delays(200, 6, rejected=False, duration=SILENCE_TIMEOUT_S):
+            self.assertLessEqual(max(delays), 0.15)
 
     def test_working_watch_resets_the_backoff(self) -> None:
-        clock = StillClock()
+        clock = FrozenClock()
         context: Any = SimpleNamespace(clock=clock)
         watch = Watch(context, ("127.0.0.1", 1), 0, lambda servers: None, lambda: None, 40)
-        for rejected, most in ((True, 40 * RECONNECT_SLOT_S * 1.5), (False, 0.15)):
+        for rejected, max_delay in ((True, 40 * RECONNECT_SLOT_S * 1.5), (False, 0.15)):
             for _ in range(5):
-                watch.connection = broken(rejected)
+                watch.connection = ended_connection(rejected)
                 watch.connection_ended(watch.connection)
             watch.heartbeat_received()
-            watch.connection = broken(rejected)
+            watch.connection = ended_connection(rejected)
             watch.connection_ended(watch.connection)
-            self.assertLessEqual(clock.due[-1], most)
+            self.assertLessEqual(clock.scheduled[-1], max_delay)
