--- a/latchspoke/cli.py
+++ b/latchspoke/cli.py
@@ -75,6 +75,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command line, by default that of this process, and return the exit code."""
     argv = sys.argv[1:] if argv is None else argv
     if argv and argv[0] in EXTERNAL_COMMANDS:
         return run_external_command(argv[0], argv[1:])
@@ -97,6 +98,7 @@
 
 
 def print_summary(config: Config) -> int:
+    """Print a one-line summary of a valid configuration, and return the exit code."""
     settings = config.settings
     print(
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, gateway {settings.index} of "
@@ -107,6 +109,7 @@
 
 
 def run_gateway(config: Config, args: dict[str, Any]) -> int:
+    """Serve until SIGTERM, and return the exit code: 1 if the addresses can't be used."""
     from latchspoke.net.serve import serve  # its dependencies are not needed by other commands
 
     try:
--- a/latchspoke/config.py
+++ b/latchspoke/config.py
@@ -64,6 +64,7 @@
 
 
 def parse_address(text: str) -> Address:
+    """Parse ``host:port``; an IPv6 host may have brackets. Raises ConfigError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ConfigError(f"not an address (host:port): {text!r}")
@@ -71,6 +72,7 @@
 
 
 def parse_server_entry(entry: dict[str, Any]) -> api.ServerEntry:
+    """Parse an entry of the server list. Raises KeyError for a missing field or an unknown state."""
     return api.ServerEntry(
         server=entry["instanceId"],
         state=SERVER_STATES[entry["lifecycle"]],
@@ -83,6 +85,7 @@
 
 
 def parse_target_list(document: dict[str, Any]) -> TargetList:
+    """Parse a server list in the format of discovery. Raises KeyError, ValueError or ConfigError."""
     instances = document.get("instances") or ()
     return TargetList(
         generation=int(document["generation"]),
@@ -97,6 +100,7 @@
 
 
 def parse_rules_config(env: Mapping[str, str]) -> RulesConfig | None:
+    """Read GW_MEMBERS, GW_RULES_KEPT and GW_RULES_START; None if no agents are configured."""
     sockets = tuple(path for path in env.get("GW_MEMBERS", "").split(",") if path)
     start_mode = env.get("GW_RULES_START", "wait")
     if start_mode not in ("wait", "known"):
--- a/latchspoke/net/admin.py
+++ b/latchspoke/net/admin.py
@@ -21,6 +21,7 @@
 
 
 def json_reply(status: int, value: Any) -> Reply:
+    """Return a reply with a JSON body."""
     return status, json.dumps(value, separators=(",", ":")).encode(), JSON_CONTENT_TYPE
 
 
@@ -34,6 +35,7 @@
         self.path, self.view = path, view
 
     def reply(self, method: bytes, url: bytes) -> Reply:
+        """Answer ``GET /v1/view``; anything else is an error."""
         if method != b"GET":
             return json_reply(405, {"error": "the view is only read; signals change things"})
         if url != b"/v1/view":
--- a/latchspoke/net/clock.py
+++ b/latchspoke/net/clock.py
@@ -23,6 +23,7 @@
         return self.when < other.when
 
     def cancel(self) -> None:
+        """Prevent the call, unless it has been made."""
         self.callback = None
         if self.clock.heap and self.clock.heap[0] is self:
             self.clock.discard_cancelled()
@@ -39,9 +40,11 @@
         self.armed_for = float("inf")
 
     def now(self) -> float:
+        """Return the current time (s)."""
         return self.unix_offset + time.monotonic()
 
     def schedule(self, when: float, call: Callable[[float], None]) -> Timer:
+        """Call with the current time at ``when``, or up to the timer resolution earlier."""
         timer = Timer(self, when, call)
         heapq.heappush(self.heap, timer)
         if when < self.armed_for:
@@ -49,6 +52,7 @@
         return timer
 
     def arm(self, when: float) -> None:
+        """Set the timer of the event loop to this time."""
         if self.handle is not None:
             self.handle.cancel()
         self.armed_for = when
--- a/latchspoke/net/operator_api.py
+++ b/latchspoke/net/operator_api.py
@@ -20,6 +20,7 @@
 
 
 def text_reply(status: int, text: str) -> Reply:
+    """Return a reply with a line of text as its body."""
     return status, f"{text}\n".encode(), TEXT_CONTENT_TYPE
 
 
@@ -35,12 +36,14 @@
         self.node = node
 
     async def start(self, address: Address) -> None:
+        """Listen at this address, which other processes of the gateway may share. Raises OSError."""
         sock = bind_shared_socket(address)
         self.server = await self.loop.create_server(
             lambda: ManagementConnection(self), sock=sock, backlog=128
         )
 
     def reply(self, method: bytes, url: bytes) -> Reply:
+        """Dispatch a request by method and path."""
         path = url.partition(b"?")[0].decode("latin-1")
         handler = {"/status": self.status, "/status/metrics": self.metrics}.get(path)
         if handler is not None:
@@ -54,12 +57,15 @@
         return text_reply(404, "there is no such call")
 
     def status(self) -> Reply:
+        """Answer 200 while this process accepts clients, otherwise 503."""
         return text_reply(200, "ready") if self.node.serving else text_reply(503, "not ready")
 
     def metrics(self) -> Reply:
+        """Return the metrics in the statsd format."""
         return 200, format_metrics(self.node).encode(), TEXT_CONTENT_TYPE
 
     def maintenance(self, action: str, name: str) -> Reply:
+        """Put a server into maintenance ("enter") or back into service ("exit"); 404 if it is unknown."""
         try:
             known = self.node.set_maintenance(action, name)
         except OSError as e:
--- a/latchspoke/net/process_group.py
+++ b/latchspoke/net/process_group.py
@@ -46,12 +46,14 @@
     known_servers: dict[str, None] = field(default_factory=dict)
 
     def to_json(self) -> str:
+        """Return the content of the file that the processes share."""
         return json.dumps(
             {"out": self.in_maintenance, "back": self.returned, "seen": list(self.known_servers)}
         )
 
     @classmethod
     def from_json(cls, text: str) -> MaintenanceRecord:
+        """Parse the file. Raises ValueError, KeyError, TypeError or AttributeError if it is invalid."""
         document: dict[str, Any] = json.loads(text)
         returned = {str(name): (float(since), float(at)) for name, (since, at) in document["back"].items()}
         return cls(
@@ -67,6 +69,7 @@
         return True
 
     def exit(self, name: str, now: float) -> bool:
+        """Put a server back into service; idempotent. Returns False if the server is unknown."""
         if name not in self.known_servers and name not in self.in_maintenance:
             return False
         if name in self.in_maintenance:
@@ -173,6 +176,7 @@
             return None
 
     def close(self) -> None:
+        """Release the lock of this process."""
         os.close(self.lock_file)
 
 
--- a/latchspoke/net/view.py
+++ b/latchspoke/net/view.py
@@ -42,6 +42,7 @@
 
 
 def format_address(address: tuple[str, int] | None) -> str | None:
+    """Return ``host:port``, or None without an address."""
     return f"{address[0]}:{address[1]}" if address else None
 
 
