--- a/tests/operations/test_message_forms.py
+++ b/tests/operations/test_message_forms.py
@@ -116,18 +116,18 @@
     assert passed == size
     client, server = player.transports["c1"], player.transports["t1"]
     player.step(f"t1 > HTTP/1.1 200 OK\\r\\nContent-Length: {size}\\r\\n\\r\\n")
-    given = taken = most = 0
-    while given < size or client.written:
-        while given < size and not server.paused:
+    sent = received = max_buffered = 0
+    while sent < size or client.written:
+        while sent < size and not server.paused:
             target_sends(player, b"a" * PART_BYTES)
-            given += PART_BYTES
+            sent += PART_BYTES
             if len(client.written) > WRITE_BUFFER_HIGH_BYTES:
                 client.connection.pause_writing()
-        most = max(most, len(client.written))
-        taken += client.written[:PART_BYTES].count(b"a")
+        max_buffered = max(max_buffered, len(client.written))
+        received += client.written[:PART_BYTES].count(b"a")
         client.written = client.written[PART_BYTES:]
         if len(client.written) <= WRITE_BUFFER_HIGH_BYTES // 4:
             client.connection.resume_writing()
         advance(player, 1.0)
-    assert taken > size - PART_BYTES and not client.ended and most <= 3 * PART_BYTES
+    assert received > size - PART_BYTES and not client.ended and max_buffered <= 3 * PART_BYTES
     player.step("stats answered.read=1 flows.passed=1 flows.overdue=0 forwards.timeout=0")
--- a/tests/operations/test_process_replacement.py
+++ b/tests/operations/test_process_replacement.py
@@ -260,10 +260,10 @@
     )
 
     path = new.node.process_group.path.with_suffix(".learnt")
-    stand = learned["pools"][0][0]
+    pool_label = learned["pools"][0][0]
     bad: list[dict[str, object]] = [
         {"limit": -1}, {"latency": "x"}, {"slow": 2}, {"busy": float("nan")}, {"servers": {"s1": [0, 1]}},
-        {"servers": {"s1": [0, 0, 0]}}, {"pools": [[stand, [1, 0, 1, 1, 0]]]}, {"pools": 3},
+        {"servers": {"s1": [0, 0, 0]}}, {"pools": [[pool_label, [1, 0, 1, 1, 0]]]}, {"pools": 3},
     ]  # fmt: skip
     for broken in ("", "{}", *(json.dumps(learned | change) for change in bad)):
         path.write_text(broken)
--- a/tests/operations/test_settings_reload.py
+++ b/tests/operations/test_settings_reload.py
@@ -96,7 +96,7 @@
 
 
 def broken_configs() -> dict[str, str]:
-    whole = json.dumps(changed_config())
+    valid_text = json.dumps(changed_config())
 
     def edited(change: Any) -> str:
         file = changed_config()
@@ -105,16 +105,16 @@
 
     texts = {
         "empty": "",
-        "cut": whole[: len(whole) // 2],
-        "no object": "[]",
+        "truncated": valid_text[: len(valid_text) // 2],
+        "not an object": "[]",
         "no settings": edited(lambda f, s, c: f.pop("settings")),
         "no list of servers": edited(lambda f, s, c: f.pop("known")),
         "no zone": edited(lambda f, s, c: s.pop("Zone")),
         "no invariants": edited(lambda f, s, c: s.pop("Invariants")),
-        "no figure of an invariant": edited(lambda f, s, c: s["Invariants"].pop("ColdNs")),
+        "no value of an invariant": edited(lambda f, s, c: s["Invariants"].pop("ColdNs")),
         "no attempts": edited(lambda f, s, c: s["Allowed"].pop("TryLimit")),
         "no classes": edited(lambda f, s, c: s.update(Categories=[])),
-        "a class that stands twice": edited(lambda f, s, c: c.update(Name="read")),
+        "a duplicate class": edited(lambda f, s, c: c.update(Name="read")),
     }
     for name in ("Name", "AimNs", "GiveUpNs", "Repeat"):
         texts[f"a class without {name}"] = edited(lambda f, s, c, name=name: c.pop(name))
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -49,7 +49,7 @@
     def assert_answered(self, status: int) -> None:
         transport = self.player.transports[f"c{self.number}"]
         assert transport.written.startswith(b"HTTP/1.1 %d " % status), transport.written
-        assert not self.player.dialled, "nothing more goes out"
+        assert not self.player.dialled, "unexpected dial"
 
 
 @pytest.fixture
