--- a/latchspoke/net/admin.py
+++ b/latchspoke/net/admin.py
@@ -1,6 +1,6 @@
-"""A gateway's own view over a Unix socket, for the agent on its machine and for operators. It only tells.
+"""Read-only HTTP/1.1 interface on a Unix socket, for the agent on the machine and for operators.
 
-Off unless ``serve --admin PATH`` asks for it. It speaks HTTP/1.1 with JSON: ``GET /v1/view``.
+Enabled by ``serve --admin PATH``. ``GET /v1/view`` returns the state of the gateway as JSON.
 """
 
 from __future__ import annotations
@@ -15,49 +15,56 @@
 from pathlib import Path
 from typing import Any
 
-from latchspoke.net.calls import CallConnection, Desk, Reply
+from latchspoke.net.management import ManagementConnection, ManagementServer, Reply
 
-KIND = b"Content-Type: application/json\r\n"
+JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
 
 
-def told(status: int, value: Any) -> Reply:
-    return status, json.dumps(value, separators=(",", ":")).encode(), KIND
+def json_reply(status: int, value: Any) -> Reply:
+    """Return a reply with a JSON body."""
+    return status, json.dumps(value, separators=(",", ":")).encode(), JSON_CONTENT_TYPE
 
 
-class Admin(Desk):
-    """The socket and the connections on it."""
+class AdminServer(ManagementServer):
+    """HTTP server of the view."""
 
-    unknown = told(400, {"error": "not a request that is understood here"})
+    bad_request_reply = json_reply(400, {"error": "not a request that is understood here"})
 
     def __init__(self, loop: asyncio.AbstractEventLoop, path: str, view: Callable[[], Any]) -> None:
         super().__init__(loop)
         self.path, self.view = path, view
 
     def reply(self, method: bytes, url: bytes) -> Reply:
+        """Answer ``GET /v1/view``; anything else is an error."""
         if method != b"GET":
-            return told(405, {"error": "the view is only read; signals change things"})
+            return json_reply(405, {"error": "the view is only read; signals change things"})
         if url != b"/v1/view":
-            return told(404, {"error": "there is /v1/view and nothing else"})
-        return told(200, self.view())
+            return json_reply(404, {"error": "there is /v1/view and nothing else"})
+        return json_reply(200, self.view())
 
     async def start(self) -> None:
-        """Raises OSError where the path can't be taken, as by a gateway that lives."""
-        self.server = await self.loop.create_unix_server(lambda: CallConnection(self), sock=bind(self.path))
+        """Listen. Raises OSError if the path can't be used, as when another process listens there."""
+        self.server = await self.loop.create_unix_server(
+            lambda: ManagementConnection(self), sock=bind_unix_socket(self.path)
+        )
 
     def stop(self) -> None:
-        """The file goes first, so that nobody finds a socket that no longer answers."""
+        """Remove the socket file, so that no client finds a dead socket, and close all connections."""
         with contextlib.suppress(OSError):
             os.unlink(self.path)
         super().stop()
 
 
-def bind(path: str, backlog: int = Desk.most) -> socket.socket:
-    """A listening Unix socket that its owner alone may use; one left by a dead process is replaced."""
+def bind_unix_socket(path: str, backlog: int = ManagementServer.max_connections) -> socket.socket:
+    """Listen on a Unix socket that only its owner may use, replacing one left by a dead process.
+
+    Raises OSError if the path is not a socket, or another process listens there.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
         if Path(path).exists():
-            clear(path)
-        # The mode is set before anyone can connect: nobody is listened to until listen().
+            remove_stale_socket(path)
+        # Clients can't connect before listen(), so the mode applies to all of them.
         sock.bind(path)
         os.chmod(path, 0o600)
         sock.listen(backlog)
@@ -67,8 +74,8 @@
     return sock
 
 
-def clear(path: str) -> None:
-    """Take away the socket of a dead process, and nothing else."""
+def remove_stale_socket(path: str) -> None:
+    """Remove a socket file that no process listens on. Raises OSError for anything else."""
     if not stat.S_ISSOCK(os.stat(path).st_mode):
         raise OSError(f"{path} is there and is no socket")
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
--- a/tests/player.py
+++ b/tests/player.py
@@ -1,25 +1,25 @@
-"""Plays a recorded exchange of bytes against the program: no sockets, and a clock set by hand.
+"""Plays a recorded exchange of bytes against a program, without sockets and with a simulated clock.
 
-An exchange is a text file, one step a line; ``#`` begins a remark, ``NAME`` is a connection:
+An exchange is a text file with one step per line; ``#`` starts a comment, ``NAME`` is a connection:
 
     config KEY=VALUE ...     settings for this exchange, before all other steps
-    let WORD TEXT            $WORD stands for TEXT from here on
+    let WORD TEXT            replaces $WORD by TEXT in the following steps
     open NAME                a client connects
-    dial NAME ADDRESS        the program has begun to open a connection; it comes up
-    dial NAME ADDRESS held   the same, but it does not come up yet; ``up NAME`` may follow
-    NAME > TEXT              bytes come in
-    NAME unread              bytes have come that the loop hands on with the next such step
-    NAME < TEXT              these bytes, and no others, have been written; ``*`` is any text
-    NAME eof | NAME reset    the other side ends it; ``NAME refused``: it never comes up
-    NAME closed CODE         the program has ended it, for this reason
-    time SECONDS             the clock moves on, and what is due is called
+    dial NAME ADDRESS        the program has started to connect; the connection is established
+    dial NAME ADDRESS held   the same, but it is not established before the step ``up NAME``
+    NAME > TEXT              these bytes arrive
+    NAME unread              input has arrived that the event loop has not read yet
+    NAME < TEXT              exactly these bytes have been written; ``*`` matches any text
+    NAME eof | NAME reset    the peer closes or resets it; ``NAME refused``: connecting fails
+    NAME closed CODE         the program has closed it with this code
+    time SECONDS             the clock advances, and due timers fire
     count NAME AMOUNT        the core calls the counter
-    hup KEY=ADDRESS ...      SIGHUP, with these in the file now; ``hup bad``: it can't be used
+    hup KEY=ADDRESS ...      SIGHUP after these changes of the file; ``hup bad``: an invalid file
     term                     SIGTERM
-    done                     the program has ended
-    stats KEY=VALUE ...      these counters stand so
+    done                     the program has terminated
+    stats KEY=VALUE ...      these counters have these values
 
-At the end nothing may have been written, dialled or closed that no step has named.
+At the end there must not be any output, dial or close that no step expects.
 """
 
 from __future__ import annotations
@@ -33,21 +33,21 @@
 from pathlib import Path
 from typing import Any, cast
 
-from latchspoke.config import Address, Config, ConfigError, read_config
+from latchspoke.config import Address, Config, ConfigError, parse_config
 from latchspoke.net import clock, http, serve
 from latchspoke.net.listener import ClientConnection
 from tests.test_drill import OPTIONS
 
 FOLDER = Path(__file__).parent / "exchanges"
-START = 1_800_000_000.0
+START_TIME = 1_800_000_000.0
 
 
 class FakeLoop:
-    """Only a time and the timers asked for."""
+    """An event loop with a settable time and a single timer."""
 
     def __init__(self) -> None:
         self.timers: list[tuple[float, Callable[[], None]]] = []
-        self.now = START
+        self.now = START_TIME
 
     def call_later(self, delay: float, call: Callable[[], None]) -> FakeLoop:
         self.timers = [(self.now + delay, call)]  # the clock has one timer at a time
@@ -76,15 +76,15 @@
 
 
 class FakeTransport:
-    """Keeps what was written; ``ended`` once the program has closed it."""
+    """Records written bytes; ``ended`` once the program has closed it."""
 
     def __init__(self, connection: http.Connection) -> None:
         self.connection, self.written, self.ended, self.unsent = connection, b"", False, 0
         self.paused = False
-        self.ends: tuple[socket.socket, ...] = ()  # a socket with unread bytes, its other end
+        self.socket_pair: tuple[socket.socket, ...] = ()  # one with unread input, and its peer
 
     def write(self, data: bytes) -> None:
-        assert not self.ended, "written after the close"
+        assert not self.ended, "write after close"
         self.written += data
 
     def writelines(self, parts: Iterable[bytes]) -> None:
@@ -114,58 +114,58 @@
         return self.unsent
 
     def get_extra_info(self, name: str) -> socket.socket | None:
-        return self.ends[0] if name == "socket" and self.ends else None
+        return self.socket_pair[0] if name == "socket" and self.socket_pair else None
 
-    def hold(self) -> None:
-        self.ends = socket.socketpair()
-        self.ends[1].send(b"G")
+    def hold_input(self) -> None:
+        self.socket_pair = socket.socketpair()
+        self.socket_pair[1].send(b"G")
 
-    def hand_on(self) -> None:
-        for end in self.ends:
+    def deliver_input(self) -> None:
+        for end in self.socket_pair:
             end.close()
-        self.ends = ()
+        self.socket_pair = ()
 
 
-class Stage:
-    """What is the same for every program: connections, bytes and the clock."""
+class BasePlayer:
+    """Steps that all programs have in common: connections, bytes and the clock."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
-        self.words: dict[str, str] = {}
+        self.variables: dict[str, str] = {}
         self.dialled: list[tuple[http.Connection, Address]] = []
-        self.links: dict[str, FakeTransport] = {}
-        self.named: set[str] = set()  # connections whose end a step has named
+        self.transports: dict[str, FakeTransport] = {}
+        self.expected_ends: set[str] = set()  # connections whose end a step expects
 
     def ended(self) -> bool:
         """Whether the program has ended."""
         raise NotImplementedError
 
     def dial(self, connection: http.Connection, address: Address) -> Callable[[], object]:
-        """The program's dialler."""
+        """Implements ``Dialer.dial``."""
         self.dialled.append((connection, address))
-        return lambda: connection.unopened("unreachable")
+        return lambda: connection.dial_failed("unreachable")
 
     def up(self, name: str) -> None:
-        link = self.links[name]
-        link.connection.connection_made(cast(asyncio.Transport, link))
-        self.settle()
+        transport = self.transports[name]
+        transport.connection.connection_made(cast(asyncio.Transport, transport))
+        self.report_closed()
 
-    def settle(self) -> None:
-        """A transport tells of its end only after the call that ended it."""
-        for link in list(self.links.values()):
-            if link.ended and not link.connection.lost:
-                link.connection.connection_lost(None)
+    def report_closed(self) -> None:
+        """Report closed connections, which transports do only after the call that closed them."""
+        for transport in list(self.transports.values()):
+            if transport.ended and not transport.connection.lost:
+                transport.connection.connection_lost(None)
 
     def step(self, line: str) -> None:
-        for word, text in self.words.items():
-            line = line.replace(f"${word}", text)
+        for variable, text in self.variables.items():
+            line = line.replace(f"${variable}", text)
         head, _, rest = line.partition(" ")
         match head:
             case "let":
-                word, _, text = rest.partition(" ")
-                self.words[word] = text
+                variable, _, text = rest.partition(" ")
+                self.variables[variable] = text
             case "open":
-                self.links[rest] = FakeTransport(self.client())
+                self.transports[rest] = FakeTransport(self.client())
                 self.up(rest)
             case "dial":
                 self.expect_dial(*rest.split())
@@ -176,72 +176,76 @@
             case "done":
                 assert self.ended(), "the program has not ended"
             case "stats":
-                told, stats = dict(item.split("=") for item in rest.split()), self.stats()
-                assert told == {key: str(stats[key]) for key in told}, stats
+                expected, stats = dict(item.split("=") for item in rest.split()), self.stats()
+                assert expected == {key: str(stats[key]) for key in expected}, stats
             case _:
-                if not self.own_step(head, rest):
+                if not self.program_step(head, rest):
                     self.bytes(head, *rest.split(" ", 1))
-        self.settle()
+        self.report_closed()
 
     def client(self) -> http.Connection:
-        """The program's side of a new client's connection."""
+        """Return a new client connection of the program."""
         raise NotImplementedError
 
     def stats(self) -> Counter[str]:
         raise NotImplementedError
 
-    def own_step(self, head: str, rest: str) -> bool:
-        """Whether this was a step of one program's own."""
+    def program_step(self, head: str, rest: str) -> bool:
+        """Run a step that is specific to a program; False if there is no such step."""
         raise NotImplementedError
 
     def expect_dial(self, name: str, address: str, held: str = "") -> None:
         assert self.dialled, "nothing was dialled"
         connection, (host, port) = self.dialled.pop(0)
         assert f"{host}:{port}" == address, f"dialled {host}:{port}"
-        self.links[name] = FakeTransport(connection)
+        self.transports[name] = FakeTransport(connection)
         if not held:
             self.up(name)
 
     def bytes(self, name: str, verb: str, text: str = "") -> None:
-        link = self.links[name]
+        transport = self.transports[name]
         raw = text.encode().decode("unicode_escape").encode("latin-1")
         match verb:
             case "unread":
-                link.hold()
+                transport.hold_input()
             case ">":
-                link.hand_on()
-                link.connection.data_received(raw)
+                transport.deliver_input()
+                transport.connection.data_received(raw)
             case "<":
                 pattern = b".*".join(re.escape(part) for part in raw.split(b"*"))
-                assert re.fullmatch(pattern, link.written, re.S), f"{name} was written {link.written!r}"
-                link.written = b""
+                assert re.fullmatch(pattern, transport.written, re.S), (
+                    f"{name}: unexpected output {transport.written!r}"
+                )
+                transport.written = b""
             case "eof" | "reset":
-                self.named.add(name)
+                self.expected_ends.add(name)
                 if verb == "eof":
-                    link.connection.eof_received()
-                link.connection.connection_lost(None if verb == "eof" else ConnectionResetError())
+                    transport.connection.eof_received()
+                transport.connection.connection_lost(None if verb == "eof" else ConnectionResetError())
             case "refused":
-                self.named.add(name)
-                link.connection.unopened("unreachable")
+                self.expected_ends.add(name)
+                transport.connection.dial_failed("unreachable")
             case "closed":
-                self.named.add(name)
-                code = link.connection.code
-                assert link.connection.lost and code == text, f"{name} has ended: {code!r}"
+                self.expected_ends.add(name)
+                code = transport.connection.close_code
+                assert transport.connection.lost and code == text, f"{name} has ended: {code!r}"
             case _:
                 raise AssertionError(f"no such step: {verb}")
 
     def check_end(self) -> None:
-        assert not self.dialled, f"dialled beside the steps: {self.dialled[0][1]}"
-        for name, link in self.links.items():
-            assert not link.written, f"{name} was written {link.written!r}"
-            assert name in self.named or not link.connection.lost, f"{name}: {link.connection.code}"
+        assert not self.dialled, f"unexpected dial: {self.dialled[0][1]}"
+        for name, transport in self.transports.items():
+            assert not transport.written, f"{name}: unexpected output {transport.written!r}"
+            assert name in self.expected_ends or not transport.connection.lost, (
+                f"{name}: {transport.connection.close_code}"
+            )
 
 
-class Player(Stage):
+class Player(BasePlayer):
     def __init__(self, changes: dict[str, Any]) -> None:
         super().__init__()
         self.changes, self.done = changes, False
-        self.node = serve.Node(read_config(configuration(changes), {}), self.clock, cast(http.Dialer, self))
+        self.node = serve.Node(parse_config(configuration(changes), {}), self.clock, cast(http.Dialer, self))
         self.node.on_done = self.finished
         self.node.start()
 
@@ -257,11 +261,11 @@
     def stats(self) -> Counter[str]:
         return self.node.stats
 
-    def own_step(self, head: str, rest: str) -> bool:
+    def program_step(self, head: str, rest: str) -> bool:
         match head:
             case "count":
                 name, amount = rest.split()
-                self.node.counter.count(int(name), float(amount), 10.0)
+                self.node.counter.add(int(name), float(amount), 10.0)
             case "hup":
                 self.hup(rest)
             case "term":
@@ -271,29 +275,29 @@
         return True
 
     def hup(self, text: str) -> None:
-        told = dict(item.partition("=")[::2] for item in text.split())
+        expected = dict(item.partition("=")[::2] for item in text.split())
 
-        def reread() -> Config:
+        def load_config() -> Config:
             if text == "bad":
                 raise ConfigError("not JSON")
-            return read_config(configuration(self.changes) | told, {})
+            return parse_config(configuration(self.changes) | expected, {})
 
-        self.node.reread = reread
+        self.node.load_config = load_config
         self.node.reload()
 
 
-WORTH = {"AimNs": 10**9, "GiveUpNs": 3 * 10**9, "Worth": 3.0, "LateWorth": 0.2}
-# Beside the class that is safe to repeat: one whose repeats a rack drops for 4 s, one that never runs twice.
+CLASS_VALUES = {"AimNs": 10**9, "GiveUpNs": 3 * 10**9, "Worth": 3.0, "LateWorth": 0.2}
+# In addition to the class that is safe to repeat: a keyed one with a window of 4 s, and an unsafe one.
 KEYED_AND_ONCE: list[dict[str, Any]] = [
-    WORTH | {"Name": "keyed", "Repeat": "keyed", "Group": "cell", "RepeatWindowNs": 4 * 10**9},
-    WORTH | {"Name": "once", "Repeat": "unsafe"},
+    CLASS_VALUES | {"Name": "keyed", "Repeat": "keyed", "Group": "cell", "RepeatWindowNs": 4 * 10**9},
+    CLASS_VALUES | {"Name": "once", "Repeat": "unsafe"},
 ]
 
 
 def configuration(changes: dict[str, Any]) -> dict[str, Any]:
-    """One target, a plan too wide to refuse, and no counter; ``changes`` overrule this.
+    """Return a configuration with one target, a plan that refuses nothing, and no counter.
 
-    With ``racks`` there are so many targets, each in a rack of its own, and classes of all three kinds.
+    ``changes`` override this; with ``racks`` there is one target per rack, and classes of all three kinds.
     """
     options = json.loads(json.dumps(OPTIONS))
     options["Allowed"] |= {"RetryAfter": True, "MaxRetryAfterNs": 2 * 10**9}
@@ -319,7 +323,7 @@
     return [line for line in path.read_text().splitlines() if line and not line.startswith("#")]
 
 
-def play_steps(stage: Stage, name: str, lines: list[str]) -> None:
+def play_steps(stage: BasePlayer, name: str, lines: list[str]) -> None:
     for line in lines:
         try:
             stage.step(line)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The timers: what the loop is asked to wake for."""
+"""Timers, and which of them wake the event loop."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     def set(self, after: float, name: str) -> object:
         return self.clock.schedule(self.clock.now() + after, lambda now: self.called.append(name))
 
-    def test_in_order_of_time(self) -> None:
+    def test_timers_fire_in_order(self) -> None:
         for after, name in ((3.0, "c"), (1.0, "a"), (2.0, "b")):
             self.set(after, name)
         self.clock.advance(2.5)
         self.assertEqual(self.called, ["a", "b"])
 
-    def test_a_cancelled_timer_does_not_wake_the_loop(self) -> None:
-        """Nearly every timer is a deadline that is met: waking for each would cost more than they save."""
+    def test_cancelled_timer_does_not_wake_the_loop(self) -> None:
+        """Most timers are cancelled, so waking up for each of them would be expensive."""
         timer = self.clock.schedule(self.clock.now() + 1.0, lambda now: self.called.append("never"))
         self.set(2.0, "then")
         timer.cancel()
@@ -30,24 +30,24 @@
         self.clock.advance(3.0)
         self.assertEqual((self.called, self.clock.loop.timers), (["then"], []))
 
-    def test_an_early_wake_does_not_spin(self) -> None:
-        """The loop counts in ms and may call early: what is due within one is called, not waited for."""
+    def test_early_wakeup_does_not_spin(self) -> None:
+        """The event loop may wake up to 1 ms early; timers due within that time must fire."""
         self.set(0.0008, "soon")
-        self.clock.fire()
+        self.clock.run_due()
         self.assertEqual(self.called, ["soon"])
 
-    def test_who_asks_again_for_the_same_moment_is_called_in_the_next_round(self) -> None:
-        """Gateways hung here for good: a stopped answer's timer came a little early, and asked again."""
+    def test_rescheduling_for_the_same_time_waits_for_the_next_iteration(self) -> None:
+        """A timer that fires early and reschedules itself for the same time must not loop forever."""
         due = self.clock.now() + 0.0008
 
-        def early(now: float) -> None:
+        def reschedule(now: float) -> None:
             self.called.append("early")
             self.assertLess(len(self.called), 5, "called for ever")
             if now < due:
-                self.clock.schedule(due, early)
+                self.clock.schedule(due, reschedule)
 
-        self.clock.schedule(due, early)
-        self.clock.fire()
+        self.clock.schedule(due, reschedule)
+        self.clock.run_due()
         self.assertEqual(self.called, ["early"])
         self.clock.advance(0.001)
         self.assertEqual(self.called, ["early", "early"])
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Clients that come faster than transports tell of their end."""
+"""Clients that connect before the transports of closed connections have reported their end."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 from tests.player import FakeTransport, Player
 
 
-class ManyClients(unittest.TestCase):
-    def test_each_that_is_too_many_closes_another_one(self) -> None:
-        """One closed client chosen twice would leave the process over its limit on sockets."""
+class ClientLimitTest(unittest.TestCase):
+    def test_each_excess_client_closes_a_different_connection(self) -> None:
+        """Choosing the same client twice would leave the process above its socket limit."""
         player = Player({"sockets": 40})
         for number in range(12):
-            link = player.links[str(number)] = FakeTransport(ClientConnection(player.node.listener))
-            link.connection.connection_made(cast(asyncio.Transport, link))
-        player.settle()
+            transport = player.transports[str(number)] = FakeTransport(ClientConnection(player.node.listener))
+            transport.connection.connection_made(cast(asyncio.Transport, transport))
+        player.report_closed()
         listener = player.node.listener
-        self.assertEqual((len(listener.clients), len(listener.fresh)), (listener.most, listener.most))
+        self.assertEqual(
+            (len(listener.clients), len(listener.new_clients)), (listener.max_clients, listener.max_clients)
+        )
