--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -89,7 +89,7 @@
 
 def answer(body: bytes) -> Any:
     async def handle(request: web.Request) -> web.Response:
-        return web.Response(body=body, headers={wire.HEADER: str(wire.INTERFACE)})
+        return web.Response(body=body, headers={wire.INTERFACE_HEADER: str(wire.INTERFACE_VERSION)})
 
     return handle
 
--- a/latchspoke/agent/api.py
+++ b/latchspoke/agent/api.py
@@ -88,7 +88,7 @@
 def answer(value: Any, status: int = 200) -> web.Response:
     return web.Response(
         body=wire.encode(value), status=status, content_type="application/json",
-        headers={wire.HEADER: str(wire.INTERFACE)},
+        headers={wire.INTERFACE_HEADER: str(wire.INTERFACE_VERSION)},
     )  # fmt: skip
 
 
@@ -157,10 +157,12 @@
 
     @staticmethod
     def check_version(request: web.Request) -> None:
-        told = request.headers.get(wire.HEADER, "")
-        if told != str(wire.INTERFACE):
+        told = request.headers.get(wire.INTERFACE_HEADER, "")
+        if told != str(wire.INTERFACE_VERSION):
             raise RefusalError(
-                426, "interface", f"this agent speaks interface {wire.INTERFACE}, not {told or 'one unnamed'}"
+                426,
+                "interface",
+                f"this agent speaks interface {wire.INTERFACE_VERSION}, not {told or 'one unnamed'}",
             )
 
     async def read(self, request: web.Request, kind: type[T]) -> T:
@@ -260,7 +262,7 @@
     async def view(self, name: str) -> dict[str, Any] | str:
         runtime = self.supervisor.runtime(name)
         if not runtime.state.alive:
-            return f"is {runtime.state.word(self.supervisor.clock(), runtime.limits)}"
+            return f"is {runtime.state.state_label(self.supervisor.clock(), runtime.limits)}"
         timeout = aiohttp.ClientTimeout(total=self.supervisor.config.checks.limit)
         async with self.viewing:
             return await fetch_view(str(self.supervisor.config.admin_path(name)), timeout)
--- a/latchspoke/agent/client.py
+++ b/latchspoke/agent/client.py
@@ -123,7 +123,7 @@
         try:
             async with self.web.request(
                 method, self.base + path, data=data, timeout=aiohttp.ClientTimeout(total=limit),
-                headers={wire.HEADER: str(wire.INTERFACE)},
+                headers={wire.INTERFACE_HEADER: str(wire.INTERFACE_VERSION)},
             ) as answer:  # fmt: skip
                 return self.understand(kind, answer, await answer.read())
         except TimeoutError:
@@ -141,10 +141,12 @@
             raise UnheardError(f"agent {self.name}: answers what is not understood ({what})") from None
 
     def understand(self, kind: type[T], answer: aiohttp.ClientResponse, told: bytes) -> T:
-        spoken = answer.headers.get(wire.HEADER)
-        if spoken != str(wire.INTERFACE):
+        spoken = answer.headers.get(wire.INTERFACE_HEADER)
+        if spoken != str(wire.INTERFACE_VERSION):
             other = f"interface {spoken}" if spoken else "no interface of ours"
-            raise UnheardError(f"agent {self.name}: speaks {other}, this tool speaks {wire.INTERFACE}")
+            raise UnheardError(
+                f"agent {self.name}: speaks {other}, this tool speaks {wire.INTERFACE_VERSION}"
+            )
         try:
             if answer.status == 200:
                 return wire.decode(kind, told)
@@ -233,7 +235,7 @@
         """The next version of the view."""
         for name, told in (await self.ask(lambda client: client.listing())).items():
             if isinstance(told, wire.Listing):
-                view = view.told(name, told, now())
+                view = view.with_listing(name, told, now())
             else:
-                view = view.unheard(name, str(told))
+                view = view.with_problem(name, str(told))
         return view
--- a/latchspoke/agent/config.py
+++ b/latchspoke/agent/config.py
@@ -31,8 +31,10 @@
 
     def limits(self) -> Limits:
         return Limits(
-            start=self.start, drain=self.drain, margin=self.margin, silent=self.silent,
-            pause_least=self.pause, pause_most=self.pause_most, crashes=self.crashes, settle=self.settle,
+            start_timeout_s=self.start, drain_timeout_s=self.drain, kill_margin_s=self.margin,
+            silence_timeout_s=self.silent,
+            min_backoff_s=self.pause, max_backoff_s=self.pause_most, max_crashes=self.crashes,
+            settle_time_s=self.settle,
         )  # fmt: skip
 
 
--- a/latchspoke/agent/operations.py
+++ b/latchspoke/agent/operations.py
@@ -19,7 +19,7 @@
 
 from latchspoke.agent.client import Fleet, RefusedError, UnheardError
 from latchspoke.fleet import wire
-from latchspoke.fleet.rollout import Act, Done, Move, Stand, StepSeen, Stop, Wait, next_move
+from latchspoke.fleet.rollout import Decision, Done, StartSteps, StepState, StepStatus, Stop, Wait, decide
 from latchspoke.fleet.view import FleetView
 
 log = structlog.get_logger("operation")
@@ -27,7 +27,7 @@
 TTL = 20.0  # s; a tool that dies holds up others no longer than this
 RENEW_PART = 0.25  # of that; then they are renewed
 LOOK = 0.2  # s between looks while steps are under way
-STANDS = {"doing": Stand.DOING, "done": Stand.DONE, "failed": Stand.FAILED}
+STANDS = {"doing": StepState.RUNNING, "done": StepState.DONE, "failed": StepState.FAILED}
 
 
 class Outcome(msgspec.Struct, frozen=True):
@@ -83,7 +83,7 @@
         plan: wire.OperationPlan,
         view: FleetView,
         clock: Callable[[], float] = time.time,
-        on_progress: Callable[[Operation, Move], None] = lambda operation, move: None,
+        on_progress: Callable[[Operation, Decision], None] = lambda operation, move: None,
         fence: Callable[[], dict[str, int]] = dict,
         ttl: float | None = None,
     ) -> None:
@@ -94,7 +94,7 @@
         self.personal = True  # an end from outside is a person's word
         self.fleet, self.plan, self.view, self.clock = fleet, plan, view, clock
         self.on_progress = on_progress
-        self.steps: dict[str, StepSeen] = {}
+        self.steps: dict[str, StepStatus] = {}
         self.infos: dict[str, wire.StepInfo] = {}
         self.tokens: dict[str, dict[str, int]] = {}  # by agent, by instance
         self.short_since: float | None = None
@@ -127,7 +127,7 @@
         finally:
             if renewing is not None:
                 renewing.cancel()
-        state, detail = ("stopped", move.why) if isinstance(move, Stop) else ("done", "")
+        state, detail = ("stopped", move.reason) if isinstance(move, Stop) else ("done", "")
         await self.close(state, detail)
         return self.report(state, detail)
 
@@ -185,20 +185,20 @@
         while True:
             await self.look()
             now = self.clock()
-            move = next_move(self.plan, self.steps, self.available(), now, self.short_since)
+            move = decide(self.plan, self.steps, self.available(), now, self.short_since)
             self.on_progress(self, move)
             self.short_since = self.still_short(move, now)
             match move:
-                case Act(names):
+                case StartSteps(names):
                     await self.begin(names)
                 case Wait():
                     await asyncio.sleep(LOOK)
                 case Stop() | Done():
                     return move
 
-    def still_short(self, move: Move, now: float) -> float | None:
+    def still_short(self, move: Decision, now: float) -> float | None:
         """Since when too few have been available with nothing under way that could change it."""
-        if isinstance(move, Wait) and "must be left" in move.why:
+        if isinstance(move, Wait) and "must be left" in move.reason:
             return self.short_since if self.short_since is not None else now
         return None
 
@@ -224,7 +224,7 @@
             if info is not None:
                 self.infos[ident] = info
                 self.set(ident, STANDS[info.state], info.ended_at or info.since, info.detail)
-            elif ident in self.steps and self.steps[ident].stand is Stand.UNKNOWN:
+            elif ident in self.steps and self.steps[ident].state is StepState.UNKNOWN:
                 # It was asked for, and the agent's record says that it was never begun.
                 del self.steps[ident]
 
@@ -232,13 +232,13 @@
         """Steps that were under way there, or may be, are unknown from now on; those over are over."""
         for name in self.targets[agent]:
             ident = f"{agent}/{name}"
-            if self.steps.get(ident, StepSeen()).stand is Stand.DOING:
-                self.set(ident, Stand.UNKNOWN, self.clock(), why)
+            if self.steps.get(ident, StepStatus()).state is StepState.RUNNING:
+                self.set(ident, StepState.UNKNOWN, self.clock(), why)
 
-    def set(self, ident: str, stand: Stand, at: float, detail: str) -> None:
+    def set(self, ident: str, stand: StepState, at: float, detail: str) -> None:
         old = self.steps.get(ident)
-        if old is None or (old.stand, old.detail) != (stand, detail):
-            self.steps[ident] = StepSeen(stand, at, detail)
+        if old is None or (old.state, old.detail) != (stand, detail):
+            self.steps[ident] = StepStatus(stand, at, detail)
             self.log.info("step", instance=ident, stand=stand.value, detail=detail)
 
     async def begin(self, names: tuple[str, ...]) -> None:
@@ -250,9 +250,9 @@
         try:
             info = await self.ask_step(agent, name)
         except UnheardError as e:
-            self.set(ident, Stand.UNKNOWN, self.clock(), str(e))
+            self.set(ident, StepState.UNKNOWN, self.clock(), str(e))
         except RefusedError as e:
-            self.set(ident, Stand.FAILED, self.clock(), str(e))
+            self.set(ident, StepState.FAILED, self.clock(), str(e))
         else:
             self.infos[ident] = info
             self.set(ident, STANDS[info.state], info.ended_at or info.since, info.detail)
@@ -287,13 +287,14 @@
 
     def outcome(self, ident: str) -> Outcome:
         seen, step, info = self.view.instances.get(ident), self.steps.get(ident), self.infos.get(ident)
-        stand = step.stand if step is not None else Stand.TODO
+        stand = step.state if step is not None else StepState.PENDING
         words = {
-            Stand.TODO: "not begun", Stand.DOING: "unknown", Stand.DONE: "done", Stand.FAILED: "failed",
-            Stand.UNKNOWN: "unknown",
+            StepState.PENDING: "not begun", StepState.RUNNING: "unknown", StepState.DONE: "done",
+            StepState.FAILED: "failed",
+            StepState.UNKNOWN: "unknown",
         }  # fmt: skip
         told = step.detail if step is not None else ""
-        if stand is Stand.DOING:
+        if stand is StepState.RUNNING:
             told = f"still under way: {seen.status.state if seen else 'never heard'}"
             if seen and "silent" in seen.status.state:
                 told += f", last answered {self.clock() - seen.status.answered_at:.1f} s ago"
@@ -301,7 +302,7 @@
             ident, words[stand], told,
             state=seen.state if seen else "unknown",
             last_known=seen.status.state if seen else "",
-            heard_ago=round(max(self.clock() - seen.heard_at, 0.0), 1) if seen else -1.0,
+            heard_ago=round(max(self.clock() - seen.received_at, 0.0), 1) if seen else -1.0,
             began=info.since if info else 0.0, ended=info.ended_at if info else 0.0,
         )  # fmt: skip
 
@@ -322,7 +323,7 @@
     fleet: Fleet,
     ident: str,
     view: FleetView,
-    on_progress: Callable[[Operation, Move], None],
+    on_progress: Callable[[Operation, Decision], None],
     fence: Callable[[], dict[str, int]] = dict,
     ttl: float | None = None,
 ) -> Operation:
--- a/latchspoke/agent/own.py
+++ b/latchspoke/agent/own.py
@@ -28,8 +28,8 @@
 from latchspoke.duties.records import Answer, Beat, Candidate, Define, Rule
 from latchspoke.fleet import census, wire
 from latchspoke.fleet.compare import compare
-from latchspoke.fleet.resuming import Orphans
-from latchspoke.fleet.rollout import Move
+from latchspoke.fleet.orphaned_operations import OrphanTracker
+from latchspoke.fleet.rollout import Decision
 from latchspoke.fleet.view import FleetView
 
 log = structlog.get_logger("agent.duties")
@@ -162,13 +162,13 @@
 
     async def resume_always(self) -> None:
         """Look, go on with what its tool has left, look again."""
-        orphans = Orphans(self.record.quiet)
+        orphans = OrphanTracker(self.record.quiet)
         while True:
             told = await self.fleet.ask(lambda client: client.operations())
             listings = await self.fleet.ask(lambda client: client.listing())
-            for ident in orphans.due(told, listings, clock()):
+            for ident in orphans.due_operations(told, listings, clock()):
                 if not await self.resume(ident):
-                    orphans.in_vain(ident, clock())
+                    orphans.record_failure(ident, clock())
             await asyncio.sleep(min(self.record.every, self.record.quiet / 2))
 
     async def resume(self, ident: str) -> bool:
@@ -190,13 +190,13 @@
     # `census`.
 
     async def census_always(self) -> None:
-        news = census.News()
+        news = census.FindingTracker()
         while True:
             found = await self.look_at_fleet()
             shown = await self.driver.ask(look=Look(findings.NAME))
             if isinstance(shown, Shown):
                 known: findings.Findings = msgspec.msgpack.decode(shown.body, type=findings.Findings)
-                new, over = news.of(found, {key: one.text for key, one in known.open.items()})
+                new, over = news.update(found, {key: one.text for key, one in known.open.items()})
                 if new or over:
                     await self.report(new, over, known)
             await asyncio.sleep(self.record.every)
@@ -218,7 +218,7 @@
             for name in up:
                 views[f"{agent}/{name}"] = told.views.get(name) or told.missing.get(name, "gave no view")
             await asyncio.sleep(pause)
-        return census.findings(compare(views), silent)
+        return census.collect_findings(compare(views), silent)
 
     async def report(self, new: dict[str, str], over: tuple[str, ...], known: findings.Findings) -> None:
         told = findings.Report(CENSUS, self.token(CENSUS), time.time(), new, over)
@@ -233,5 +233,5 @@
             self.note("census-over", "", key)
 
 
-def quietly(operation: Operation, move: Move) -> None:
+def quietly(operation: Operation, move: Decision) -> None:
     """Each step is in its agent's record anyway."""
--- a/latchspoke/agent/supervisor.py
+++ b/latchspoke/agent/supervisor.py
@@ -23,7 +23,7 @@
 from latchspoke.agent.process import Launcher, Process
 from latchspoke.agent.store import Step, Store, StoreError, Writer
 from latchspoke.fleet import claims, lifecycle, steps, wire
-from latchspoke.fleet.lifecycle import Answered, Exited, Instance, Note, Phase, Signal, Spawn, Spawned
+from latchspoke.fleet.lifecycle import Answered, Exited, Instance, Phase, RecordEvent, Signal, Spawn, Spawned
 
 log = structlog.get_logger("agent")
 
@@ -69,7 +69,7 @@
         self.clock, self.draw = clock, draw
         self.launcher = Launcher(config.home)
         self.runtimes: dict[str, Runtime] = {}
-        self.claims: claims.Claims = claims.EMPTY
+        self.claims: claims.Claims = claims.NO_CLAIMS
         self.fences: dict[str, int] = {}
         self.open: dict[tuple[str, str], Step] = {}
         self.revision = 0
@@ -95,7 +95,7 @@
         await asyncio.gather(*(self.find(runtime) for runtime in self.runtimes.values()))
         for name, runtime in self.runtimes.items():
             if self.store is not None and name not in known and runtime.record.start:
-                self.give(runtime, lifecycle.AskStart())
+                self.give(runtime, lifecycle.StartRequested())
         self.ticked_at = self.clock()
         self.spend(self.tick_always())
 
@@ -185,7 +185,7 @@
             if step is not None:
                 writer.step(step)
             for note in effects:
-                if isinstance(note, Note):
+                if isinstance(note, RecordEvent):
                     info = step.info if step is not None else None
                     self.note(writer, note.kind, state.name, note.detail, info.operation if info else "")
         self.told_news()
@@ -257,8 +257,8 @@
         for runtime in self.runtimes.values():
             if runtime.unsaved:
                 self.save_late(runtime)
-            due = lifecycle.due(runtime.state, runtime.limits)
-            excused = runtime.state.phase in SILENCE and now < self.woke_at + runtime.limits.silent
+            due = lifecycle.next_tick_at(runtime.state, runtime.limits)
+            excused = runtime.state.phase in SILENCE and now < self.woke_at + runtime.limits.silence_timeout_s
             if due is not None and due <= now and self.store is not None and not excused:
                 self.give(runtime, lifecycle.Tick())
         for step in list(self.open.values()):
@@ -267,7 +267,7 @@
 
     def save_late(self, runtime: Runtime) -> None:
         try:
-            self.save(runtime.state, [Note("recorded-late", runtime.state.phase.value)])
+            self.save(runtime.state, [RecordEvent("recorded-late", runtime.state.phase.value)])
         except StoreError as e:
             self.lost_store(e)
             return
@@ -286,7 +286,9 @@
         """Whether steps on this instance are over."""
         for step in [s for s in self.open.values() if s.info.instance == runtime.state.name]:
             info, now = step.info, self.clock()
-            verdict = steps.verdict(info.action, step.base, runtime.state, info.until, now, runtime.limits)
+            verdict = steps.step_outcome(
+                info.action, step.base, runtime.state, info.until, now, runtime.limits
+            )
             if verdict.state == "doing" or runtime.unsaved:
                 continue
             over = msgspec.structs.replace(info, state=verdict.state, detail=verdict.detail, ended_at=now)
@@ -374,11 +376,11 @@
         """Begin a step, once: asked again, the answer is how it stands."""
         store, runtime, now = self.write(), self.runtime(asked.instance), self.clock()
         self.heed(asked.fence, who)
-        event = steps.EVENTS.get(asked.action)
+        event = steps.ACTION_EVENTS.get(asked.action)
         if event is None:
             raise RefusalError(400, "bad-request", f"no such action: {asked.action}")
         try:
-            claim = claims.check(self.claims, asked.instance, asked.token, now)
+            claim = claims.check_token(self.claims, asked.instance, asked.token, now)
         except claims.ClaimRefusedError as e:
             self.record("step-refused", instance=asked.instance, operation=asked.operation, operator=who,
                         detail=e.reason)  # fmt: skip
@@ -394,13 +396,13 @@
         )  # fmt: skip
         try:
             state, effects = lifecycle.handle(base, event, now, runtime.limits, self.draw())
-        except lifecycle.NotNowError as e:
+        except lifecycle.InvalidPhaseError as e:
             # On record too: whoever goes on with the operation must not try it again and again.
             over = msgspec.structs.replace(info, state="failed", detail=str(e), ended_at=now)
-            self.save(base, [Note("step-failed", str(e))], step=Step(over, base))
+            self.save(base, [RecordEvent("step-failed", str(e))], step=Step(over, base))
             return over
         begun = Step(info, base)
-        self.save(state, [Note("step-begun", f"{asked.action} by {who}"), *effects], step=begun)
+        self.save(state, [RecordEvent("step-begun", f"{asked.action} by {who}"), *effects], step=begun)
         self.open[asked.operation, asked.instance] = begun
         runtime.state, runtime.unsaved = state, False
         self.act(runtime, effects)
@@ -433,7 +435,7 @@
         known = self.operation(ident)
         now = self.clock()
         for claim in self.claims.values():
-            if claim.operation == ident and claim.holder != who and claim.live(now):
+            if claim.operation == ident and claim.holder != who and claim.is_live(now):
                 # A tool that woke up late must not end what another has gone on with.
                 raise RefusalError(409, "claimed", f"{claim.holder} is going on with {ident}", claim)
         closed = msgspec.structs.replace(known, state=asked.state, detail=asked.detail, steps=[])
@@ -475,14 +477,15 @@
         step = max((s.info for s in self.open.values() if s.info.instance == name),
                    key=lambda info: info.since, default=None)  # fmt: skip
         return wire.InstanceStatus(
-            name, runtime.record.zone, state.word(now, runtime.limits), state.phase.value, state.goal.value,
+            name, runtime.record.zone, state.state_label(now, runtime.limits), state.phase.value,
+            state.goal.value,
             state.since, listen=runtime.record.listen, pid=state.pid, launch=state.launch,
             end=state.end.value, end_detail=state.end_detail, ended_at=state.ended_at,
             crashes=state.crashes, retry_at=state.retry_at, kill_at=state.kill_at,
             answered_at=state.answered_at, version=view.get("version", ""),
             settings=view.get("settings", {}).get("digest", ""),
             taken_up=view.get("file", {}).get("taken_up"),
-            claim=claim_info(claim) if claim is not None and claim.live(now) else None, step=step,
+            claim=claim_info(claim) if claim is not None and claim.is_live(now) else None, step=step,
         )  # fmt: skip
 
 
--- a/latchspoke/console/fleet.py
+++ b/latchspoke/console/fleet.py
@@ -77,8 +77,8 @@
 from latchspoke.console.usage import UsageError, read_duration, read_usage, read_whole
 from latchspoke.fleet import wire
 from latchspoke.fleet.compare import compare
-from latchspoke.fleet.rollout import waves
-from latchspoke.fleet.view import FleetView, Seen, SelectorError, changes, read_selector, select
+from latchspoke.fleet.rollout import build_waves
+from latchspoke.fleet.view import FleetView, InstanceView, SelectorError, changes, parse_selector, select
 from latchspoke.keys.authority import KeysError
 from latchspoke.keys.tls import Identity
 from latchspoke.records import RecordError
@@ -115,7 +115,7 @@
     async def look(self) -> FleetView:
         return await self.fleet.look(FleetView(), time.time)
 
-    async def chosen(self) -> tuple[FleetView, list[Seen]]:
+    async def chosen(self) -> tuple[FleetView, list[InstanceView]]:
         view = await self.look()
         return view, select(view, self.args["SELECTOR"])
 
@@ -134,20 +134,20 @@
             session.console.print(line, style="yellow")
 
     session.put({"instances": [plain(s, now) for s in seen], "remarks": notes}, show)
-    return 4 if view.silent_agents() or any(s.problem for s in seen) else 0
+    return 4 if view.unreachable_agents() or any(s.problem for s in seen) else 0
 
 
-def plain(seen: Seen, now: float) -> dict[str, Any]:
+def plain(seen: InstanceView, now: float) -> dict[str, Any]:
     return {
         "id": seen.id,
         "state": seen.state,
         "problem": seen.problem,
-        "heard_ago": round(now - seen.heard_at, 3),
+        "heard_ago": round(now - seen.received_at, 3),
         "status": seen.status,
     }
 
 
-async def views_of(session: Session, seen: list[Seen]) -> dict[str, dict[str, Any] | str]:
+async def views_of(session: Session, seen: list[InstanceView]) -> dict[str, dict[str, Any] | str]:
     """The gateways' own views by id, or why there is none; one question an agent."""
     by_agent: dict[str, list[str]] = {}
     told: dict[str, dict[str, Any] | str] = {s.id: s.problem for s in seen if s.problem}
@@ -179,7 +179,7 @@
     # What is meant to be down has no view, and that is no disagreement.
     wanted = [s for s in seen if s.problem or s.status.goal == "up"]
     told = compare(await views_of(session, wanted))
-    silent = [agent.problem for agent in view.silent_agents()]
+    silent = [agent.problem for agent in view.unreachable_agents()]
 
     def show() -> None:
         for line in [*tables.comparison_lines(told), *silent]:
@@ -188,7 +188,7 @@
             session.console.print(f"{len(told.compared)} instances agree")
 
     session.put({"comparison": told, "silent": silent, "agree": told.agree and not silent}, show)
-    if told.unheard or silent:
+    if told.unreachable or silent:
         return 4
     return 0 if told.agree else 3
 
@@ -202,7 +202,7 @@
         fitting = {s.id for version in (view, later) for s in select(version, names)}
         for change in changes(view, later):
             if change.id in fitting:
-                tell_change(session, change.id, change.words())
+                tell_change(session, change.id, change.describe())
         view = later
         await asyncio.sleep(WATCH)
     return 0
@@ -316,10 +316,12 @@
     A roll over those that are heard could take down the last one that serves. Naming hosts says that the
     others are not meant.
     """
-    hosts = [p for word in args["SELECTOR"] for key, ps in [read_selector(word)] if key == "host" for p in ps]
+    hosts = [
+        p for word in args["SELECTOR"] for key, ps in [parse_selector(word)] if key == "host" for p in ps
+    ]
     dark = [
         agent.problem
-        for agent in view.silent_agents()
+        for agent in view.unreachable_agents()
         if not hosts or any(fnmatchcase(agent.name, pattern) for pattern in hosts)
     ]
     if dark and not args["--despite-silence"]:
@@ -329,19 +331,19 @@
         )
 
 
-def make_plan(session: Session, view: FleetView, seen: list[Seen]) -> wire.OperationPlan:
+def make_plan(session: Session, view: FleetView, seen: list[InstanceView]) -> wire.OperationPlan:
     args = session.args
     word = next(w for w in ("start", "stop", "drain", "restart", "reload", "roll") if args[w])
     action = {"stop": "drain", "roll": "restart"}.get(word, word)
     names = [s.id for s in seen]
     zones = {s.id: s.status.zone for s in seen}
     if word == "roll":
-        made = waves(
+        made = build_waves(
             names, zones, read_whole(session.args, "--wave", 1), read_whole(session.args, "--canary")
         )
         least = max(len(names) - read_whole(session.args, "--max-unavailable", 1), 0)
     else:
-        made = waves(names, zones, 1) if word == "drain" else [sorted(names)]
+        made = build_waves(names, zones, 1) if word == "drain" else [sorted(names)]
         least = read_whole(session.args, "--keep")
     # For what must be left, the whole fleet counts when a number was named, and else what is selected.
     members = names if word == "roll" else [s.id for s in view.sorted()]
--- a/latchspoke/console/tables.py
+++ b/latchspoke/console/tables.py
@@ -13,8 +13,8 @@
 
 from latchspoke.agent.operations import Operation, Report
 from latchspoke.fleet.compare import Comparison
-from latchspoke.fleet.rollout import Act, Done, Move, Stop, Wait
-from latchspoke.fleet.view import AgentSeen, FleetView, Seen
+from latchspoke.fleet.rollout import Decision, Done, StartSteps, Stop, Wait
+from latchspoke.fleet.view import AgentView, FleetView, InstanceView
 
 GOOD, BAD, BUSY = "green", "red", "yellow"
 COLOURS = {
@@ -46,7 +46,7 @@
     return made
 
 
-def listing(seen: Iterable[Seen], now: float) -> Table:
+def listing(seen: Iterable[InstanceView], now: float) -> Table:
     made = table("instance", "zone", "state", "for", "launch", "version", "settings", "last end", "remark")
     for item in seen:
         status = item.status
@@ -59,11 +59,11 @@
     return made
 
 
-def remark(item: Seen, now: float) -> str:
+def remark(item: InstanceView, now: float) -> str:
     """What an operator should know of it beside its state."""
     status, parts = item.status, []
     if item.problem:
-        parts.append(f"{item.problem}; was {status.state} {age(now - item.heard_at)} ago")
+        parts.append(f"{item.problem}; was {status.state} {age(now - item.received_at)} ago")
     if "silent" in status.state and status.answered_at:
         parts.append(f"last answered {age(now - status.answered_at)} ago")
     if status.kill_at > now:
@@ -77,7 +77,7 @@
     return "; ".join(parts)
 
 
-def agents_remarks(agents: Iterable[AgentSeen], now: float) -> list[str]:
+def agents_remarks(agents: Iterable[AgentView], now: float) -> list[str]:
     """Lines below a listing: agents that are not heard, can't write, or whose certificate ends soon."""
     lines = []
     for agent in agents:
@@ -111,13 +111,13 @@
             mark = "" if difference.majority is None or value == difference.majority else "  <- differs"
             lines.append(f"    {value!r}: {', '.join(names)}{mark}")
     lines += [f"{name}: {why}" for name, why in told.stale]
-    lines += [f"{name}: not compared, {why}" for name, why in told.unheard]
+    lines += [f"{name}: not compared, {why}" for name, why in told.unreachable]
     return lines
 
 
-def move_words(move: Move) -> str:
+def move_words(move: Decision) -> str:
     match move:
-        case Act(names):
+        case StartSteps(names):
             return f"begins {', '.join(names)}"
         case Wait(why, until):
             left = f", {max(until - time.time(), 0):.0f} s left" if until is not None else ""
@@ -144,7 +144,7 @@
         if self.shown:
             self.live.stop()
 
-    def __call__(self, operation: Operation, move: Move) -> None:
+    def __call__(self, operation: Operation, move: Decision) -> None:
         if not self.shown:
             return
         made = table("instance", "step", "state", "detail")
--- a/latchspoke/fleet/census.py
+++ b/latchspoke/fleet/census.py
@@ -8,36 +8,36 @@
 
 from latchspoke.fleet.compare import Comparison, Difference
 
-CALM = 2  # censuses in a row without a finding, before it counts as over: what flaps is raised once
-NAMES_MOST = 5  # that a text names
+CLEAR_AFTER = 2  # censuses in a row without a finding, before it counts as over: what flaps is raised once
+MAX_NAMES = 5  # that a text names
 
 
-def names_in_words(names: tuple[str, ...]) -> str:
-    more = len(names) - NAMES_MOST
-    return ", ".join(names[:NAMES_MOST]) + (f" and {more} more" if more > 0 else "")
+def format_names(names: tuple[str, ...]) -> str:
+    omitted = len(names) - MAX_NAMES
+    return ", ".join(names[:MAX_NAMES]) + (f" and {omitted} more" if omitted > 0 else "")
 
 
-def in_words(difference: Difference) -> str:
+def describe_difference(difference: Difference) -> str:
     """The sides, the largest first."""
-    sides = (f"{json.dumps(value)}: {names_in_words(names)}" for value, names in difference.holders)
+    sides = (f"{json.dumps(value)}: {format_names(names)}" for value, names in difference.holders)
     return "; ".join(sides)
 
 
-def findings(compared: Comparison, silent: Mapping[str, str]) -> dict[str, str]:
+def collect_findings(comparison: Comparison, unreachable_agents: Mapping[str, str]) -> dict[str, str]:
     """By key, in words: who differs on what, who has not taken up its file, what can't be known."""
-    found = {f"differs {d.path}": in_words(d) for d in compared.differences}
-    found |= {f"out of date {name}": why for name, why in compared.stale}
-    found |= {f"unheard {name}": why for name, why in compared.unheard}
-    return found | {f"unheard agent {name}": why for name, why in silent.items()}
+    found = {f"differs {d.path}": describe_difference(d) for d in comparison.differences}
+    found |= {f"out of date {name}": why for name, why in comparison.stale}
+    found |= {f"unheard {name}": why for name, why in comparison.unreachable}
+    return found | {f"unheard agent {name}": why for name, why in unreachable_agents.items()}
 
 
 @dataclass(slots=True)
-class News:
+class FindingTracker:
     """What a holder of the census remembers between two of them."""
 
-    calm: dict[str, int] = field(default_factory=dict)
+    clear_counts: dict[str, int] = field(default_factory=dict)
 
-    def of(
+    def update(
         self, found: Mapping[str, str], known: Mapping[str, str]
     ) -> tuple[dict[str, str], tuple[str, ...]]:
         """What is to be reported beside what is on record: new or other findings, and those over.
@@ -45,8 +45,8 @@
         A text that alone has changed is reported too, as who disagrees matters as much as on what.
         """
         for key in known:
-            self.calm[key] = 0 if key in found else self.calm.get(key, 0) + 1
-        for key in [key for key in self.calm if key not in known]:
-            del self.calm[key]
+            self.clear_counts[key] = 0 if key in found else self.clear_counts.get(key, 0) + 1
+        for key in [key for key in self.clear_counts if key not in known]:
+            del self.clear_counts[key]
         new = {key: text for key, text in found.items() if known.get(key) != text}
-        return new, tuple(sorted(key for key, times in self.calm.items() if times >= CALM))
+        return new, tuple(sorted(key for key, count in self.clear_counts.items() if count >= CLEAR_AFTER))
--- a/latchspoke/fleet/claims.py
+++ b/latchspoke/fleet/claims.py
@@ -12,7 +12,7 @@
 
 import immutables
 
-TTL_MOST = 120.0  # s; a dead holder blocks others no longer than this
+MAX_TTL_S = 120.0  # s; a dead holder blocks others no longer than this
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     expires: float
     released: bool = False
 
-    def live(self, now: float) -> bool:
+    def is_live(self, now: float) -> bool:
         return not self.released and now < self.expires
 
 
@@ -40,7 +40,7 @@
 
 
 Claims = immutables.Map[str, Claim]  # by instance; a released or lapsed one is kept for its token
-EMPTY: Claims = immutables.Map()
+NO_CLAIMS: Claims = immutables.Map()
 
 
 def acquire(
@@ -51,45 +51,49 @@
     That is how an operator goes on with an operation whose tool has died: steps of the dead tool that
     are still under way carry the old token.
     """
-    if not 0 < ttl <= TTL_MOST:
-        raise ValueError(f"a claim lasts more than 0 and at most {TTL_MOST:g} s, not {ttl:g}")
-    taken = claims
+    if not 0 < ttl <= MAX_TTL_S:
+        raise ValueError(f"a claim lasts more than 0 and at most {MAX_TTL_S:g} s, not {ttl:g}")
+    claimed = claims
     for name in sorted(set(instances)):
-        old = claims.get(name)
-        if old is not None and old.live(now) and (old.operation, old.holder) != (operation, holder):
-            raise ClaimRefusedError(f"{name} is claimed", old)
-        token = old.token + 1 if old is not None else 1
-        taken = taken.set(name, Claim(name, token, holder, operation, now, now + ttl))
-    return taken
+        previous = claims.get(name)
+        if (
+            previous is not None
+            and previous.is_live(now)
+            and (previous.operation, previous.holder) != (operation, holder)
+        ):
+            raise ClaimRefusedError(f"{name} is claimed", previous)
+        token = previous.token + 1 if previous is not None else 1
+        claimed = claimed.set(name, Claim(name, token, holder, operation, now, now + ttl))
+    return claimed
 
 
 def renew(claims: Claims, tokens: dict[str, int], ttl: float, now: float) -> Claims:
     """A claim that has lapsed is not renewed: somebody may have looked and found it free."""
     renewed = claims
     for name, token in sorted(tokens.items()):
-        claim = check(claims, name, token, now)
-        renewed = renewed.set(name, replace(claim, expires=now + min(ttl, TTL_MOST)))
+        claim = check_token(claims, name, token, now)
+        renewed = renewed.set(name, replace(claim, expires=now + min(ttl, MAX_TTL_S)))
     return renewed
 
 
 def release(claims: Claims, tokens: dict[str, int]) -> Claims:
     """Give back those that are still one's own; the token stays known, so that it never comes again."""
-    left = claims
+    remaining = claims
     for name, token in tokens.items():
         claim = claims.get(name)
         if claim is not None and claim.token == token:
-            left = left.set(name, replace(claim, released=True))
-    return left
+            remaining = remaining.set(name, replace(claim, released=True))
+    return remaining
 
 
-def check(claims: Claims, instance: str, token: int, now: float) -> Claim:
+def check_token(claims: Claims, instance: str, token: int, now: float) -> Claim:
     """The claim by which a step may be done, or why not."""
     claim = claims.get(instance)
     if claim is None:
         raise ClaimRefusedError(f"{instance} is not claimed", None)
     if claim.token != token:
         raise ClaimRefusedError(f"token {token} for {instance} is not the newest", claim)
-    if not claim.live(now):
+    if not claim.is_live(now):
         raise ClaimRefusedError(
             f"the claim on {instance} has {'been released' if claim.released else 'lapsed'}", claim
         )
--- a/latchspoke/fleet/compare.py
+++ b/latchspoke/fleet/compare.py
@@ -15,8 +15,8 @@
 
 MISSING = "(missing)"
 # Paths of a gateway's view that should be the same all over a fleet.
-SHARED = ("version", "settings.*", "discovery.address", "counter.address")
-OWN = ("settings.index",)
+SHARED_PATHS = ("version", "settings.*", "discovery.address", "counter.address")
+INSTANCE_PATHS = ("settings.index",)
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,10 +27,10 @@
     holders: tuple[tuple[Any, tuple[str, ...]], ...]  # value and names, the most first
     majority: Any
 
-    def odd_ones(self) -> tuple[str, ...]:
+    def deviating(self) -> tuple[str, ...]:
         """Who does not hold the majority's value; all, where there is none."""
-        most = self.holders[0][1] if self.majority is not None else ()
-        return tuple(name for _, names in self.holders for name in names if name not in most)
+        majority_names = self.holders[0][1] if self.majority is not None else ()
+        return tuple(name for _, names in self.holders for name in names if name not in majority_names)
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,14 +38,14 @@
     """``compared`` gave a view; ``unheard`` did not, with why; ``stale`` have not taken their file up."""
 
     compared: tuple[str, ...]
-    unheard: tuple[tuple[str, str], ...]
+    unreachable: tuple[tuple[str, str], ...]
     differences: tuple[Difference, ...]
     stale: tuple[tuple[str, str], ...]
 
     @property
     def agree(self) -> bool:
         """Only where all were heard and nothing differs: silence is no agreement."""
-        return not (self.unheard or self.differences or self.stale)
+        return not (self.unreachable or self.differences or self.stale)
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
@@ -54,41 +54,45 @@
         for name, item in value.items():
             yield from flatten(item, f"{path}.{name}" if path else str(name))
     elif isinstance(value, list | tuple) and value:
-        for place, item in enumerate(value):
-            yield from flatten(item, f"{path}[{place}]")
+        for index, item in enumerate(value):
+            yield from flatten(item, f"{path}[{index}]")
     else:
         yield path, value
 
 
-def wanted(path: str, shared: Iterable[str], own: Iterable[str]) -> bool:
-    return any(fnmatchcase(path, p) for p in shared) and not any(fnmatchcase(path, p) for p in own)
+def is_compared(path: str, shared: Iterable[str], excluded: Iterable[str]) -> bool:
+    return any(fnmatchcase(path, pattern) for pattern in shared) and not any(
+        fnmatchcase(path, pattern) for pattern in excluded
+    )
 
 
 def compare(
     views: Mapping[str, Mapping[str, Any] | str],
-    shared: Iterable[str] = SHARED,
-    own: Iterable[str] = OWN,
+    shared: Iterable[str] = SHARED_PATHS,
+    excluded: Iterable[str] = INSTANCE_PATHS,
 ) -> Comparison:
     """``views`` by instance; a text in a view's place says why there is none."""
-    heard = {name: view for name, view in views.items() if not isinstance(view, str)}
-    unheard = tuple((name, view) for name, view in sorted(views.items()) if isinstance(view, str))
-    shared, own = tuple(shared), tuple(own)
+    reachable = {name: view for name, view in views.items() if not isinstance(view, str)}
+    unreachable = tuple((name, view) for name, view in sorted(views.items()) if isinstance(view, str))
+    shared, excluded = tuple(shared), tuple(excluded)
     # One dictionary a path, value by name; a thousand equal views cost their reading and nothing else.
     columns: dict[str, dict[str, Any]] = {}
-    for name, view in heard.items():
+    for name, view in reachable.items():
         for path, value in flatten(view):
             columns.setdefault(path, {})[name] = value
     found = []
     for path in sorted(columns):
-        if wanted(path, shared, own) and (difference := differ(path, columns[path], heard)):
+        if is_compared(path, shared, excluded) and (
+            difference := find_difference(path, columns[path], reachable)
+        ):
             found.append(difference)
     # Digests differ wherever a figure does: they speak only where no figure tells what it is.
     if any(not d.path.endswith("digest") for d in found):
         found = [d for d in found if not d.path.endswith("digest")]
-    return Comparison(tuple(sorted(heard)), unheard, tuple(found), tuple(stale(heard)))
+    return Comparison(tuple(sorted(reachable)), unreachable, tuple(found), tuple(find_stale(reachable)))
 
 
-def differ(path: str, column: Mapping[str, Any], names: Iterable[str]) -> Difference | None:
+def find_difference(path: str, column: Mapping[str, Any], names: Iterable[str]) -> Difference | None:
     groups: dict[str, tuple[Any, list[str]]] = {}
     total = 0
     for name in names:
@@ -103,7 +107,7 @@
     return Difference(path, holders, majority)
 
 
-def stale(views: Mapping[str, Mapping[str, Any]]) -> Iterator[tuple[str, str]]:
+def find_stale(views: Mapping[str, Mapping[str, Any]]) -> Iterator[tuple[str, str]]:
     """Who holds a file that it does not go by, and how that came."""
     for name in sorted(views):
         file = views[name].get("file")
@@ -112,6 +116,6 @@
         if file.get("error"):
             yield name, f"its file can't be used: {file['error']}"
             continue
-        ours = views[name].get("settings", {}).get("digest")
-        changed = "settings" if ours != file.get("digest") else "addresses"
+        active_digest = views[name].get("settings", {}).get("digest")
+        changed = "settings" if active_digest != file.get("digest") else "addresses"
         yield name, f"its file has other {changed}, not taken up"
--- a/latchspoke/fleet/lifecycle.py
+++ b/latchspoke/fleet/lifecycle.py
@@ -36,7 +36,7 @@
     FAILED = "failed"
 
 
-class End(Enum):
+class ExitReason(Enum):
     """How a process ended. Each word calls for something else from an operator."""
 
     NONE = "none"
@@ -53,19 +53,19 @@
 class Limits:
     """Times in seconds. ``drain`` is the longest deadline; no SIGKILL before that plus ``margin``."""
 
-    start: float = 10.0
-    drain: float = 4.0
-    margin: float = 0.7
-    silent: float = 3.0
-    pause_least: float = 0.5
-    pause_most: float = 30.0
-    jitter: float = 0.2
-    crashes: int = 5
-    settle: float = 60.0
-
-    def kill_after(self) -> float:
+    start_timeout_s: float = 10.0
+    drain_timeout_s: float = 4.0
+    kill_margin_s: float = 0.7
+    silence_timeout_s: float = 3.0
+    min_backoff_s: float = 0.5
+    max_backoff_s: float = 30.0
+    jitter_fraction: float = 0.2
+    max_crashes: int = 5
+    settle_time_s: float = 60.0
+
+    def kill_delay_s(self) -> float:
         """So long after SIGTERM a gateway may still be answering what it had taken."""
-        return max(self.drain, 3.0) + self.margin
+        return max(self.drain_timeout_s, 3.0) + self.kill_margin_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,51 +87,53 @@
     retry_at: float = 0.0
     crashes: int = 0
     restart: bool = False
-    end: End = End.NONE
+    end: ExitReason = ExitReason.NONE
     end_detail: str = ""
     ended_at: float = 0.0
 
     @property
     def alive(self) -> bool:
         """Whether a process is there, or is being made."""
-        return self.phase in ALIVE
+        return self.phase in LIVE_PHASES
 
     def silent_for(self, now: float) -> float:
         """How long it has not answered, in seconds; 0 where there is no process."""
         return max(now - max(self.answered_at, self.spawned_at), 0.0) if self.alive else 0.0
 
-    def word(self, now: float, limits: Limits) -> str:
+    def state_label(self, now: float, limits: Limits) -> str:
         """The state in one word for a table; ``draining+silent`` where both hold."""
         if self.phase is Phase.FAILED:
-            return "crash-looping" if self.crashes >= limits.crashes else str(self.end.value)
-        if self.phase is Phase.STOPPED and self.end not in (End.NONE, End.CLEAN):
+            return "crash-looping" if self.crashes >= limits.max_crashes else str(self.end.value)
+        if self.phase is Phase.STOPPED and self.end not in (ExitReason.NONE, ExitReason.CLEAN):
             return str(self.end.value)
-        if self.phase in (Phase.DRAINING, Phase.KILLING) and self.silent_for(now) > limits.silent:
+        if self.phase in (Phase.DRAINING, Phase.KILLING) and self.silent_for(now) > limits.silence_timeout_s:
             return f"{self.phase.value}+silent"
         return str(self.phase.value)
 
 
-ALIVE = frozenset((Phase.STARTING, Phase.READY, Phase.UNREADY, Phase.SILENT, Phase.DRAINING, Phase.KILLING))
-RUNNING = frozenset((Phase.READY, Phase.UNREADY, Phase.SILENT))
+LIVE_PHASES = frozenset(
+    (Phase.STARTING, Phase.READY, Phase.UNREADY, Phase.SILENT, Phase.DRAINING, Phase.KILLING)
+)
+RUNNING_PHASES = frozenset((Phase.READY, Phase.UNREADY, Phase.SILENT))
 
 
 # Events.
 
 
 @dataclass(frozen=True, slots=True)
-class AskStart:
+class StartRequested:
     """Somebody wants it up."""
 
 
 @dataclass(frozen=True, slots=True)
-class AskDrain:
+class DrainRequested:
     """Somebody wants it down, with all it has taken answered; ``then_start`` for a restart."""
 
     then_start: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class AskReload:
+class ReloadRequested:
     """Somebody wants its file read again."""
 
 
@@ -147,7 +149,7 @@
 class SpawnFailed:
     """There could be no process."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,7 +171,7 @@
     """Time has passed."""
 
 
-Event = AskStart | AskDrain | AskReload | Spawned | SpawnFailed | Answered | Exited | Tick
+Event = StartRequested | DrainRequested | ReloadRequested | Spawned | SpawnFailed | Answered | Exited | Tick
 
 
 # Effects.
@@ -191,68 +193,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class RecordEvent:
     """For the record and the log."""
 
     kind: str
     detail: str = ""
 
 
-Effect = Spawn | Signal | Note
-Step = tuple[Instance, list[Effect]]
+Effect = Spawn | Signal | RecordEvent
+Transition = tuple[Instance, list[Effect]]
 
 
-class NotNowError(Exception):
+class InvalidPhaseError(Exception):
     """What was asked can't be done in this phase; the text says why."""
 
 
-def handle(instance: Instance, event: Event, now: float, limits: Limits, draw: float = 0.5) -> Step:
+def handle(
+    instance: Instance, event: Event, now: float, limits: Limits, jitter_sample: float = 0.5
+) -> Transition:
     """The one entry. ``draw`` in 0..1 is the chance that jitters pauses, given from outside."""
     match event:
-        case AskStart():
-            step = ask_start(instance, now)
-        case AskDrain(then_start):
-            step = ask_drain(instance, then_start, now, limits)
-        case AskReload():
-            step = ask_reload(instance)
+        case StartRequested():
+            transition = request_start(instance, now)
+        case DrainRequested(then_start):
+            transition = request_drain(instance, then_start, now, limits)
+        case ReloadRequested():
+            transition = request_reload(instance)
         case Spawned(pid, started):
-            step = spawned(instance, pid, started, now, limits)
-        case SpawnFailed(why):
-            step = ended(instance, End.FAILED_START, why, now, limits, draw)
+            transition = process_spawned(instance, pid, started, now, limits)
+        case SpawnFailed(reason):
+            transition = process_ended(instance, ExitReason.FAILED_START, reason, now, limits, jitter_sample)
         case Answered(ready):
-            step = answered(instance, ready, now, limits)
+            transition = check_answered(instance, ready, now, limits)
         case Exited(status):
-            step = ended(instance, *judge(instance, status), now, limits, draw)
+            transition = process_ended(instance, *classify_exit(instance, status), now, limits, jitter_sample)
         case Tick():
-            step = tick(instance, now, limits)
-    return step
+            transition = tick(instance, now, limits)
+    return transition
 
 
-def ask_start(instance: Instance, now: float) -> Step:
+def request_start(instance: Instance, now: float) -> Transition:
     """A drain that is under way goes on, and the start follows it: what was told is not called back."""
     if instance.phase in (Phase.DRAINING, Phase.KILLING):
-        return replace(instance, goal=Goal.UP, restart=True), [Note("start-after-drain")]
+        return replace(instance, goal=Goal.UP, restart=True), [RecordEvent("start-after-drain")]
     if instance.alive:
         return replace(instance, goal=Goal.UP), []
     return launch(replace(instance, crashes=0), now)
 
 
-def ask_reload(instance: Instance) -> Step:
-    if instance.phase not in RUNNING:
-        raise NotNowError(f"{instance.name} is {instance.phase.value}: only a running one can reload")
-    return instance, [Signal.HUP, Note("reloaded")]
+def request_reload(instance: Instance) -> Transition:
+    if instance.phase not in RUNNING_PHASES:
+        raise InvalidPhaseError(f"{instance.name} is {instance.phase.value}: only a running one can reload")
+    return instance, [Signal.HUP, RecordEvent("reloaded")]
 
 
-def launch(instance: Instance, now: float) -> Step:
-    started = replace(
+def launch(instance: Instance, now: float) -> Transition:
+    launched = replace(
         instance, goal=Goal.UP, phase=Phase.STARTING, since=now, launch=instance.launch + 1, pid=0, started=0,
         spawned_at=now, was_ready=False, answered_at=0.0, terminated_at=0.0, kill_at=0.0, retry_at=0.0,
         restart=False,
     )  # fmt: skip
-    return started, [Spawn(started.launch), Note("starting", f"launch {started.launch}")]
+    return launched, [Spawn(launched.launch), RecordEvent("starting", f"launch {launched.launch}")]
 
 
-def ask_drain(instance: Instance, then_start: bool, now: float, limits: Limits) -> Step:
+def request_drain(instance: Instance, then_start: bool, now: float, limits: Limits) -> Transition:
     goal = Goal.UP if then_start else Goal.DOWN
     if instance.phase in (Phase.DRAINING, Phase.KILLING):
         return replace(instance, goal=goal, restart=then_start), []
@@ -260,102 +264,118 @@
         if then_start:
             return launch(replace(instance, crashes=0), now)
         # One that failed or waits for its next try is only told not to try again.
-        stopped = instance.phase is Phase.STOPPED
+        was_stopped = instance.phase is Phase.STOPPED
         return replace(
-            instance, goal=goal, phase=Phase.STOPPED, since=instance.since if stopped else now, retry_at=0.0
+            instance,
+            goal=goal,
+            phase=Phase.STOPPED,
+            since=instance.since if was_stopped else now,
+            retry_at=0.0,
         ), []
-    kept = replace(
+    draining = replace(
         instance, goal=goal, phase=Phase.DRAINING, since=now, restart=then_start,
-        terminated_at=now, kill_at=now + limits.kill_after(),
+        terminated_at=now, kill_at=now + limits.kill_delay_s(),
     )  # fmt: skip
     # Without a process yet the signal follows as soon as there is one.
-    return kept, [Signal.TERM, Note("draining")] if instance.pid else [Note("draining", "not up yet")]
+    return draining, [Signal.TERM, RecordEvent("draining")] if instance.pid else [
+        RecordEvent("draining", "not up yet")
+    ]
 
 
-def spawned(instance: Instance, pid: int, started: int, now: float, limits: Limits) -> Step:
-    up = replace(instance, pid=pid, started=started, spawned_at=now)
-    if up.phase is Phase.DRAINING:
-        return replace(up, terminated_at=now, kill_at=now + limits.kill_after()), [Signal.TERM]
-    return up, [Note("spawned", f"pid {pid}")]
+def process_spawned(instance: Instance, pid: int, started: int, now: float, limits: Limits) -> Transition:
+    running = replace(instance, pid=pid, started=started, spawned_at=now)
+    if running.phase is Phase.DRAINING:
+        return replace(running, terminated_at=now, kill_at=now + limits.kill_delay_s()), [Signal.TERM]
+    return running, [RecordEvent("spawned", f"pid {pid}")]
 
 
-def answered(instance: Instance, ready: bool, now: float, limits: Limits) -> Step:
-    heard = replace(instance, answered_at=now)
+def check_answered(instance: Instance, ready: bool, now: float, limits: Limits) -> Transition:
+    updated = replace(instance, answered_at=now)
     if instance.phase in (Phase.DRAINING, Phase.KILLING) or not instance.alive:
-        return heard, []
+        return updated, []
     if not ready:
         if instance.phase in (Phase.READY, Phase.SILENT) and instance.was_ready:
-            return replace(heard, phase=Phase.UNREADY, since=now), [Note("unready")]
-        return heard, []
-    crashes = 0 if instance.was_ready and now - instance.spawned_at > limits.settle else instance.crashes
-    heard = replace(heard, was_ready=True, crashes=crashes)
+            return replace(updated, phase=Phase.UNREADY, since=now), [RecordEvent("unready")]
+        return updated, []
+    crashes = (
+        0 if instance.was_ready and now - instance.spawned_at > limits.settle_time_s else instance.crashes
+    )
+    updated = replace(updated, was_ready=True, crashes=crashes)
     if instance.phase is Phase.READY:
-        return heard, []
-    return replace(heard, phase=Phase.READY, since=now), [Note("ready")]
+        return updated, []
+    return replace(updated, phase=Phase.READY, since=now), [RecordEvent("ready")]
 
 
-def judge(instance: Instance, status: int | None) -> tuple[End, str]:
+def classify_exit(instance: Instance, status: int | None) -> tuple[ExitReason, str]:
     """The word for an end, from what was asked, how far it had come, and the status."""
     detail = "nothing says how" if status is None else f"code {status}"
     if status is not None and status > 128:
         detail = f"signal {status - 128}"
     if instance.phase is Phase.KILLING:
-        return End.FORCED, detail
+        return ExitReason.FORCED, detail
     if instance.phase is Phase.DRAINING:
-        return (End.CLEAN if status == 0 else End.LOST_IN_DRAIN), detail
+        return (ExitReason.CLEAN if status == 0 else ExitReason.LOST_IN_DRAIN), detail
     if status is None:
-        return End.VANISHED, detail
+        return ExitReason.VANISHED, detail
     if status > 128:
-        return End.KILLED, detail
-    return (End.CRASHED if instance.was_ready else End.FAILED_START), detail
+        return ExitReason.KILLED, detail
+    return (ExitReason.CRASHED if instance.was_ready else ExitReason.FAILED_START), detail
 
 
-def ended(instance: Instance, end: End, detail: str, now: float, limits: Limits, draw: float) -> Step:
+def process_ended(
+    instance: Instance, end: ExitReason, detail: str, now: float, limits: Limits, jitter_sample: float
+) -> Transition:
     """No process any more: stopped, started again at once, or after a pause that grows."""
-    gone = replace(
+    exited = replace(
         instance, pid=0, started=0, end=end, end_detail=detail, ended_at=now, since=now, kill_at=0.0
     )
-    notes: list[Effect] = [Note("ended", f"{end.value}: {detail}")]
+    events: list[Effect] = [RecordEvent("ended", f"{end.value}: {detail}")]
     if instance.phase in (Phase.DRAINING, Phase.KILLING):
         if not instance.restart:
-            return replace(gone, phase=Phase.STOPPED), notes
-        again, effects = launch(replace(gone, crashes=0), now)
-        return again, notes + effects
+            return replace(exited, phase=Phase.STOPPED), events
+        relaunched, effects = launch(replace(exited, crashes=0), now)
+        return relaunched, events + effects
     crashes = instance.crashes + 1
-    if crashes >= limits.crashes:
-        return replace(gone, phase=Phase.FAILED, crashes=crashes), [
-            *notes,
-            Note("gave-up", f"{crashes} ends in a row"),
+    if crashes >= limits.max_crashes:
+        return replace(exited, phase=Phase.FAILED, crashes=crashes), [
+            *events,
+            RecordEvent("gave-up", f"{crashes} ends in a row"),
         ]
-    pause = min(limits.pause_least * 2.0 ** (crashes - 1), limits.pause_most)
-    pause *= 1 + limits.jitter * (2 * draw - 1)
-    waiting = replace(gone, phase=Phase.WAITING, crashes=crashes, retry_at=now + pause)
-    return waiting, [*notes, Note("waiting", f"{pause:.2f} s before the next try")]
+    backoff = min(limits.min_backoff_s * 2.0 ** (crashes - 1), limits.max_backoff_s)
+    backoff *= 1 + limits.jitter_fraction * (2 * jitter_sample - 1)
+    waiting = replace(exited, phase=Phase.WAITING, crashes=crashes, retry_at=now + backoff)
+    return waiting, [*events, RecordEvent("waiting", f"{backoff:.2f} s before the next try")]
 
 
-def tick(instance: Instance, now: float, limits: Limits) -> Step:
+def tick(instance: Instance, now: float, limits: Limits) -> Transition:
     """What is due by the time alone."""
     if instance.phase is Phase.WAITING and now >= instance.retry_at:
         return launch(instance, now)
     if instance.phase is Phase.DRAINING and instance.pid and now >= instance.kill_at:
         killing = replace(instance, phase=Phase.KILLING, since=now)
-        waited = now - instance.terminated_at
-        return killing, [Signal.KILL, Note("killing", f"{waited:.1f} s after SIGTERM it still ran")]
-    if instance.phase is Phase.STARTING and instance.pid and now - instance.spawned_at > limits.start:
-        return replace(instance, phase=Phase.SILENT, since=now), [Note("silent", "not ready in its time")]
-    if instance.phase in (Phase.READY, Phase.UNREADY) and instance.silent_for(now) > limits.silent:
-        return replace(instance, phase=Phase.SILENT, since=now), [Note("silent")]
+        elapsed = now - instance.terminated_at
+        return killing, [Signal.KILL, RecordEvent("killing", f"{elapsed:.1f} s after SIGTERM it still ran")]
+    if (
+        instance.phase is Phase.STARTING
+        and instance.pid
+        and now - instance.spawned_at > limits.start_timeout_s
+    ):
+        return replace(instance, phase=Phase.SILENT, since=now), [
+            RecordEvent("silent", "not ready in its time")
+        ]
+    if instance.phase in (Phase.READY, Phase.UNREADY) and instance.silent_for(now) > limits.silence_timeout_s:
+        return replace(instance, phase=Phase.SILENT, since=now), [RecordEvent("silent")]
     return instance, []
 
 
-def due(instance: Instance, limits: Limits) -> float | None:
+def next_tick_at(instance: Instance, limits: Limits) -> float | None:
     """When the next ``Tick`` has something to do, if nothing else comes."""
-    times: dict[Phase, Callable[[], float]] = {
+    due_times: dict[Phase, Callable[[], float]] = {
         Phase.WAITING: lambda: instance.retry_at,
         Phase.DRAINING: lambda: instance.kill_at,
-        Phase.STARTING: lambda: instance.spawned_at + limits.start,
-        Phase.READY: lambda: max(instance.answered_at, instance.spawned_at) + limits.silent,
-        Phase.UNREADY: lambda: max(instance.answered_at, instance.spawned_at) + limits.silent,
+        Phase.STARTING: lambda: instance.spawned_at + limits.start_timeout_s,
+        Phase.READY: lambda: max(instance.answered_at, instance.spawned_at) + limits.silence_timeout_s,
+        Phase.UNREADY: lambda: max(instance.answered_at, instance.spawned_at) + limits.silence_timeout_s,
     }
-    at = times.get(instance.phase)
-    return at() if at is not None else None
+    due_time = due_times.get(instance.phase)
+    return due_time() if due_time is not None else None
--- a/latchspoke/fleet/rollout.py
+++ b/latchspoke/fleet/rollout.py
@@ -17,30 +17,30 @@
 
 from latchspoke.fleet.wire import OperationPlan
 
-PATIENCE = 30.0  # s; too few available, nothing under way: so long it may come right by itself
+AVAILABILITY_WAIT_S = 30.0  # s; too few available, nothing under way: so long it may come right by itself
 
 
-class Stand(Enum):
+class StepState(Enum):
     """How the step on one instance stands."""
 
-    TODO = "todo"
-    DOING = "doing"
+    PENDING = "todo"
+    RUNNING = "doing"
     DONE = "done"
     FAILED = "failed"
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
-class StepSeen:
+class StepStatus:
     """What is known of one step; ``at`` is when it came to stand so."""
 
-    stand: Stand = Stand.TODO
-    at: float = 0.0
+    state: StepState = StepState.PENDING
+    since: float = 0.0
     detail: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class StartSteps:
     """Begin the step on these."""
 
     names: tuple[str, ...]
@@ -50,7 +50,7 @@
 class Wait:
     """Look again later; ``until`` where the time alone decides."""
 
-    why: str
+    reason: str
     until: float | None = None
 
 
@@ -58,7 +58,7 @@
 class Stop:
     """Nothing more is begun. What is under way goes on at its agent."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,82 +66,98 @@
     """Every step is done, or failed within what is allowed."""
 
 
-Move = Act | Wait | Stop | Done
-TODO = StepSeen()
+Decision = StartSteps | Wait | Stop | Done
+NOT_STARTED = StepStatus()
 
 
-def next_move(
+def decide(
     plan: OperationPlan,
-    steps: Mapping[str, StepSeen],
+    steps: Mapping[str, StepStatus],
     available: Mapping[str, bool],
     now: float,
-    short_since: float | None = None,
-) -> Move:
+    below_minimum_since: float | None = None,
+) -> Decision:
     """One move. ``available`` has each member; ``short_since``: since when too few have been."""
-    failed = [name for name, step in steps.items() if step.stand is Stand.FAILED]
+    failed = [name for name, step in steps.items() if step.state is StepState.FAILED]
     if len(failed) > plan.failures:
-        return Stop(f"{len(failed)} failed, {plan.failures} allowed: {listed(failed, steps)}")
-    unknown = [n for n, s in steps.items() if s.stand is Stand.UNKNOWN and now - s.at >= plan.step_limit]
+        return Stop(f"{len(failed)} failed, {plan.failures} allowed: {describe_steps(failed, steps)}")
+    unknown = [
+        n for n, s in steps.items() if s.state is StepState.UNKNOWN and now - s.since >= plan.step_limit
+    ]
     if unknown:
-        return Stop(f"nothing is known of {listed(unknown, steps)}")
-    for place, wave in enumerate(plan.waves):
-        todo = [name for name in wave if steps.get(name, TODO).stand is Stand.TODO]
-        open_ = [name for name in wave if steps.get(name, TODO).stand in (Stand.DOING, Stand.UNKNOWN)]
-        if not todo and not open_:
+        return Stop(f"nothing is known of {describe_steps(unknown, steps)}")
+    for wave_index, wave in enumerate(plan.waves):
+        pending = [name for name in wave if steps.get(name, NOT_STARTED).state is StepState.PENDING]
+        running = [
+            name
+            for name in wave
+            if steps.get(name, NOT_STARTED).state in (StepState.RUNNING, StepState.UNKNOWN)
+        ]
+        if not pending and not running:
             continue
-        if todo and (pause := pause_left(plan, steps, place, now)) is not None:
+        if pending and (pause := remaining_pause(plan, steps, wave_index, now)) is not None:
             return pause
-        return in_wave(plan, todo, open_, available, now, short_since)
+        return decide_in_wave(plan, pending, running, available, now, below_minimum_since)
     return Done()
 
 
-def pause_left(plan: OperationPlan, steps: Mapping[str, StepSeen], place: int, now: float) -> Wait | None:
+def remaining_pause(
+    plan: OperationPlan, steps: Mapping[str, StepStatus], wave_index: int, now: float
+) -> Wait | None:
     """The pause after the wave before; only a wave that has not begun waits for it."""
-    if place == 0 or any(steps.get(name, TODO).stand is not Stand.TODO for name in plan.waves[place]):
+    if wave_index == 0 or any(
+        steps.get(name, NOT_STARTED).state is not StepState.PENDING for name in plan.waves[wave_index]
+    ):
         return None
-    ended = max((steps[name].at for name in plan.waves[place - 1] if name in steps), default=0.0)
+    ended = max((steps[name].since for name in plan.waves[wave_index - 1] if name in steps), default=0.0)
     until = ended + plan.pause
-    return Wait(f"pause after wave {place}", until) if now < until else None
+    return Wait(f"pause after wave {wave_index}", until) if now < until else None
 
 
-def in_wave(
+def decide_in_wave(
     plan: OperationPlan,
-    todo: list[str],
-    open_: list[str],
+    pending: list[str],
+    running: list[str],
     available: Mapping[str, bool],
     now: float,
-    short_since: float | None,
-) -> Move:
+    below_minimum_since: float | None,
+) -> Decision:
     """Who of this wave can go now without leaving too few."""
     # What does not serve costs nothing to act on, so it goes first.
-    ordered = sorted(todo, key=lambda name: (available.get(name, False), name))
-    takes = plan.action in ("drain", "restart")
-    room = sum(available.values()) - plan.least_available
-    names = []
+    ordered = sorted(pending, key=lambda name: (available.get(name, False), name))
+    interrupts_service = plan.action in ("drain", "restart")
+    spare = sum(available.values()) - plan.least_available
+    startable = []
     for name in ordered:
-        costs = takes and available.get(name, False)
-        if costs and room <= 0:
+        reduces_available = interrupts_service and available.get(name, False)
+        if reduces_available and spare <= 0:
             continue
-        room -= costs
-        names.append(name)
-    if names:
-        return Act(tuple(names))
-    if open_:
-        return Wait(f"{', '.join(sorted(open_))} under way")
-    missing = sorted(name for name, up in available.items() if not up)
-    why = (
+        spare -= reduces_available
+        startable.append(name)
+    if startable:
+        return StartSteps(tuple(startable))
+    if running:
+        return Wait(f"{', '.join(sorted(running))} under way")
+    unavailable = sorted(name for name, is_available in available.items() if not is_available)
+    reason = (
         f"{sum(available.values())} of {len(available)} available, {plan.least_available} must be left"
-        f" (not available or unknown: {', '.join(missing) or 'none'})"
+        f" (not available or unknown: {', '.join(unavailable) or 'none'})"
+    )
+    shortage_since = now if below_minimum_since is None else below_minimum_since
+    return (
+        Stop(reason)
+        if now - shortage_since >= AVAILABILITY_WAIT_S
+        else Wait(reason, shortage_since + AVAILABILITY_WAIT_S)
     )
-    since = now if short_since is None else short_since
-    return Stop(why) if now - since >= PATIENCE else Wait(why, since + PATIENCE)
 
 
-def listed(names: list[str], steps: Mapping[str, StepSeen]) -> str:
-    return "; ".join(f"{name} ({steps[name].detail or steps[name].stand.value})" for name in sorted(names))
+def describe_steps(names: list[str], steps: Mapping[str, StepStatus]) -> str:
+    return "; ".join(f"{name} ({steps[name].detail or steps[name].state.value})" for name in sorted(names))
 
 
-def waves(names: list[str], zones: Mapping[str, str], size: int, first: int = 0) -> list[list[str]]:
+def build_waves(
+    names: list[str], zones: Mapping[str, str], size: int, canary_size: int = 0
+) -> list[list[str]]:
     """Waves of at most ``size``, zone after zone, so that a bad change shows in one zone at a time.
 
     ``first`` makes the first wave that small (a canary).
@@ -149,11 +165,11 @@
     if size < 1:
         raise ValueError(f"a wave holds at least 1, not {size}")
     ordered = sorted(names, key=lambda name: (zones.get(name, ""), name))
-    made = [ordered[:first]] if 0 < first < len(ordered) else []
-    rest = ordered[first:] if made else ordered
+    result = [ordered[:canary_size]] if 0 < canary_size < len(ordered) else []
+    rest = ordered[canary_size:] if result else ordered
     while rest:
         zone = zones.get(rest[0], "")
         wave = [name for name in rest[:size] if zones.get(name, "") == zone]
-        made.append(wave)
+        result.append(wave)
         rest = rest[len(wave) :]
-    return made
+    return result
--- a/latchspoke/fleet/view.py
+++ b/latchspoke/fleet/view.py
@@ -18,13 +18,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class InstanceView:
     """One instance: ``status`` as last told at ``heard_at``; ``problem`` where its agent is not heard now."""
 
     id: str
     agent: str
     status: InstanceStatus
-    heard_at: float
+    received_at: float
     problem: str = ""
 
     @property
@@ -38,20 +38,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AgentSeen:
+class AgentView:
     """One agent: what it last said of itself, or why it is not heard."""
 
     name: str
     status: AgentStatus | None
-    heard_at: float
+    received_at: float
     problem: str = ""
 
 
-def no_instances() -> immutables.Map[str, Seen]:
+def empty_instances() -> immutables.Map[str, InstanceView]:
     return immutables.Map()
 
 
-def no_agents() -> immutables.Map[str, AgentSeen]:
+def empty_agents() -> immutables.Map[str, AgentView]:
     return immutables.Map()
 
 
@@ -60,37 +60,39 @@
     """One version; ``told`` and ``unheard`` make the next."""
 
     version: int = 0
-    instances: immutables.Map[str, Seen] = field(default_factory=no_instances)
-    agents: immutables.Map[str, AgentSeen] = field(default_factory=no_agents)
+    instances: immutables.Map[str, InstanceView] = field(default_factory=empty_instances)
+    agents: immutables.Map[str, AgentView] = field(default_factory=empty_agents)
 
-    def told(self, agent: str, listing: Listing, now: float) -> FleetView:
+    def with_listing(self, agent: str, listing: Listing, now: float) -> FleetView:
         """An agent has answered. Instances that it no longer has are no longer there."""
-        ids = {f"{agent}/{status.name}": status for status in listing.instances}
+        statuses = {f"{agent}/{status.name}": status for status in listing.instances}
         with self.instances.mutate() as changed:
-            for old in [seen.id for seen in self.instances.values() if seen.agent == agent]:
-                if old not in ids:
-                    del changed[old]
-            for name, status in ids.items():
-                changed[name] = Seen(name, agent, status, now)
+            for known_id in [known.id for known in self.instances.values() if known.agent == agent]:
+                if known_id not in statuses:
+                    del changed[known_id]
+            for instance_id, status in statuses.items():
+                changed[instance_id] = InstanceView(instance_id, agent, status, now)
             instances = changed.finish()
-        seen = AgentSeen(agent, listing.agent, now)
-        return FleetView(self.version + 1, instances, self.agents.set(agent, seen))
+        agent_view = AgentView(agent, listing.agent, now)
+        return FleetView(self.version + 1, instances, self.agents.set(agent, agent_view))
 
-    def unheard(self, agent: str, problem: str) -> FleetView:
+    def with_problem(self, agent: str, problem: str) -> FleetView:
         """An agent has not answered, or not so that it can be understood."""
-        old = self.agents.get(agent)
-        seen = AgentSeen(agent, old.status if old else None, old.heard_at if old else 0.0, problem)
+        previous = self.agents.get(agent)
+        agent_view = AgentView(
+            agent, previous.status if previous else None, previous.received_at if previous else 0.0, problem
+        )
         with self.instances.mutate() as changed:
-            for name, known in self.instances.items():
-                if known.agent == agent and known.problem != problem:
-                    changed[name] = replace(known, problem=problem)
+            for instance_id, instance in self.instances.items():
+                if instance.agent == agent and instance.problem != problem:
+                    changed[instance_id] = replace(instance, problem=problem)
             instances = changed.finish()
-        return FleetView(self.version + 1, instances, self.agents.set(agent, seen))
+        return FleetView(self.version + 1, instances, self.agents.set(agent, agent_view))
 
-    def sorted(self) -> list[Seen]:
-        return sorted(self.instances.values(), key=lambda seen: seen.id)
+    def sorted(self) -> list[InstanceView]:
+        return sorted(self.instances.values(), key=lambda instance: instance.id)
 
-    def silent_agents(self) -> list[AgentSeen]:
+    def unreachable_agents(self) -> list[AgentView]:
         return sorted((a for a in self.agents.values() if a.problem), key=lambda a: a.name)
 
 
@@ -99,19 +101,19 @@
     """What became of one instance between two versions; None where it was not there."""
 
     id: str
-    old: Seen | None
-    new: Seen | None
+    old: InstanceView | None
+    new: InstanceView | None
 
-    def words(self) -> str:
+    def describe(self) -> str:
         if self.old is None:
             return f"appeared, {self.new.state if self.new else UNKNOWN}"
         if self.new is None:
             return f"gone, was {self.old.state}"
         parts = [f"{self.old.state} -> {self.new.state}"] if self.old.state != self.new.state else []
-        for what in ("launch", "version", "settings", "taken_up"):
-            old, new = getattr(self.old.status, what), getattr(self.new.status, what)
+        for attribute in ("launch", "version", "settings", "taken_up"):
+            old, new = getattr(self.old.status, attribute), getattr(self.new.status, attribute)
             if old != new:
-                parts.append(f"{what} {old or '-'} -> {new if new is not None else '-'}")
+                parts.append(f"{attribute} {old or '-'} -> {new if new is not None else '-'}")
         if self.new.problem and self.old.problem != self.new.problem:
             parts.append(self.new.problem)
         return ", ".join(parts)
@@ -126,7 +128,7 @@
         if before is after:
             continue
         change = Change(name, before, after)
-        if change.words():
+        if change.describe():
             yield change
 
 
@@ -134,41 +136,45 @@
     """A selector can't be read; the text is one line."""
 
 
-KEYS = ("name", "host", "zone", "state", "version")
+SELECTOR_KEYS = ("name", "host", "zone", "state", "version")
 
 
-def select(view: FleetView, words: Iterable[str]) -> list[Seen]:
+def select(view: FleetView, selectors: Iterable[str]) -> list[InstanceView]:
     """Those that fit: words are ``KEY=PATTERN[,PATTERN]``, or a bare pattern for names.
 
     Of one key any pattern may fit; of several keys all must.
     Keys are name, host (the agent), zone, state and version; patterns are the shell's. A name pattern
     with a slash stands for agent/instance. No words select all.
     """
-    tests: dict[str, tuple[str, ...]] = {}
-    for word in words:
-        key, patterns = read_selector(word)
-        tests[key] = tests.get(key, ()) + patterns
-    return [seen for seen in view.sorted() if all(fits(seen, key, tests[key]) for key in tests)]
-
-
-def read_selector(word: str) -> tuple[str, tuple[str, ...]]:
-    key, sign, text = word.partition("=")
-    if not sign:
-        key, text = "name", word
-    if key not in KEYS:
-        raise SelectorError(f"no such selector: {key!r}; there are {', '.join(KEYS)}")
-    patterns = tuple(part for part in text.split(",") if part)
+    patterns_by_key: dict[str, tuple[str, ...]] = {}
+    for selector in selectors:
+        key, patterns = parse_selector(selector)
+        patterns_by_key[key] = patterns_by_key.get(key, ()) + patterns
+    return [
+        instance
+        for instance in view.sorted()
+        if all(matches(instance, key, patterns_by_key[key]) for key in patterns_by_key)
+    ]
+
+
+def parse_selector(selector: str) -> tuple[str, tuple[str, ...]]:
+    key, separator, pattern_list = selector.partition("=")
+    if not separator:
+        key, pattern_list = "name", selector
+    if key not in SELECTOR_KEYS:
+        raise SelectorError(f"no such selector: {key!r}; there are {', '.join(SELECTOR_KEYS)}")
+    patterns = tuple(part for part in pattern_list.split(",") if part)
     if not patterns:
-        raise SelectorError(f"selector {word!r} names nothing")
+        raise SelectorError(f"selector {selector!r} names nothing")
     return key, patterns
 
 
-def fits(seen: Seen, key: str, patterns: tuple[str, ...]) -> bool:
+def matches(instance: InstanceView, key: str, patterns: tuple[str, ...]) -> bool:
     values = {
-        "name": (seen.status.name, seen.id),
-        "host": (seen.agent,),
-        "zone": (seen.status.zone,),
-        "state": (seen.state, *seen.state.split("+")),
-        "version": (seen.status.version,),
+        "name": (instance.status.name, instance.id),
+        "host": (instance.agent,),
+        "zone": (instance.status.zone,),
+        "state": (instance.state, *instance.state.split("+")),
+        "version": (instance.status.version,),
     }[key]
     return any(fnmatchcase(value, pattern) for value in values for pattern in patterns)
--- a/latchspoke/fleet/wire.py
+++ b/latchspoke/fleet/wire.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-INTERFACE = 1
+INTERFACE_VERSION = 1
 T = TypeVar("T")
-HEADER = "Latchspoke-Interface"
+INTERFACE_HEADER = "Latchspoke-Interface"
 ACTIONS = ("start", "drain", "restart", "reload")
 
 
@@ -80,7 +80,7 @@
     host: str
     version: str
     at: float
-    interface: int = INTERFACE
+    interface: int = INTERFACE_VERSION
     revision: int = 0
     store: str = ""
     certificate_until: float = 0.0
--- a/latchspoke/lab/schedules/real.py
+++ b/latchspoke/lab/schedules/real.py
@@ -127,7 +127,7 @@
         data = None if body is None else msgspec.json.encode(body)
         web = aiohttp.ClientSession(
             connector=aiohttp.UnixConnector(self.socket(n)), timeout=aiohttp.ClientTimeout(total=3.0),
-            headers={wire.HEADER: str(wire.INTERFACE)},
+            headers={wire.INTERFACE_HEADER: str(wire.INTERFACE_VERSION)},
         )  # fmt: skip
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             async with web, web.request(method, "http://agent" + path, data=data) as answer:
--- a/tests/fleet/test_compare.py
+++ b/tests/fleet/test_compare.py
@@ -21,12 +21,12 @@
     (difference,) = told.differences  # the digests differ too, and say no more
     assert difference.path == "settings.plans.duza.rate"
     assert difference.holders == ((1.0, ("a", "c")), (2.0, ("b", "d")))
-    assert difference.majority is None and difference.odd_ones() == ("a", "c", "b", "d")
+    assert difference.majority is None and difference.deviating() == ("a", "c", "b", "d")
 
 
 def test_a_majority_names_the_odd_ones() -> None:
     told = compare({"a": view(1.0), "b": view(2.0), "c": view(1.0)})
-    assert (told.differences[0].majority, told.differences[0].odd_ones()) == (1.0, ("b",))
+    assert (told.differences[0].majority, told.differences[0].deviating()) == (1.0, ("b",))
 
 
 def test_a_plan_that_one_lacks_is_told_path_by_path() -> None:
@@ -48,7 +48,7 @@
 
 def test_silence_is_no_agreement() -> None:
     told = compare({"a": view(), "b": "agent h2: silent"})
-    assert (told.agree, told.unheard) == (False, (("b", "agent h2: silent"),))
+    assert (told.agree, told.unreachable) == (False, (("b", "agent h2: silent"),))
 
 
 def test_lists_and_empty_objects_have_paths() -> None:
