--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -112,7 +112,7 @@
 
 
 def count(held: list[Holding]) -> int:
-    return sum(len(one.holder.rights) for one in held)
+    return sum(len(one.holder.leases) for one in held)
 
 
 def burn() -> None:
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -27,10 +27,10 @@
 from latchspoke.lab.schedules import faults, gates, rules
 from latchspoke.lab.schedules.faults import Fault
 from latchspoke.lab.schedules.world import Setup, World
-from latchspoke.revisions.documents import BLOCKED, FIGURES, Document, made_of
+from latchspoke.revisions.documents import BLOCKED, PLAN_LIMITS, Document, build_document
+from latchspoke.revisions.leases import STRICT
 from latchspoke.revisions.machine import RulesMachine, assemble
 from latchspoke.revisions.records import Content, FetchRules, PutRules, Terms
-from latchspoke.revisions.rights import STRICT
 
 WARM, AFTER = 14.0, 8.0  # s before and after the put
 KINDS = ("all heard", "one stopped", "one cut off", "replies of 100 ms")
@@ -38,7 +38,7 @@
 
 def put(world: World, parent: int, figure: float) -> None:
     terms = Terms(gates.RIGHT, STRICT, {gates.FIGURE: gates.FLOOR})
-    command = PutRules(FIGURES, parent, {gates.FIGURE: figure}, (), "ola", "", 0.0, terms)
+    command = PutRules(PLAN_LIMITS, parent, {gates.FIGURE: figure}, (), "ola", "", 0.0, terms)
     gates.put(world, command, world.now)
 
 
@@ -61,7 +61,7 @@
     world.run(WARM + AFTER)
     first: dict[str, float] = {}
     for act in world.record.rule_acts:
-        if act.name == FIGURES and act.version == 2 and not act.lapsed:
+        if act.name == PLAN_LIMITS and act.version == 2 and not act.lapsed:
             first.setdefault(act.gateway, act.at)
     reached = [at for name, at in first.items() if name != "g0" or kind in ("all heard", "replies of 100 ms")]
     wrong, longest = rules.read(world)
@@ -101,7 +101,7 @@
     """Bytes on the wire (as JSON) and time for a long list."""
     machine = RulesMachine()
     apply(machine, 0, {f"{n:016x}": "by order" for n in range(size)})
-    old = machine.states[BLOCKED].content
+    old = machine.states[BLOCKED].head_document
     table = Table("a list of 100,000", "bytes", "answers", "member", "gateway", box=None)
 
     def row(name: str, asked: FetchRules, base: Document) -> None:
@@ -118,7 +118,7 @@
             made, first = later, content.then
             size, count = size + len(data), count + 1
             member, gateway = max(member, took), max(gateway, parsed)
-        assert made.digest == machine.states[BLOCKED].content.digest
+        assert made.digest == machine.states[BLOCKED].head_document.digest
         table.add_row(name, f"{size:,}", str(count), f"{member * 1000:.1f} ms", f"{gateway * 1000:.1f} ms")
 
     row("whole", FetchRules(BLOCKED, 1), Document())
@@ -129,9 +129,9 @@
     newest, digests = machine.states[BLOCKED].head, tuple(d.hex() for d in old.digests)
     row("150 versions missed, by parts", FetchRules(BLOCKED, newest, 0, digests), old)
     table.add_row("  (digests of all parts, asked with each)", f"{len(json.dumps(digests)):,}", "", "", "")
-    entries = dict(machine.states[BLOCKED].content.items())
+    entries = dict(machine.states[BLOCKED].head_document.items())
     tracemalloc.start()
-    copy = made_of(entries)
+    copy = build_document(entries)
     held, _ = tracemalloc.get_traced_memory()
     assert len(copy) == len(entries)
     tracemalloc.stop()
@@ -192,7 +192,7 @@
     )
     if ruled:
         core.rules = Standing()
-        blocked = made_of({f"{n:016x}": "by order" for n in range(100_000)})
+        blocked = build_document({f"{n:016x}": "by order" for n in range(100_000)})
         core.submit(api.Rules((plan,), blocked), 0.0)
     began = time.process_time()
     for n in range(count):
--- a/latchspoke/agent/api.py
+++ b/latchspoke/agent/api.py
@@ -28,12 +28,21 @@
 from latchspoke.agent.supervisor import RefusalError, Supervisor, claim_info
 from latchspoke.duties import findings
 from latchspoke.duties.machine import NAME as DUTIES
-from latchspoke.duties.office import HOLDERS, Look, Refused, Reply, Shown, put_duty, put_rules, read_duties
-from latchspoke.duties.records import Beat, Define, DutyState, Move, Remove
+from latchspoke.duties.member_service import (
+    RULES_HOLDERS,
+    Query,
+    QueryResult,
+    Rejected,
+    Reply,
+    decode_duties,
+    duty_command,
+    rules_command,
+)
+from latchspoke.duties.records import Define, DutyState, Heartbeat, Move, Remove
 from latchspoke.fleet import wire
 from latchspoke.revisions.machine import Summary
 from latchspoke.revisions.records import NAME as RULES
-from latchspoke.revisions.records import Content, FetchRules, Holders, PutRules, RulesQuestion
+from latchspoke.revisions.records import Content, FetchRules, GatewayLeases, PutRules, RulesQuestion
 
 log = structlog.get_logger("agent.api")
 T = TypeVar("T")
@@ -176,15 +185,15 @@
     @staticmethod
     def known(reply: Reply) -> Reply:
         """What a majority stands behind; raises that nothing can be known here and now."""
-        if isinstance(reply, Refused):
+        if isinstance(reply, Rejected):
             code = "unknown" if reply.under_way else "no-leader"
             text = "it may have been done, or may yet be" if reply.under_way else "no leader is heard here"
             raise RefusalError(503, code, text)
         return reply
 
-    async def look(self, look: Look) -> Shown:
+    async def look(self, look: Query) -> QueryResult:
         shown = self.known(await self.driver().ask(look=look))
-        assert isinstance(shown, Shown)
+        assert isinstance(shown, QueryResult)
         return shown
 
     async def member(self, request: web.Request) -> web.Response:
@@ -198,22 +207,22 @@
         return answer(self.driver().status())
 
     async def duties(self, request: web.Request) -> web.Response:
-        shown = await self.look(Look(DUTIES))
-        return answer(DutiesShown(shown.index, read_duties(shown)))
+        shown = await self.look(Query(DUTIES))
+        return answer(DutiesShown(shown.index, decode_duties(shown)))
 
     async def findings(self, request: web.Request) -> web.Response:
-        shown = await self.look(Look(findings.NAME))
+        shown = await self.look(Query(findings.NAME))
         return answer(msgspec.msgpack.decode(shown.body, type=findings.Findings))
 
     async def rules(self, request: web.Request) -> web.Response:
-        shown = await self.look(Look(RULES))
+        shown = await self.look(Query(RULES))
         summaries: dict[str, Summary] = msgspec.msgpack.decode(shown.body, type=dict[str, Summary])
         return answer(RulesShown(shown.index, summaries))
 
     async def holders(self, request: web.Request) -> web.Response:
         """As the leader knows them."""
-        shown = await self.look(Look(HOLDERS))
-        return answer(msgspec.msgpack.decode(shown.body, type=Holders))
+        shown = await self.look(Query(RULES_HOLDERS))
+        return answer(msgspec.msgpack.decode(shown.body, type=GatewayLeases))
 
     async def put_rules(self, request: web.Request) -> web.Response:
         """``?ident=`` as with duties."""
@@ -221,7 +230,7 @@
         detail = f"{command.name} on {command.parent}: {command.reason}"
         self.supervisor.record("rules", operator=request["caller"].name, detail=detail)
         command = msgspec.structs.replace(command, author=request["caller"].name)
-        put = put_rules(command, request.query.get("ident", ""))
+        put = rules_command(command, request.query.get("ident", ""))
         return answer(self.known(await self.driver().ask(put=put)))
 
     async def question(self, request: web.Request) -> web.Response:
@@ -241,11 +250,11 @@
         """``?ident=`` is drawn by who asks: asked again under it, nothing is done twice."""
         command: Define | Remove | Move = wire.decode(Define | Remove | Move, await request.read())  # type: ignore[arg-type]
         self.supervisor.record("duty", operator=request["caller"].name, detail=str(command))
-        put = put_duty(command, request.query.get("ident", ""))
+        put = duty_command(command, request.query.get("ident", ""))
         return answer(self.known(await self.driver().ask(put=put)))
 
     async def beat(self, request: web.Request) -> web.Response:
-        return answer(self.known(await self.driver().ask(beat=await self.read(request, Beat))))
+        return answer(self.known(await self.driver().ask(beat=await self.read(request, Heartbeat))))
 
     async def instances(self, request: web.Request) -> web.Response:
         return answer(self.supervisor.listing())
--- a/latchspoke/agent/holding.py
+++ b/latchspoke/agent/holding.py
@@ -8,19 +8,19 @@
 
 from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnheardError
 from latchspoke.agent.members import clock
-from latchspoke.duties.holder import Holder
-from latchspoke.duties.records import Answer, Beat, Candidate
+from latchspoke.duties.holder import DutyHolder
+from latchspoke.duties.records import Candidate, Heartbeat, HeartbeatReply
 
 LIMIT = 1.5  # s for one beat; the next member is asked after it
 
-Ask = Callable[[Beat, int], Awaitable[Answer | None]]  # the beat, and the place of whom to ask
+Ask = Callable[[Heartbeat, int], Awaitable[HeartbeatReply | None]]  # the beat, and the place of whom to ask
 
 
 class Holding:
     """Use ``async with``. Beats go on from a task of their own; nobody waits for them."""
 
     def __init__(self, who: Candidate, ask: Ask, stop: float = 0.0) -> None:
-        self.holder, self.ask = Holder(who, stop), ask
+        self.holder, self.ask = DutyHolder(who, stop), ask
         self.task: asyncio.Task[None] | None = None
         self.heard_at = 0.0
 
@@ -42,22 +42,22 @@
         while True:
             began = clock()
             await self.beat()
-            await asyncio.sleep(max(self.holder.beat_every - (clock() - began), 0.02))
+            await asyncio.sleep(max(self.holder.heartbeat_interval_s - (clock() - began), 0.02))
 
     async def beat(self) -> bool:
         """Whether it was answered."""
-        beat: Beat = self.holder.beat(clock())
-        answer = await self.ask(beat, self.holder.place)
+        beat: Heartbeat = self.holder.heartbeat(clock())
+        answer = await self.ask(beat, self.holder.member_index)
         if answer is None:
             return False
         self.heard_at = clock()
-        self.holder.answered(answer, self.heard_at)
+        self.holder.handle_reply(answer, self.heard_at)
         return True
 
     async def tell(self, tries: int = 10) -> None:
         """What was stopped is told until the members know it, or so often."""
         for _ in range(tries):
-            if not self.holder.untold:
+            if not self.holder.unacknowledged:
                 return
             await self.beat()
             await asyncio.sleep(0.05)
@@ -68,9 +68,9 @@
     """A holder that asks whichever of these agents answers."""
     clients = [AgentClient(path, AgentEntry(path), LIMIT, None) for path in sockets]
 
-    async def ask(beat: Beat, place: int) -> Answer | None:
+    async def ask(beat: Heartbeat, place: int) -> HeartbeatReply | None:
         try:
-            return await clients[place % len(clients)].call(Answer, "POST", "/v1/duties/beat", beat)
+            return await clients[place % len(clients)].call(HeartbeatReply, "POST", "/v1/duties/beat", beat)
         except (UnheardError, RefusedError):
             return None
 
--- a/latchspoke/agent/links.py
+++ b/latchspoke/agent/links.py
@@ -16,8 +16,8 @@
 
 from latchspoke.agent.config import TlsRecord
 from latchspoke.consensus import records
-from latchspoke.duties.office import Done, Look, Put, Refused, Shown
-from latchspoke.duties.records import Answer, Beat
+from latchspoke.duties.member_service import CommandRequest, Committed, Query, QueryResult, Rejected
+from latchspoke.duties.records import Heartbeat, HeartbeatReply
 from latchspoke.keys.authority import KeysError
 from latchspoke.keys.tls import Identity, peer
 from latchspoke.revisions.records import RulesAnswer, RulesQuestion
@@ -48,9 +48,9 @@
     """A holder's beat, a command or a look; one of them."""
 
     number: int
-    beat: Beat | None = None
-    put: Put | None = None
-    look: Look | None = None
+    beat: Heartbeat | None = None
+    put: CommandRequest | None = None
+    look: Query | None = None
     question: RulesQuestion | None = None
 
 
@@ -58,10 +58,10 @@
     """One of them."""
 
     number: int
-    answer: Answer | None = None
-    done: Done | None = None
-    shown: Shown | None = None
-    refused: Refused | None = None
+    answer: HeartbeatReply | None = None
+    done: Committed | None = None
+    shown: QueryResult | None = None
+    refused: Rejected | None = None
     rules: RulesAnswer | None = None
 
 
--- a/latchspoke/agent/members.py
+++ b/latchspoke/agent/members.py
@@ -24,8 +24,16 @@
 from latchspoke.consensus import records
 from latchspoke.consensus.member import ChangeError, Member, NotLeaderError, Output, Role, Timing
 from latchspoke.consensus.records import Members, name_of
-from latchspoke.duties.office import Done, Look, Office, Put, Refused, Reply, Shown
-from latchspoke.duties.records import Answer, Beat
+from latchspoke.duties.member_service import (
+    CommandRequest,
+    Committed,
+    MemberService,
+    Query,
+    QueryResult,
+    Rejected,
+    Reply,
+)
+from latchspoke.duties.records import Heartbeat, HeartbeatReply
 from latchspoke.revisions.records import RulesAnswer, RulesQuestion
 from latchspoke.transport.request_ids import first_request_id
 
@@ -74,7 +82,7 @@
         self.ledger = Ledger(home / "members.db")
         stored = self.ledger.start(name, secrets.token_hex(4), record.first)
         timing = Timing(record.beat, record.election)
-        self.office = Office(Member(stored, timing, random.Random(), clock()), record.drift)
+        self.office = MemberService(Member(stored, timing, random.Random(), clock()), record.drift)
         self.inputs: deque[Callable[[float], None]] = deque()
         self.news = asyncio.Event()
         self.replies: dict[int, Callable[[Reply], None]] = {}
@@ -134,36 +142,36 @@
         beat, put, look, question = asked.beat, asked.put, asked.look, asked.question
         if beat is not None:
             self.counters["beats"] += 1
-            self.give(lambda now: office.beat(number, beat, now))
+            self.give(lambda now: office.handle_heartbeat(number, beat, now))
         elif question is not None:
             self.counters["questions"] += 1
-            self.give(lambda now: office.question(number, question, now))
+            self.give(lambda now: office.handle_rules_question(number, question, now))
         elif put is not None:
             self.counters["commands"] += 1
-            self.give(lambda now: office.put(number, put, now))
+            self.give(lambda now: office.handle_command(number, put, now))
         elif look is not None:
             self.counters["looks"] += 1
-            self.give(lambda now: office.look(number, look, now))
+            self.give(lambda now: office.handle_query(number, look, now))
 
     async def ask(
         self,
-        beat: Beat | None = None,
-        put: Put | None = None,
-        look: Look | None = None,
+        beat: Heartbeat | None = None,
+        put: CommandRequest | None = None,
+        look: Query | None = None,
         question: RulesQuestion | None = None,
     ) -> Reply:
         """Here, or of the leader by way of here. No reply in time is ``Refused``, and a command under way."""
         asked = AskFrame(0, beat, put, look, question)
-        none = Refused("", under_way=put is not None)
+        none = Rejected("", under_way=put is not None)
         if self.office.member.role is Role.HALTED:
-            return Refused("")
+            return Rejected("")
         loop = asyncio.get_running_loop()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LIMIT):
                 future: asyncio.Future[Reply] = loop.create_future()
                 self.put(asked, lambda reply: None if future.done() else future.set_result(reply))
                 reply = await future
-                if not isinstance(reply, Refused) or reply.leader in ("", self.office.member.identity):
+                if not isinstance(reply, Rejected) or reply.leader in ("", self.office.member.identity):
                     return reply
                 self.number += 1
                 number, future = self.number, loop.create_future()
@@ -225,7 +233,7 @@
         """Nothing is known of what waits here."""
         replies, self.replies = self.replies, {}
         for back in replies.values():
-            back(Refused("", under_way=True))
+            back(Rejected("", under_way=True))
 
     async def go_on(self) -> None:
         while True:
@@ -241,7 +249,7 @@
             await self.turn()
 
     async def turn(self) -> None:
-        while (output := self.office.take()) is not None:
+        while (output := self.office.take_output()) is not None:
             if output.to_store:
                 await self.store(output)
             for note in output.notes:
@@ -250,18 +258,18 @@
                 self.links.send(name_of(message.target), Said(records.encode(message)))
             self.counters["messages"] += len(output.messages)
             self.counters["entries"] += len(output.committed)
-            self.office.apply(output, clock())
-            for notes in (self.office.duties.notes, self.office.rules.notes):
+            self.office.apply_output(output, clock())
+            for notes in (self.office.duties.events, self.office.rules.events):
                 while notes:
                     self.tell(*notes.popleft())
-            snapshot = self.office.compacted()
+            snapshot = self.office.compact()
             if snapshot is not None:
                 with contextlib.suppress(LedgerError):  # the longer log is as good, and it is tried again
                     await asyncio.to_thread(self.ledger.compact, snapshot)
-        answers, self.office.answers = self.office.answers, []
+        answers, self.office.replies = self.office.replies, []
         for number, reply in answers:
             back = self.replies.pop(number, None)
-            self.counters["refused"] += isinstance(reply, Refused)
+            self.counters["refused"] += isinstance(reply, Rejected)
             if back is not None:
                 back(reply)
 
@@ -295,7 +303,7 @@
     def welcome(self, now: float) -> None:
         """Whom the settings name is taken in as soon as it is heard, unless a person has taken it out."""
         member = self.office.member
-        if not self.office.leads or member.log.members_index() > member.commit:
+        if not self.office.is_leader or member.log.members_index() > member.commit:
             return
         members = member.members
         names = {name_of(identity) for identity in members.all} | set(members.former)
@@ -307,17 +315,17 @@
 
 def to_frame(number: int, reply: Reply) -> ReplyFrame:
     match reply:
-        case Answer():
+        case HeartbeatReply():
             return ReplyFrame(number, answer=reply)
-        case Done():
+        case Committed():
             return ReplyFrame(number, done=reply)
-        case Shown():
+        case QueryResult():
             return ReplyFrame(number, shown=reply)
-        case Refused():
+        case Rejected():
             return ReplyFrame(number, refused=reply)
         case RulesAnswer():
             return ReplyFrame(number, rules=reply)
 
 
 def from_frame(frame: ReplyFrame) -> Reply:
-    return frame.answer or frame.rules or frame.done or frame.shown or frame.refused or Refused("")
+    return frame.answer or frame.rules or frame.done or frame.shown or frame.refused or Rejected("")
--- a/latchspoke/agent/own.py
+++ b/latchspoke/agent/own.py
@@ -24,8 +24,15 @@
 from latchspoke.agent.operations import Operation, Refusal, resume
 from latchspoke.duties import findings
 from latchspoke.duties.machine import NAME as DUTIES
-from latchspoke.duties.office import Done, Look, Put, Shown, put_duty, read_duties
-from latchspoke.duties.records import Answer, Beat, Candidate, Define, Rule
+from latchspoke.duties.member_service import (
+    CommandRequest,
+    Committed,
+    Query,
+    QueryResult,
+    decode_duties,
+    duty_command,
+)
+from latchspoke.duties.records import Candidate, Define, Heartbeat, HeartbeatReply, Rule
 from latchspoke.fleet import census, wire
 from latchspoke.fleet.compare import compare
 from latchspoke.fleet.orphaned_operations import OrphanTracker
@@ -75,11 +82,11 @@
             await self.task
         await self.fleet.__aexit__()
 
-    async def ask(self, beat: Beat, place: int) -> Answer | None:
+    async def ask(self, beat: Heartbeat, place: int) -> HeartbeatReply | None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LIMIT):
                 reply = await self.driver.ask(beat=beat)
-                return reply if isinstance(reply, Answer) else None
+                return reply if isinstance(reply, HeartbeatReply) else None
         return None
 
     # Holding.
@@ -104,8 +111,8 @@
 
     async def look(self) -> None:
         holder = self.holding.holder
-        await self.end(holder.to_stop(clock()))
-        for duty, right in holder.rights.items():
+        await self.end(holder.duties_to_stop(clock()))
+        for duty, right in holder.leases.items():
             if duty not in self.tasks and not right.stopping and self.holding.token(duty) is not None:
                 log.info("begins", duty=duty, token=right.token)
                 self.tasks[duty] = asyncio.get_running_loop().create_task(self.carry_on(duty))
@@ -116,7 +123,7 @@
             task.cancel()
         await asyncio.gather(*ending.values(), return_exceptions=True)
         for duty in duties:
-            self.holding.holder.stopped(duty)
+            self.holding.holder.mark_stopped(duty)
             log.info("stopped", duty=duty)
 
     async def carry_on(self, duty: str) -> None:
@@ -137,16 +144,16 @@
             await asyncio.sleep(DEFINE)
 
     async def define(self) -> None:
-        shown = await self.driver.ask(look=Look(DUTIES))
-        if not isinstance(shown, Shown):
+        shown = await self.driver.ask(look=Query(DUTIES))
+        if not isinstance(shown, QueryResult):
             return
-        known = read_duties(shown)
+        known = decode_duties(shown)
         for duty in self.wanted:
             if duty in known:
                 self.defined.add(duty)
             else:
                 rule = Rule(float(self.record.length))
-                await self.driver.ask(put=put_duty(Define(duty, rule), secrets.token_hex(8)))
+                await self.driver.ask(put=duty_command(Define(duty, rule), secrets.token_hex(8)))
 
     def token(self, duty: str) -> int:
         """For an act that begins now. Raises LostError."""
@@ -193,8 +200,8 @@
         news = census.FindingTracker()
         while True:
             found = await self.look_at_fleet()
-            shown = await self.driver.ask(look=Look(findings.NAME))
-            if isinstance(shown, Shown):
+            shown = await self.driver.ask(look=Query(findings.NAME))
+            if isinstance(shown, QueryResult):
                 known: findings.Findings = msgspec.msgpack.decode(shown.body, type=findings.Findings)
                 new, over = news.update(found, {key: one.text for key, one in known.open.items()})
                 if new or over:
@@ -222,10 +229,10 @@
 
     async def report(self, new: dict[str, str], over: tuple[str, ...], known: findings.Findings) -> None:
         told = findings.Report(CENSUS, self.token(CENSUS), time.time(), new, over)
-        put = Put(findings.NAME, msgspec.msgpack.encode(told), secrets.token_hex(8))
+        put = CommandRequest(findings.NAME, msgspec.msgpack.encode(told), secrets.token_hex(8))
         done = await self.driver.ask(put=put)
-        if not isinstance(done, Done) or done.why:
-            log.warning("report-refused", why=done.why if isinstance(done, Done) else "no answer")
+        if not isinstance(done, Committed) or done.why:
+            log.warning("report-refused", why=done.why if isinstance(done, Committed) else "no answer")
             return
         for key, text in new.items():
             self.note("census-changed" if key in known.open else "census-found", "", f"{key}: {text}")
--- a/latchspoke/console/duty.py
+++ b/latchspoke/console/duty.py
@@ -64,7 +64,7 @@
 from latchspoke.agent.members import clock
 from latchspoke.console.usage import UsageError, read_duration, read_usage
 from latchspoke.duties.findings import Findings
-from latchspoke.duties.office import Done
+from latchspoke.duties.member_service import Committed
 from latchspoke.duties.records import Candidate, Define, DutyState, Move, Remove, Rule
 from latchspoke.fleet import wire
 
@@ -127,12 +127,12 @@
     return 0
 
 
-async def insist(clients: list[AgentClient], path: str, body: object, tries: int = 4) -> Done:
+async def insist(clients: list[AgentClient], path: str, body: object, tries: int = 4) -> Committed:
     """One command under one ident, asked again elsewhere while nothing is known of it: it is done once."""
     for n in range(tries):
         client = clients[n % len(clients)]
         try:
-            return await client.call(Done, "POST", path, body)
+            return await client.call(Committed, "POST", path, body)
         except UnheardError as e:
             # It may have been done; another member, or the same one later, knows.
             if n == tries - 1:
@@ -231,18 +231,18 @@
         """What is due now; the command's own exit code once it has ended by itself."""
         holder, now = holding.holder, clock()
         if ending:
-            holder.leave()
-        right = holder.rights.get(self.duty)
+            holder.stop_all()
+        right = holder.leases.get(self.duty)
         if self.process is not None:
             if self.process.returncode is not None:
                 return self.ended(holding)
-            self.until = right.until if right is not None else self.until
-            if right is None or right.stopping or self.duty in holder.to_stop(now):
+            self.until = right.expires_at if right is not None else self.until
+            if right is None or right.stopping or self.duty in holder.duties_to_stop(now):
                 self.stop(now)
-        elif right is not None and self.duty in holder.to_stop(now):
-            holder.stopped(self.duty)
+        elif right is not None and self.duty in holder.duties_to_stop(now):
+            holder.mark_stopped(self.duty)
         elif right is not None and (token := holding.token(self.duty)) is not None:
-            self.kill_at, self.until = 0.0, right.until
+            self.kill_at, self.until = 0.0, right.expires_at
             return await self.begin(holding, token)
         return None
 
@@ -254,7 +254,7 @@
             )
         except OSError as e:
             print(f"latchspoke duty: can't run {self.command[0]}: {e.strerror}", file=sys.stderr)
-            holding.holder.stopped(self.duty)
+            holding.holder.mark_stopped(self.duty)
             return NOT_RUN
         self.group = self.process.pid
         return None
@@ -264,7 +264,7 @@
         assert self.process is not None
         code, asked, self.process = self.process.returncode, self.kill_at > 0, None
         self.signal(signal.SIGKILL)  # what it has left behind in its group
-        holding.holder.stopped(self.duty)
+        holding.holder.mark_stopped(self.duty)
         return None if asked else code
 
     def stop(self, now: float) -> None:
--- a/latchspoke/console/rules.py
+++ b/latchspoke/console/rules.py
@@ -62,18 +62,18 @@
 from latchspoke.records.schemas import DEFINITIONS, schema_path
 from latchspoke.revisions.documents import (
     BLOCKED,
-    FIGURES,
+    PLAN_LIMITS,
     Document,
     DocumentError,
     Scalar,
-    between,
-    check,
+    build_document,
     contradictions,
-    made_of,
-    words,
+    describe_change,
+    diff,
+    validate_entries,
 )
 from latchspoke.revisions.machine import Summary, assemble
-from latchspoke.revisions.records import Content, FetchRules, Holders, PutRules, Terms
+from latchspoke.revisions.records import Content, FetchRules, GatewayLeases, PutRules, Terms
 
 KEY = re.compile("[0-9A-Fa-f]{1,16}")
 LOOK = 0.2  # s between looks of `wait`
@@ -98,9 +98,9 @@
     """Raises RecordError, DocumentError."""
     told = load(path, schema=schema_path("rules"), definition=DEFINITIONS["rules"]).convert(RulesFile)
     entries = {normal(told.name, path): value for path, value in told.entries.items()}
-    check(told.name, entries)
+    validate_entries(told.name, entries)
     if told.least:
-        check(FIGURES, told.least)
+        validate_entries(PLAN_LIMITS, told.least)
     return msgspec.structs.replace(told, entries=entries)
 
 
@@ -216,7 +216,7 @@
 
 
 async def run_status(session: Session) -> int:
-    told: Holders = await session.ask(Holders, "GET", "/v1/rules/holders")
+    told: GatewayLeases = await session.ask(GatewayLeases, "GET", "/v1/rules/holders")
     table = Table("gateway", "document", "acts under", "for at most", "lacks", box=None)
     for gateway, documents in told.gateways.items():
         for name, held in documents.items():
@@ -241,20 +241,20 @@
         told = read_rules(args["FILE"])
         one = known(await session.summaries(), told.name)
         old = await session.document(told.name, one.head)
-        return one, old, made_of(told.entries), told.terms, told.name
+        return one, old, build_document(told.entries), told.terms, told.name
     name = args["NAME"]
     one = known(await session.summaries(), name)
     old = await session.document(name, one.head)
     entries = dict(read_entry(name, text) for text in args["--set"])
-    check(name, entries)
-    return one, old, old.changed(entries, [normal(name, path) for path in args["--drop"]]), None, name
+    validate_entries(name, entries)
+    return one, old, old.with_changes(entries, [normal(name, path) for path in args["--drop"]]), None, name
 
 
 def read_entry(name: str, text: str) -> tuple[str, Scalar]:
     path, sign, value = text.partition("=")
     if not sign:
         raise UsageError(f"--set takes PATH=VALUE, not {text}")
-    if name != FIGURES:
+    if name != PLAN_LIMITS:
         return normal(name, path), value
     try:
         return path, float(value)
@@ -270,7 +270,7 @@
 
 def tell_change(session: Session, name: str, one: Summary, old: Document, new: Document) -> None:
     against = contradictions(name, old, new)
-    lines = words(name, old, new) or ["no entry changes"]
+    lines = describe_change(name, old, new) or ["no entry changes"]
     if against:
         lines += [f"contradicts version {one.head}; all who may act under it have to have the new one first:"]
         lines += [f"  {line}" for line in against[:20]]
@@ -280,14 +280,14 @@
 
 async def run_put(session: Session) -> int:
     one, old, new, terms, name = await wanted(session)
-    change = between(old, new)
+    change = diff(old, new)
     if not change.size and (terms is None or terms == one.terms):
         print(f"latchspoke rules: nothing would change in {name} {one.head}", file=sys.stderr)
         return 1
     parent = read_whole(session.args, "--parent") if session.args["--parent"] is not None else one.head
     author = os.environ.get("USER") or str(os.getuid())
     command = PutRules(
-        name, parent, change.put, change.gone, author, session.args["--reason"] or "", time.time(), terms
+        name, parent, change.put, change.removed, author, session.args["--reason"] or "", time.time(), terms
     )
     path = f"/v1/rules/commands?ident={secrets.token_hex(8)}"
     done = await insist(session.clients, path, command)
@@ -308,7 +308,7 @@
     while time.monotonic() < end:
         try:
             one = known(await session.summaries(), name)
-            told: Holders = await session.ask(Holders, "GET", "/v1/rules/holders")
+            told: GatewayLeases = await session.ask(GatewayLeases, "GET", "/v1/rules/holders")
         except (UnheardError, RefusedError):
             await asyncio.sleep(LOOK)
             continue
--- a/latchspoke/duties/findings.py
+++ b/latchspoke/duties/findings.py
@@ -11,7 +11,7 @@
 from latchspoke.duties.machine import DutiesMachine
 
 NAME = "findings"
-PAST_KEPT = 100  # of those that are over
+MAX_PAST_FINDINGS = 100  # of those that are over
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -54,14 +54,14 @@
         if duty is None or not duty.held or duty.token != report.token:
             newest = duty.token if duty is not None else 0
             return f"token {report.token} does not hold {report.duty}, whose newest is {newest}"
-        now_open, past = dict(self.state.open), list(self.state.past)
+        open_findings, past = dict(self.state.open), list(self.state.past)
         for key, text in report.found.items():
-            since = now_open[key].since if key in now_open else report.at
-            now_open[key] = Finding(key, text, since)
+            since = open_findings[key].since if key in open_findings else report.at
+            open_findings[key] = Finding(key, text, since)
         for key in report.over:
-            if key in now_open:
-                past.append(msgspec.structs.replace(now_open.pop(key), until=report.at))
-        self.state = Findings(now_open, tuple(past[-PAST_KEPT:]), report.at)
+            if key in open_findings:
+                past.append(msgspec.structs.replace(open_findings.pop(key), until=report.at))
+        self.state = Findings(open_findings, tuple(past[-MAX_PAST_FINDINGS:]), report.at)
         return ""
 
     def look(self, question: bytes) -> bytes:
--- a/latchspoke/duties/holder.py
+++ b/latchspoke/duties/holder.py
@@ -8,116 +8,122 @@
 
 from dataclasses import dataclass
 
-from latchspoke.duties.records import Answer, Beat, Candidate, Held
+from latchspoke.duties.records import Candidate, Heartbeat, HeartbeatReply, HeldDuty
 
-PART = 0.2  # of a grant: its holder stops so long before its end
-STOP_MOST = 0.5  # of a grant: no more of it is kept for stopping
-ASK_PART = 0.25  # of a grant between two beats
-SENT_MOST = 64  # beats whose answer may still come
+STOP_MARGIN_FRACTION = 0.2  # of a grant: its holder stops so long before its end
+MAX_STOP_FRACTION = 0.5  # of a grant: no more of it is kept for stopping
+HEARTBEAT_FRACTION = 0.25  # of a grant between two beats
+MAX_UNANSWERED = 64  # beats whose answer may still come
 
 
 @dataclass(slots=True)
-class Right:
+class DutyLease:
     """One duty held here."""
 
     token: int
-    until: float  # nothing is done from then on
+    expires_at: float  # nothing is done from then on
     stop_at: float  # what goes on is stopped by then
-    since: int  # the beat whose answer brought it
+    heartbeat_number: int  # the beat whose answer brought it
     stopping: bool = False
 
 
-class Holder:
+class DutyHolder:
     """All duties of one run of a process."""
 
-    def __init__(self, who: Candidate, stop: float = 0.0) -> None:
+    def __init__(self, candidate: Candidate, stop_time_s: float = 0.0) -> None:
         """``stop``: s that its work may need to stop; that is begun so much earlier, half a grant at most."""
-        self.who, self.stop = who, stop
-        self.rights: dict[str, Right] = {}
-        self.given_up: dict[str, int] = {}  # the last token of each duty whose work has stopped here
-        self.untold: dict[str, int] = {}  # of these, those that no answer has shown the members to know
-        self.sent: dict[int, tuple[float, dict[str, int]]] = {}  # when, and what it told as stopped
-        self.number = 0
-        self.place = 0  # whom of the members to ask: another one after a beat without an answer
-        self.beat_every = 1.0
-
-    def beat(self, now: float) -> Beat:
+        self.candidate, self.stop_time_s = candidate, stop_time_s
+        self.leases: dict[str, DutyLease] = {}
+        self.released_tokens: dict[str, int] = {}  # the last token of each duty whose work has stopped here
+        self.unacknowledged: dict[
+            str, int
+        ] = {}  # of these, those that no answer has shown the members to know
+        self.sent_heartbeats: dict[
+            int, tuple[float, dict[str, int]]
+        ] = {}  # when, and what it told as stopped
+        self.heartbeat_number = 0
+        self.member_index = 0  # whom of the members to ask: another one after a beat without an answer
+        self.heartbeat_interval_s = 1.0
+
+    def heartbeat(self, now: float) -> Heartbeat:
         """The next one to send, at once: rights that its answer brings count from ``now``."""
-        if self.number in self.sent:
-            self.place += 1
-        self.number += 1
-        self.sent[self.number] = now, dict(self.untold)
-        if len(self.sent) > SENT_MOST:
-            del self.sent[min(self.sent)]
-        return Beat(self.who, self.number, dict(self.untold))
-
-    def answered(self, answer: Answer, now: float) -> list[str]:
+        if self.heartbeat_number in self.sent_heartbeats:
+            self.member_index += 1
+        self.heartbeat_number += 1
+        self.sent_heartbeats[self.heartbeat_number] = now, dict(self.unacknowledged)
+        if len(self.sent_heartbeats) > MAX_UNANSWERED:
+            del self.sent_heartbeats[min(self.sent_heartbeats)]
+        return Heartbeat(self.candidate, self.heartbeat_number, dict(self.unacknowledged))
+
+    def handle_reply(self, reply: HeartbeatReply, now: float) -> list[str]:
         """The duties that are new here; what is to be stopped shows in ``to_stop``."""
-        sent, told = self.sent.pop(answer.number, (None, {}))
-        if answer.identity != self.who.identity or sent is None:
+        sent_at, reported = self.sent_heartbeats.pop(reply.number, (None, {}))
+        if reply.identity != self.candidate.identity or sent_at is None:
             return []
-        self.beat_every = ASK_PART * answer.length
-        listed = {held.duty: held.token for held in answer.held}
-        for duty, token in told.items():
+        self.heartbeat_interval_s = HEARTBEAT_FRACTION * reply.length
+        listed_tokens = {held.duty: held.token for held in reply.held}
+        for duty, token in reported.items():
             # It was told with this very beat, and is no longer held: the members know.
-            if listed.get(duty) != token and self.untold.get(duty) == token:
-                del self.untold[duty]
-        for duty, right in self.rights.items():
-            if listed.get(duty) != right.token and answer.number > right.since:
-                right.stopping = True
-        return [held.duty for held in answer.held if self.take(held, sent, answer.number, now)]
-
-    def take(self, held: Held, sent: float, number: int, now: float) -> bool:
+            if listed_tokens.get(duty) != token and self.unacknowledged.get(duty) == token:
+                del self.unacknowledged[duty]
+        for duty, lease in self.leases.items():
+            if listed_tokens.get(duty) != lease.token and reply.number > lease.heartbeat_number:
+                lease.stopping = True
+        return [held.duty for held in reply.held if self.accept(held, sent_at, reply.number, now)]
+
+    def accept(self, held: HeldDuty, sent_at: float, heartbeat_number: int, now: float) -> bool:
         """One duty of an answer to the beat sent then; whether it is new here."""
-        if held.token <= self.given_up.get(held.duty, 0):
+        if held.token <= self.released_tokens.get(held.duty, 0):
             return False
-        until = sent + held.length
+        expires_at = sent_at + held.length
         # One that wants nearly all of a grant to stop in would never begin.
-        stop_at = until - max(PART * held.length, min(self.stop, STOP_MOST * held.length))
-        right = self.rights.get(held.duty)
-        if right is not None and right.token < held.token:
+        stop_at = expires_at - max(
+            STOP_MARGIN_FRACTION * held.length, min(self.stop_time_s, MAX_STOP_FRACTION * held.length)
+        )
+        lease = self.leases.get(held.duty)
+        if lease is not None and lease.token < held.token:
             # It was lost and won again unseen; what goes on under the old token is stopped first.
-            right.stopping = True
+            lease.stopping = True
             return False
-        if right is None:
+        if lease is None:
             if stop_at <= now or held.give_up:
-                self.give_up(held.duty, held.token)
+                self.record_release(held.duty, held.token)
                 return False
-            self.rights[held.duty] = Right(held.token, until, stop_at, number)
+            self.leases[held.duty] = DutyLease(held.token, expires_at, stop_at, heartbeat_number)
             return True
-        if right.token == held.token and until > right.until and not right.stopping:
-            right.until, right.stop_at = until, stop_at
-        right.stopping = right.stopping or (held.give_up and right.token == held.token)
+        if lease.token == held.token and expires_at > lease.expires_at and not lease.stopping:
+            lease.expires_at, lease.stop_at = expires_at, stop_at
+        lease.stopping = lease.stopping or (held.give_up and lease.token == held.token)
         return False
 
     def token(self, duty: str, now: float) -> int | None:
         """The token under which this may be done now, or None. To be asked just before every act."""
-        right = self.rights.get(duty)
-        return right.token if right is not None and self.holds(right, now) else None
+        lease = self.leases.get(duty)
+        return lease.token if lease is not None and self.is_valid(lease, now) else None
 
-    def holds(self, right: Right, now: float) -> bool:
-        return now < right.until
+    def is_valid(self, lease: DutyLease, now: float) -> bool:
+        return now < lease.expires_at
 
-    def to_stop(self, now: float) -> list[str]:
+    def duties_to_stop(self, now: float) -> list[str]:
         """Duties whose work is to be stopped now; ``stopped`` is to follow."""
-        due = []
-        for duty, right in self.rights.items():
-            right.stopping = right.stopping or now >= right.stop_at
-            if right.stopping:
-                due.append(duty)
-        return due
-
-    def stopped(self, duty: str) -> None:
+        stopping = []
+        for duty, lease in self.leases.items():
+            lease.stopping = lease.stopping or now >= lease.stop_at
+            if lease.stopping:
+                stopping.append(duty)
+        return stopping
+
+    def mark_stopped(self, duty: str) -> None:
         """Nothing of it goes on here; the members are told with the next beat."""
-        right = self.rights.pop(duty, None)
-        if right is not None:
-            self.give_up(duty, right.token)
+        lease = self.leases.pop(duty, None)
+        if lease is not None:
+            self.record_release(duty, lease.token)
 
-    def give_up(self, duty: str, token: int) -> None:
-        self.given_up[duty] = max(self.given_up.get(duty, 0), token)
-        self.untold[duty] = self.given_up[duty]
+    def record_release(self, duty: str, token: int) -> None:
+        self.released_tokens[duty] = max(self.released_tokens.get(duty, 0), token)
+        self.unacknowledged[duty] = self.released_tokens[duty]
 
-    def leave(self) -> None:
+    def stop_all(self) -> None:
         """This process is to end: all its work is to be stopped."""
-        for right in self.rights.values():
-            right.stopping = True
+        for lease in self.leases.values():
+            lease.stopping = True
--- a/latchspoke/duties/machine.py
+++ b/latchspoke/duties/machine.py
@@ -16,15 +16,15 @@
     Remove,
     Rule,
     Tenure,
-    Why,
+    TenureEnd,
 )
 
 NAME = "duties"
-PAST_KEPT = 20  # tenures of each duty, for its history
-NOTES_MOST = 1000
+MAX_PAST_TENURES = 20  # tenures of each duty, for its history
+MAX_EVENTS = 1000
 
 
-CODES: dict[type, str] = {
+EVENT_CODES: dict[type, str] = {
     Define: "defined", Remove: "removed", Move: "asked-to-move", Grant: "granted", Release: "released",
 }  # fmt: skip
 
@@ -34,19 +34,19 @@
 
     def __init__(self) -> None:
         self.duties: dict[str, DutyState] = {}
-        self.notes: deque[tuple[str, str]] = deque(maxlen=NOTES_MOST)  # code and detail, for the logs
+        self.events: deque[tuple[str, str]] = deque(maxlen=MAX_EVENTS)  # code and detail, for the logs
 
     def apply(self, index: int, body: bytes) -> str:
         """'' where it was done, else why not."""
         command: Command = msgspec.msgpack.decode(body, type=Command)
-        why = self.carry_out(command)
-        code = f"not-{CODES[type(command)]}" if why else CODES[type(command)]
-        if isinstance(command, Release) and not why:
+        reason = self.execute(command)
+        code = f"not-{EVENT_CODES[type(command)]}" if reason else EVENT_CODES[type(command)]
+        if isinstance(command, Release) and not reason:
             code = command.why.value
-        self.notes.append((code, f"{command.duty}: {why or self.in_words(command)}"))
-        return why
+        self.events.append((code, f"{command.duty}: {reason or self.describe(command)}"))
+        return reason
 
-    def in_words(self, command: Command) -> str:
+    def describe(self, command: Command) -> str:
         state = self.duties[command.duty]
         match command:
             case Grant(_, holder, after, ended):
@@ -61,29 +61,29 @@
                 return "by an operator"
         raise AssertionError(command)
 
-    def carry_out(self, command: Command) -> str:
+    def execute(self, command: Command) -> str:
         state = self.duties.get(command.duty)
         if isinstance(command, Define):
             self.duties[command.duty] = self.define(state or DutyState(command.rule), command.rule)
             return ""
         if state is None or (state.rule is None and not isinstance(command, Release)):
             return f"there is no duty {command.duty}"
-        why, state = self.change(command, state)
-        if not why:
+        reason, state = self.transition(command, state)
+        if not reason:
             self.duties[command.duty] = state
-        return why
+        return reason
 
-    def change(self, command: Command, state: DutyState) -> tuple[str, DutyState]:
+    def transition(self, command: Command, state: DutyState) -> tuple[str, DutyState]:
         """What becomes of a duty that there is."""
         match command:
             case Remove():
                 return "", msgspec.structs.replace(state, rule=None)
             case Move(_, to):
                 return "", msgspec.structs.replace(state, wanted=to)
-            case Release(duty, token, why):
+            case Release(duty, token, reason):
                 if not state.held or token != state.token:
                     return f"token {token} does not hold {duty}", state
-                return "", self.end(state, why)
+                return "", self.end_tenure(state, reason)
             case Grant():
                 return self.grant(command, state)
         raise AssertionError(command)
@@ -101,19 +101,19 @@
             return f"the last token of {command.duty} is {state.token}, not {command.after}", state
         if state.held and not command.ended:
             return f"{command.duty} is held", state
-        rule, state = state.rule, self.end(state, Why.ENDED)
+        rule, state = state.rule, self.end_tenure(state, TenureEnd.EXPIRED)
         assert rule is not None  # else it was refused before
         token = state.token + 1
         tenure = Tenure(command.holder, token, rule.length)
         return "", msgspec.structs.replace(state, token=token, tenure=tenure, wanted=None)
 
     @staticmethod
-    def end(state: DutyState, why: Why) -> DutyState:
+    def end_tenure(state: DutyState, reason: TenureEnd) -> DutyState:
         """Its tenure, if it has one that goes on, becomes one of the past."""
         if state.tenure is None or not state.held:
             return state
-        tenure = msgspec.structs.replace(state.tenure, why=why)
-        past = (*state.past, tenure)[-PAST_KEPT:]
+        tenure = msgspec.structs.replace(state.tenure, why=reason)
+        past = (*state.past, tenure)[-MAX_PAST_TENURES:]
         return msgspec.structs.replace(state, tenure=tenure, past=past)
 
     def look(self, question: bytes) -> bytes:
--- /dev/null
+++ b/latchspoke/duties/member_service.py
@@ -0,0 +1,245 @@
+"""A member with the state machines on its log: beats, commands and questions in; answers out. Pure.
+
+The driver's part is the same on sockets and in virtual time: after each input, ``take`` until it gives
+nothing, each time store and sync, send the messages, then ``apply``; and hand on ``answers``.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import msgspec
+
+from latchspoke.consensus.machines import Machines
+from latchspoke.consensus.member import Member, NotLeaderError, Output
+from latchspoke.consensus.records import Entry, Snapshot
+from latchspoke.duties.coordinator import DutyCoordinator
+from latchspoke.duties.findings import NAME as FINDINGS
+from latchspoke.duties.findings import FindingsMachine
+from latchspoke.duties.machine import NAME, DutiesMachine
+from latchspoke.duties.records import Command, DutyState, Heartbeat, HeartbeatReply
+from latchspoke.revisions.coordinator import RulesCoordinator
+from latchspoke.revisions.machine import RulesMachine
+from latchspoke.revisions.records import NAME as RULES
+from latchspoke.revisions.records import Activate, RulesAnswer, RulesCommand, RulesQuestion
+
+RULES_HOLDERS = "rules-holders"  # what only the leader knows: a look at its desk, in a machine's place
+COMPACT_AFTER_ENTRIES = 1000  # entries; then they become a snapshot
+
+
+@dataclass(frozen=True, slots=True)
+class Rejected:
+    """Not done here; ``leader`` is who may be asked, or ''. Nothing is known of a command ``under_way``."""
+
+    leader: str
+    under_way: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class Committed:
+    """A command stands in the log at ``index``; ``why`` says why it changed nothing, or ''."""
+
+    index: int
+    why: str
+
+
+@dataclass(frozen=True, slots=True)
+class QueryResult:
+    """What a machine had to show at some moment after the question, with all up to ``index``."""
+
+    index: int
+    body: bytes
+
+
+class CommandRequest(msgspec.Struct, frozen=True):
+    """A command for a machine; ``ident`` is drawn by who asks, so that it may ask again."""
+
+    machine: str
+    body: bytes
+    ident: str = ""
+
+
+class Query(msgspec.Struct, frozen=True):
+    """A question to a machine."""
+
+    machine: str
+    question: bytes = b""
+
+
+Reply = HeartbeatReply | RulesAnswer | Rejected | Committed | QueryResult
+
+
+def duty_command(command: Command, ident: str = "") -> CommandRequest:
+    return CommandRequest(NAME, msgspec.msgpack.encode(command), ident)
+
+
+def rules_command(command: RulesCommand, ident: str = "") -> CommandRequest:
+    return CommandRequest(RULES, msgspec.msgpack.encode(command), ident)
+
+
+def decode_duties(result: QueryResult) -> dict[str, DutyState]:
+    return msgspec.msgpack.decode(result.body, type=dict[str, DutyState])
+
+
+@dataclass(slots=True)
+class PendingRead:
+    """A beat, a gateway's question or a look that waits for a majority's word."""
+
+    requester: int
+    request: Heartbeat | RulesQuestion | Query
+    received_at: float
+    index: int = -1  # what must be applied first, once confirmed
+
+
+class MemberService:
+    """See the module."""
+
+    def __init__(self, member: Member, drift: float) -> None:
+        self.member = member
+        self.duties = DutiesMachine()
+        self.findings = FindingsMachine(self.duties)
+        self.rules = RulesMachine()
+        self.machines = Machines({NAME: self.duties, FINDINGS: self.findings, RULES: self.rules})
+        self.rules_coordinator = RulesCoordinator(self.rules, drift)
+        self.coordinator = DutyCoordinator(self.duties, drift)
+        self.coordinator_term = -1
+        self.pending_reads: dict[int, PendingRead] = {}
+        # By index: the term, who asked, and the command if it is the desk's concern.
+        self.proposed: dict[int, tuple[int, int | None, Command | Activate | None]] = {}
+        self.replies: list[tuple[int, Reply]] = []
+        self.read_number = 0
+
+    # Inputs. ``asker`` names who gets the reply.
+
+    def handle_heartbeat(self, requester: int, heartbeat: Heartbeat, now: float) -> None:
+        self.start_read(PendingRead(requester, heartbeat, now), now)
+        if self.is_leader:
+            for command in self.coordinator.handle_heartbeat(heartbeat, now):
+                self.propose(command, now)
+
+    def handle_rules_question(self, requester: int, question: RulesQuestion, now: float) -> None:
+        """A gateway's, about the rules by which it may act."""
+        self.start_read(PendingRead(requester, question, now), now)
+
+    def handle_query(self, requester: int, query: Query, now: float) -> None:
+        self.start_read(PendingRead(requester, query, now), now)
+
+    def handle_command(self, requester: int, request: CommandRequest, now: float) -> None:
+        try:
+            self.append_command(requester, request, None, now)
+        except NotLeaderError as error:
+            self.replies.append((requester, Rejected(error.leader)))
+
+    def tick(self, now: float) -> None:
+        self.member.tick(now)
+        if self.is_leader:
+            for command in self.coordinator.due_commands(now):
+                self.propose(command, now)
+            for activate in self.rules_coordinator.due_activations(now):
+                self.append_command(None, rules_command(activate), activate, now)
+
+    # The driver's turn.
+
+    def take_output(self) -> Output | None:
+        """None where there is nothing to do."""
+        output = self.member.take()
+        empty = not (
+            output.to_store or output.messages or output.restore or output.committed or output.confirmed
+            or output.refused or output.notes
+        )  # fmt: skip
+        return None if empty else output
+
+    def apply_output(self, output: Output, now: float) -> None:
+        """What was stored and sent takes effect."""
+        if output.restore is not None:
+            self.machines.load(output.restore.index, output.restore.body)
+        for entry in output.committed:
+            self.apply_entry(entry, now)
+        for read_id, index in output.confirmed:
+            self.pending_reads[read_id].index = index
+        for read_id in output.refused:
+            read = self.pending_reads.pop(read_id)
+            self.replies.append((read.requester, Rejected(self.member.leader)))
+        self.update_leadership()
+        self.answer_reads(now)
+
+    def compact(self, min_entries: int = COMPACT_AFTER_ENTRIES) -> Snapshot | None:
+        """A snapshot to store in the place of the entries it covers, if it is time."""
+        applied = self.machines.applied
+        if self.machines.lacking or applied - self.member.log.snapshot.index < min_entries:
+            return None
+        return self.member.compact(applied, self.machines.dump())
+
+    # Parts.
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this is the leader, and knows all that was ever committed."""
+        return self.member.settled and self.coordinator_term == self.member.term
+
+    def update_leadership(self) -> None:
+        """A leader's desk is its own from the election on, once it has applied all that came before."""
+        member = self.member
+        if member.settled and self.machines.applied >= member.elected_index:
+            if self.coordinator_term != member.term:
+                self.coordinator_term = member.term
+                self.coordinator.become_leader(member.elected_at)
+                self.rules_coordinator.become_leader(member.elected_at)
+        else:
+            self.coordinator_term = -1
+
+    def start_read(self, read: PendingRead, now: float) -> None:
+        self.read_number += 1
+        try:
+            self.member.read(self.read_number, now)
+        except NotLeaderError as error:
+            self.replies.append((read.requester, Rejected(error.leader)))
+            return
+        self.pending_reads[self.read_number] = read
+
+    def propose(self, command: Command, now: float) -> None:
+        """The desk's own."""
+        self.append_command(None, duty_command(command), command, now)
+
+    def append_command(
+        self, requester: int | None, request: CommandRequest, command: Command | Activate | None, now: float
+    ) -> None:
+        entry = self.member.propose(Machines.command(request.machine, request.body, request.ident), now)
+        self.proposed[entry.index] = entry.term, requester, command
+
+    def apply_entry(self, entry: Entry, now: float) -> None:
+        result = self.machines.apply(entry)
+        term, requester, command = self.proposed.pop(entry.index, (-1, None, None))
+        if isinstance(command, Activate):
+            self.rules_coordinator.activation_applied(command, now)
+        elif command is not None and self.coordinator_term == self.member.term:
+            self.coordinator.command_applied(command, now)
+        if requester is not None:
+            is_own = term == entry.term and result is not None
+            self.replies.append(
+                (requester, Committed(*result) if is_own and result else Rejected(self.member.leader))
+            )
+
+    def answer_reads(self, now: float) -> None:
+        """Questions that a majority has confirmed, and whose entries are applied."""
+        for read_id, read in list(self.pending_reads.items()):
+            if not 0 <= read.index <= self.machines.applied:
+                continue
+            request = read.request
+            if isinstance(request, Query):
+                del self.pending_reads[read_id]
+                self.replies.append((read.requester, self.run_query(request, read.index, now)))
+            elif self.is_leader:
+                del self.pending_reads[read_id]
+                self.replies.append((read.requester, self.answer_read(request, read.received_at, now)))
+
+    def answer_read(self, request: Heartbeat | RulesQuestion, received_at: float, now: float) -> Reply:
+        if isinstance(request, RulesQuestion):
+            return self.rules_coordinator.answer(request, received_at, now)
+        return self.coordinator.reply(request, received_at, now)
+
+    def run_query(self, query: Query, index: int, now: float) -> QueryResult | Rejected:
+        if query.machine == RULES_HOLDERS:
+            return QueryResult(index, msgspec.msgpack.encode(self.rules_coordinator.status(now)))
+        machine = self.machines.machines.get(query.machine)
+        return Rejected("") if machine is None else QueryResult(index, machine.look(query.question))
--- a/latchspoke/duties/records.py
+++ b/latchspoke/duties/records.py
@@ -30,7 +30,7 @@
     def identity(self) -> str:
         return f"{self.name}#{self.session}"
 
-    def fits(self, duty: str, rule: Rule) -> bool:
+    def is_eligible(self, duty: str, rule: Rule) -> bool:
         return (
             any(fnmatchcase(duty, pattern) for pattern in self.duties)
             and any(fnmatchcase(self.name, pattern) for pattern in rule.names)
@@ -39,12 +39,12 @@
         )
 
 
-class Why(Enum):
+class TenureEnd(Enum):
     """How a tenure ended."""
 
     HELD = ""
     RELEASED = "released"  # the holder said that it had stopped
-    ENDED = "ended"  # its time had surely run out at the holder
+    EXPIRED = "ended"  # its time had surely run out at the holder
 
 
 class Tenure(msgspec.Struct, frozen=True):
@@ -53,7 +53,7 @@
     holder: str
     token: int
     longest: float = 0.0  # s; the longest that any of its answers may have granted
-    why: Why = Why.HELD
+    why: TenureEnd = TenureEnd.HELD
 
 
 # What is committed.
@@ -89,7 +89,7 @@
 
     duty: str
     token: int
-    why: Why = Why.RELEASED
+    why: TenureEnd = TenureEnd.RELEASED
 
 
 class Move(msgspec.Struct, frozen=True, tag="move"):
@@ -113,13 +113,13 @@
 
     @property
     def held(self) -> bool:
-        return self.tenure is not None and self.tenure.why is Why.HELD
+        return self.tenure is not None and self.tenure.why is TenureEnd.HELD
 
 
 # What a holder and the members say to one another.
 
 
-class Beat(msgspec.Struct, frozen=True):
+class Heartbeat(msgspec.Struct, frozen=True):
     """A candidate lives. ``number`` grows with each; ``released`` names tokens whose work has stopped."""
 
     who: Candidate
@@ -127,7 +127,7 @@
     released: dict[str, int] = {}
 
 
-class Held(msgspec.Struct, frozen=True):
+class HeldDuty(msgspec.Struct, frozen=True):
     """``length`` (s) counts from the moment at which the beat that this answers was sent."""
 
     duty: str
@@ -136,10 +136,10 @@
     give_up: bool = False  # stop, and say so
 
 
-class Answer(msgspec.Struct, frozen=True):
+class HeartbeatReply(msgspec.Struct, frozen=True):
     """All that this candidate holds, by a majority's word that came after its beat."""
 
     identity: str
     number: int
-    held: tuple[Held, ...] = ()
+    held: tuple[HeldDuty, ...] = ()
     length: float = 10.0  # s; the shortest of all rules: how often to ask goes by it
--- a/latchspoke/lab/schedules/changes.py
+++ b/latchspoke/lab/schedules/changes.py
@@ -15,10 +15,10 @@
 from latchspoke.consensus.machines import Machines, Result
 from latchspoke.consensus.member import Member
 from latchspoke.consensus.records import VoteRequest, Wire
-from latchspoke.duties.desk import Desk
-from latchspoke.duties.holder import Holder, Right
+from latchspoke.duties.coordinator import DutyCoordinator
+from latchspoke.duties.holder import DutyHolder, DutyLease
 from latchspoke.duties.machine import DutiesMachine
-from latchspoke.duties.records import Command, DutyState, Grant, Rule, Why
+from latchspoke.duties.records import Command, DutyState, Grant, Rule, TenureEnd
 from latchspoke.lab.schedules.world import Actor, Disk, Host, Process
 
 Change = tuple[type, str, Any]  # the class, its attribute, and what stands in its place
@@ -56,9 +56,9 @@
     disk.entries = entries[:-2]
 
 
-@change(Desk, "end")
-def no_wait_after_an_election(desk: Desk, duty: str, state: DutyState) -> float:
-    return desk.ends.get(duty, desk.since)
+@change(DutyCoordinator, "expiry")
+def no_wait_after_an_election(desk: DutyCoordinator, duty: str, state: DutyState) -> float:
+    return desk.expiries.get(duty, desk.elected_at)
 
 
 @change(Actor, "now")
@@ -81,25 +81,29 @@
 GRANT = DutiesMachine.grant
 
 
-@change(Desk, "due")
-def hand_over_unasked(desk: Desk, now: float) -> list[Command]:
+@change(DutyCoordinator, "due_commands")
+def hand_over_unasked(desk: DutyCoordinator, now: float) -> list[Command]:
     """The next one begins before the holder has said that it has stopped."""
     commands: list[Command] = []
     for duty, state in desk.machine.duties.items():
-        names = [seen.who.name for seen in desk.fresh(duty, state, now)]
+        names = [seen.candidate.name for seen in desk.live_candidates(duty, state, now)]
         wanted = state.wanted in names and state.tenure is not None
         if wanted and state.held and duty not in desk.pending:
-            to = next(seen.who for seen in desk.fresh(duty, state, now) if seen.who.name == state.wanted)
+            to = next(
+                seen.candidate
+                for seen in desk.live_candidates(duty, state, now)
+                if seen.candidate.name == state.wanted
+            )
             if state.tenure is not None and state.tenure.holder != to.identity:
                 commands.append(desk.propose(Grant(duty, to.identity, state.token, True)))
     return commands + DUE(desk, now)
 
 
-DUE = Desk.due
+DUE = DutyCoordinator.due_commands
 
 
-@change(Holder, "holds")
-def checked_on_a_timer_only(holder: Holder, right: Right, now: float) -> bool:
+@change(DutyHolder, "is_valid")
+def checked_on_a_timer_only(holder: DutyHolder, right: DutyLease, now: float) -> bool:
     return not right.stopping
 
 
@@ -121,7 +125,7 @@
 
 def shorter_rule_shortens_grants(state: DutyState, rule: Rule) -> DutyState:
     tenure = state.tenure
-    if tenure is not None and tenure.why is Why.HELD:
+    if tenure is not None and tenure.why is TenureEnd.HELD:
         tenure = msgspec.structs.replace(tenure, longest=rule.length)
     return msgspec.structs.replace(state, rule=rule, tenure=tenure)
 
--- a/latchspoke/lab/schedules/faults.py
+++ b/latchspoke/lab/schedules/faults.py
@@ -9,7 +9,7 @@
 
 from latchspoke.consensus.member import ChangeError, NotLeaderError, Role
 from latchspoke.consensus.records import Members
-from latchspoke.duties.office import Office
+from latchspoke.duties.member_service import MemberService
 from latchspoke.duties.records import Define, Move, Remove, Rule
 from latchspoke.lab.schedules.world import Host, Setup, World
 
@@ -175,7 +175,7 @@
             host.give(hand_over)
 
 
-def hand_over(office: Office, now: float) -> None:
+def hand_over(office: MemberService, now: float) -> None:
     try:
         office.member.hand_over(now)
     except NotLeaderError:
@@ -208,7 +208,7 @@
         world.at(0.5, lambda: replace(world, host, old, tries - 1))
 
 
-def alter(members: Members, office: Office, now: float) -> None:
+def alter(members: Members, office: MemberService, now: float) -> None:
     try:
         office.member.change(members, now)
     except (NotLeaderError, ChangeError):
--- a/latchspoke/lab/schedules/real_rules.py
+++ b/latchspoke/lab/schedules/real_rules.py
@@ -18,15 +18,15 @@
 import msgspec
 
 from latchspoke.agent.members import clock
-from latchspoke.duties.office import Done
+from latchspoke.duties.member_service import Committed
 from latchspoke.lab.relay import Mode, Relay
 from latchspoke.lab.schedules.check import Verdict
 from latchspoke.lab.schedules.faults import Fault
 from latchspoke.lab.schedules.gate import CUSTOMERS
 from latchspoke.lab.schedules.real import PATIENCE, SPAN, Trial
 from latchspoke.revisions.documents import BLOCKED
+from latchspoke.revisions.leases import REFUSE
 from latchspoke.revisions.records import PutRules, Terms
-from latchspoke.revisions.rights import REFUSE
 
 RIGHT = 1.5  # s
 DRIFT = 0.02  # as in the agents' files
@@ -107,7 +107,7 @@
         for _ in range(6):
             answer = await self.ask("POST", f"/v1/rules/commands?ident={ident}", command)
             if answer:
-                done: Done = msgspec.json.decode(answer, type=Done)
+                done: Committed = msgspec.json.decode(answer, type=Committed)
                 if not done.why:
                     self.versions[parent + 1] = self.told[parent + 1] = blocked
                 return not done.why
@@ -119,7 +119,7 @@
         async with asyncio.timeout(2 * PATIENCE):
             while not (answer := await self.ask("POST", f"/v1/rules/commands?ident={ident}", command)):
                 await asyncio.sleep(0.3)
-        done: Done = msgspec.json.decode(answer, type=Done)
+        done: Committed = msgspec.json.decode(answer, type=Committed)
         if not done.why:
             self.versions[command.parent + 1] = self.told[command.parent + 1] = blocked
         return not done.why
--- a/latchspoke/lab/schedules/rules.py
+++ b/latchspoke/lab/schedules/rules.py
@@ -7,8 +7,8 @@
 
 from latchspoke.lab.schedules.gates import FIGURE, RIGHT
 from latchspoke.lab.schedules.world import Record, RuleAct, World
-from latchspoke.revisions.documents import FIGURES, Document, contradictions
-from latchspoke.revisions.rights import STRICT
+from latchspoke.revisions.documents import PLAN_LIMITS, Document, contradictions
+from latchspoke.revisions.leases import STRICT
 
 Spans = dict[int, tuple[float, float]]  # by version: the first and the last decision under it
 
@@ -77,8 +77,8 @@
     """Whoever may not act any more is never looser than what is active."""
     wrong: list[str] = []
     for act in record.rule_acts:
-        if act.name == FIGURES and act.lapsed == STRICT:
-            active = at(record, FIGURES, record.active_at(FIGURES, act.at)).get(FIGURE)
+        if act.name == PLAN_LIMITS and act.lapsed == STRICT:
+            active = at(record, PLAN_LIMITS, record.active_at(PLAN_LIMITS, act.at)).get(FIGURE)
             if active is not None and act.figure > float(active):
                 wrong.append(f"{act.at:.3f} {act.gateway} has lapsed, goes by {act.figure} of {active}")
                 break
--- a/latchspoke/lab/schedules/world.py
+++ b/latchspoke/lab/schedules/world.py
@@ -20,10 +20,18 @@
 from latchspoke.consensus.machines import Command as Logged
 from latchspoke.consensus.member import Member, Output, Role, Timing
 from latchspoke.consensus.records import Entry, HardState, Kind, Members, Snapshot, Stored, name_of
-from latchspoke.duties.holder import Holder
+from latchspoke.duties.holder import DutyHolder
 from latchspoke.duties.machine import NAME as DUTIES
-from latchspoke.duties.office import Done, Look, Office, Refused, Reply, Shown, put_duty
-from latchspoke.duties.records import Answer, Beat, Candidate, Command, Define, Rule
+from latchspoke.duties.member_service import (
+    Committed,
+    MemberService,
+    Query,
+    QueryResult,
+    Rejected,
+    Reply,
+    duty_command,
+)
+from latchspoke.duties.records import Candidate, Command, Define, Heartbeat, HeartbeatReply, Rule
 from latchspoke.revisions.documents import Document
 from latchspoke.revisions.records import NAME as RULES
 from latchspoke.revisions.records import PutRules, RulesAnswer, RulesQuestion
@@ -217,12 +225,12 @@
 class Host(Process):
     """A member as a process: one input at a time, stored and synced before it speaks."""
 
-    office: Office
+    office: MemberService
 
     def __init__(self, world: World, name: str, members: Members, identity: str) -> None:
         super().__init__(world, name)
         self.disk = Disk(identity, members)
-        self.inbox: deque[Callable[[Office, float], None]] = deque()
+        self.inbox: deque[Callable[[MemberService, float], None]] = deque()
         self.busy = False
         self.askers: dict[int, Callable[[Reply], None]] = {}
         self.asker = 0
@@ -231,7 +239,7 @@
         stored = self.disk.start()
         seed = self.world.draw.random()
         member = Member(stored, self.world.setup.timing, random.Random(seed), self.now())
-        self.office = Office(member, self.world.setup.drift)
+        self.office = MemberService(member, self.world.setup.drift)
         self.inbox.clear()
         self.askers.clear()
         self.busy = False
@@ -251,7 +259,7 @@
         self.give(lambda office, now: office.tick(now))
         self.later(TICK, self.tick)
 
-    def give(self, call: Callable[[Office, float], None]) -> None:
+    def give(self, call: Callable[[MemberService, float], None]) -> None:
         self.inbox.append(call)
         if not self.busy:
             self.busy = True
@@ -267,7 +275,7 @@
     def turn(self) -> None:
         """Store and sync, then speak, then apply; then the next input."""
         self.busy = True
-        output = self.office.take()
+        output = self.office.take_output()
         if output is None:
             self.speak()
             self.later(self.world.draw.uniform(0, STEP), self.next)
@@ -304,16 +312,16 @@
         self.later(self.world.draw.uniform(0, STEP), lambda: self.apply(output))
 
     def apply(self, output: Output) -> None:
-        self.office.apply(output, self.now())
+        self.office.apply_output(output, self.now())
         self.world.saw(self, output)
-        snapshot = self.office.compacted(COMPACT_AFTER)
+        snapshot = self.office.compact(COMPACT_AFTER)
         if snapshot is not None and not self.disk.full:
             self.disk.compact(snapshot)
             self.disk.sync()
         self.turn()
 
     def speak(self) -> None:
-        answers, self.office.answers = self.office.answers, []
+        answers, self.office.replies = self.office.replies, []
         for asker, reply in answers:
             call = self.askers.pop(asker, None)
             if call is not None:
@@ -323,21 +331,21 @@
         message = records.decode(data)
         self.give(lambda office, now: office.member.receive(message, now))
 
-    def ask(self, put: Callable[[Office, int, float], None], reply: Callable[[Reply], None]) -> None:
+    def ask(self, put: Callable[[MemberService, int, float], None], reply: Callable[[Reply], None]) -> None:
         """A question from outside; the reply comes as soon as there is one, or never."""
         self.asker += 1
         number = self.asker
         self.askers[number] = reply
         self.give(lambda office, now: put(office, number, now))
 
-    def beat(self, beat: Beat, back: Callable[[Answer], None]) -> None:
+    def beat(self, beat: Heartbeat, back: Callable[[HeartbeatReply], None]) -> None:
         """A holder's word."""
 
         def told(reply: Reply) -> None:
-            if isinstance(reply, Answer):
+            if isinstance(reply, HeartbeatReply):
                 back(reply)
 
-        self.pass_on(lambda office, number, now: office.beat(number, beat, now), told)
+        self.pass_on(lambda office, number, now: office.handle_heartbeat(number, beat, now), told)
 
     def question(self, question: RulesQuestion, back: Callable[[RulesAnswer], None]) -> None:
         """A gateway's."""
@@ -346,19 +354,19 @@
             if isinstance(reply, RulesAnswer):
                 back(reply)
 
-        self.pass_on(lambda office, number, now: office.question(number, question, now), told)
+        self.pass_on(lambda office, number, now: office.handle_rules_question(number, question, now), told)
 
     def pass_on(
-        self, put: Callable[[Office, int, float], None], back: Callable[[Reply], None], hops: int = 1
+        self, put: Callable[[MemberService, int, float], None], back: Callable[[Reply], None], hops: int = 1
     ) -> None:
         """One that does not lead passes it on to the leader, and the answer back."""
 
         def replied(reply: Reply) -> None:
-            if isinstance(reply, Refused) and reply.leader and hops:
+            if isinstance(reply, Rejected) and reply.leader and hops:
                 to = self.world.hosts.get(name_of(reply.leader))
                 if to is not None:
                     self.world.send(self.name, to.name, lambda: to.pass_on(put, passed(to), hops - 1))
-            elif not isinstance(reply, Refused):
+            elif not isinstance(reply, Rejected):
                 back(reply)
 
         def passed(to: Host) -> Callable[[Reply], None]:
@@ -370,7 +378,7 @@
 class Actor(Process):
     """A holder: it beats, acts on what it holds, and stops in time."""
 
-    holder: Holder
+    holder: DutyHolder
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
@@ -378,40 +386,40 @@
 
     def boot(self) -> None:
         self.world.numbers += 1
-        self.holder = Holder(Candidate(self.name, str(self.world.numbers)))
+        self.holder = DutyHolder(Candidate(self.name, str(self.world.numbers)))
         self.leaving = False
         self.tick()
         self.beat()
 
     def tick(self) -> None:
-        for duty in self.holder.to_stop(self.now()):
-            self.later(self.world.draw.uniform(0, 0.1), partial(self.holder.stopped, duty))
+        for duty in self.holder.duties_to_stop(self.now()):
+            self.later(self.world.draw.uniform(0, 0.1), partial(self.holder.mark_stopped, duty))
         self.later(TICK, self.tick)
 
     def beat(self) -> None:
-        beat = self.holder.beat(self.now())
+        beat = self.holder.heartbeat(self.now())
         self.world.record.beats += 1
         hosts = list(self.world.hosts.values())
-        host = hosts[(self.holder.place + self.world.names.index(self.name)) % len(hosts)]
+        host = hosts[(self.holder.member_index + self.world.names.index(self.name)) % len(hosts)]
 
-        def back(answer: Answer) -> None:
+        def back(answer: HeartbeatReply) -> None:
             self.world.send(host.name, self.name, lambda: self.later(0, lambda: self.answered(answer)))
 
         self.world.send(self.name, host.name, lambda: host.beat(beat, back))
-        wait = min(self.holder.beat_every, 1.0) * self.world.draw.uniform(0.7, 1.0)
+        wait = min(self.holder.heartbeat_interval_s, 1.0) * self.world.draw.uniform(0.7, 1.0)
         self.later(wait, self.beat)
 
-    def answered(self, answer: Answer) -> None:
-        for duty in self.holder.answered(answer, self.now()):
+    def answered(self, answer: HeartbeatReply) -> None:
+        for duty in self.holder.handle_reply(answer, self.now()):
             self.later(self.world.draw.uniform(0, STEP), partial(self.act, duty))
 
     def act(self, duty: str) -> None:
         """The check and the act are two steps: anything may lie between them, and the token is for that."""
         token = self.holder.token(duty, self.now())
-        if duty not in self.holder.rights:
+        if duty not in self.holder.leases:
             return
         if token is not None:
-            check = Check(self.world.now, duty, token, self.holder.who.identity)
+            check = Check(self.world.now, duty, token, self.holder.candidate.identity)
             self.world.record.checks.append(check)
             slow = self.world.draw.random() < SLOW_ACT
             wait = self.world.draw.uniform(0, 2 * self.world.setup.length if slow else STEP)
@@ -484,35 +492,39 @@
     def operate(self, command: Command) -> None:
         """Ask one member after the other until one says that it is done."""
         since = self.now
-        put = put_duty(command, f"{self.draw.getrandbits(64):016x}")
+        put = duty_command(command, f"{self.draw.getrandbits(64):016x}")
 
         def reply(answer: Reply) -> None:
-            if isinstance(answer, Done):
+            if isinstance(answer, Committed):
                 told = self.record.told.setdefault(put.ident, answer.index)
                 if told != answer.index:
                     self.record.wrong(f"{self.now:.3f} a command was done at {told} and at {answer.index}")
             lost = self.draw.random() < LOST
-            if isinstance(answer, Done) and not done and not lost:
+            if isinstance(answer, Committed) and not done and not lost:
                 done.append(True)
                 self.record.asked.append(Asked(since, self.now, "command", answer.index))
 
         done: list[bool] = []
-        self.insist(lambda office, number, now: office.put(number, put, now), reply, done, tries=60)
+        self.insist(
+            lambda office, number, now: office.handle_command(number, put, now), reply, done, tries=60
+        )
 
     def look(self) -> None:
         since = self.now
         done: list[bool] = []
 
         def reply(answer: Reply) -> None:
-            if isinstance(answer, Shown) and not done:
+            if isinstance(answer, QueryResult) and not done:
                 done.append(True)
                 self.record.asked.append(Asked(since, self.now, "look", answer.index))
 
-        self.insist(lambda office, number, now: office.look(number, Look(DUTIES), now), reply, done, tries=3)
+        self.insist(
+            lambda office, number, now: office.handle_query(number, Query(DUTIES), now), reply, done, tries=3
+        )
 
     def insist(
         self,
-        put: Callable[[Office, int, float], None],
+        put: Callable[[MemberService, int, float], None],
         reply: Callable[[Reply], None],
         done: list[bool],
         tries: int,
--- a/latchspoke/net/rules.py
+++ b/latchspoke/net/rules.py
@@ -25,15 +25,22 @@
 from latchspoke.core import DecisionLease
 from latchspoke.net.clock import Clock
 from latchspoke.revisions.documents import (
-    ASIDE,
     BLOCKED,
-    FIGURES,
     KINDS,
+    PLAN_LIMITS,
+    SET_ASIDE,
     Document,
     DocumentError,
     Scalar,
 )
-from latchspoke.revisions.rights import REFUSE, Acting, Fetch, Known, Rights, dump
+from latchspoke.revisions.leases import (
+    REFUSE,
+    EffectiveRules,
+    KnownDocument,
+    MissingContent,
+    RuleLeases,
+    dump,
+)
 
 log = logging.getLogger(__name__)
 
@@ -112,13 +119,13 @@
     ) -> None:
         self.loop, self.timers, self.settings, self.told = loop, timers, settings, told
         self.give, self.on_ready, self.clock = give, on_ready, clock
-        self.rights = Rights(name, secrets.token_hex(4))
+        self.rights = RuleLeases(name, secrets.token_hex(4))
         self.plans = {plan.name: plan for plan in settings.plans}  # as the module has them now
         self.lease = DecisionLease("", math.inf)
         self.connection: MemberConnection | None = None
         self.asked = 0  # grows with each question; what comes for an earlier one is not wanted any more
-        self.fetching: list[Fetch] = []
-        self.current: Fetch | None = None
+        self.fetching: list[MissingContent] = []
+        self.current: MissingContent | None = None
         self.whole: set[tuple[str, int]] = set()  # contents that are to be fetched by parts
         self.then: Callable[[Any], None] = lambda told: None
         self.stopped = self.begun = False
@@ -126,7 +133,7 @@
 
     @property
     def lease_expires_at(self) -> float:
-        return self.rights.lapse_at
+        return self.rights.next_expiry
 
     # From start to end.
 
@@ -140,7 +147,7 @@
         self.ask()
 
     def begin_alone(self, now: float) -> None:
-        if not self.rights.joined and self.rights.acted_before:
+        if not self.rights.contacted and self.rights.has_effective_rules:
             log.warning("no member is heard: begins on the rules last known")
             self.take_up()
             self.on_ready()
@@ -168,7 +175,7 @@
     def keep(self) -> None:
         """Whole or not at all; one after the other beside the loop, as a list may be long."""
         if self.told.kept:
-            self.loop.run_in_executor(self.writer, write, self.told.kept, self.rights.acted_on())
+            self.loop.run_in_executor(self.writer, write, self.told.kept, self.rights.persistent_state())
 
     # Asking.
 
@@ -186,7 +193,7 @@
         if self.connection is not None and self.connection.transport is not None:
             self.connection.ask(path, data)
             return
-        socket = self.told.sockets[self.rights.place % len(self.told.sockets)]
+        socket = self.told.sockets[self.rights.member_index % len(self.told.sockets)]
         task = self.loop.create_task(self.dial(socket))
 
         def opened(task: asyncio.Task[MemberConnection | None]) -> None:
@@ -255,40 +262,40 @@
             self.in_vain(self.asked)
 
     def answered(self, told: Any) -> None:
-        if self.rights.answered(told, self.clock()) and (self.begun or self.rights.ready(self.clock())):
+        if self.rights.handle_answer(told, self.clock()) and (self.begun or self.rights.ready(self.clock())):
             if self.label() != self.lease.label:
                 self.take_up()
                 self.keep()
             # The same versions, for longer: what is in hand may go on as well.
-            self.lease.expires_at = self.rights.stop_at(self.clock())
+            self.lease.expires_at = self.rights.stop_sending_at(self.clock())
             self.on_ready()
-        self.fetching = self.rights.fetches()
+        self.fetching = self.rights.missing_contents()
         self.fetch()
 
     def fetch(self) -> None:
         if not self.fetching:
-            self.later(self.rights.ask_every)
+            self.later(self.rights.question_interval_s)
             return
         one = self.current = self.fetching.pop()
-        base = self.rights.known[one.name].at_hand.get(one.base, Document())
+        base = self.rights.documents[one.name].contents.get(one.base, Document())
         if (one.name, one.version) in self.whole:
             self.fetch_parts(one, base, [digest.hex() for digest in base.digests], 0)
             return
         asked = {"name": one.name, "version": one.version, "base": one.base}
         self.send("/v1/rules/content", asked, lambda told: self.take(one, base, [], told))
 
-    def fetch_parts(self, one: Fetch, base: Document, digests: list[str], first: int) -> None:
+    def fetch_parts(self, one: MissingContent, base: Document, digests: list[str], first: int) -> None:
         asked = {"name": one.name, "version": one.version, "digests": digests, "first": first}
         self.send("/v1/rules/content", asked, lambda told: self.take(one, base, digests, told))
 
-    def take(self, one: Fetch, base: Document, digests: list[str], told: Any) -> None:
+    def take(self, one: MissingContent, base: Document, digests: list[str], told: Any) -> None:
         """Some of it at a time; as a whole it is tried by its digest."""
         made = assembled(told, base)
         if told.get("then"):
             self.fetch_parts(one, made, digests, int(told["then"]))
             return
         try:
-            self.rights.take(one.name, one.version, made)
+            self.rights.add_content(one.name, one.version, made)
         except DocumentError as e:
             log.warning("fetched in vain: %s", e)
             self.in_vain(self.asked)
@@ -305,11 +312,11 @@
     def label(self) -> str:
         """Of what is acted on: plans:3,blocked:7-refuse."""
         now = self.clock()
-        return ",".join(f"{name}:{self.rights.label(name, now)}" for name in sorted(self.rights.known))
+        return ",".join(f"{name}:{self.rights.label(name, now)}" for name in sorted(self.rights.documents))
 
     def expire_lease(self) -> None:
         """From the moment at which a right ends; also after this process stood still for any time."""
-        self.rights.next_lapse(self.clock())
+        self.rights.update_next_expiry(self.clock())
         if self.begun:
             self.take_up()
         log.warning("a right to act has ended: %s", self.lease.label)
@@ -317,16 +324,16 @@
     def take_up(self) -> None:
         """In one step between two events of the core; what is in hand keeps the epoch that it came under."""
         now = self.clock()
-        acting = {name: self.rights.acting(name, now) for name in KINDS}
-        self.rights.next_lapse(now)
+        acting = {name: self.rights.effective_rules(name, now) for name in KINDS}
+        self.rights.update_next_expiry(now)
         self.begun = True
-        self.lease = DecisionLease(self.label(), self.rights.stop_at(now))
+        self.lease = DecisionLease(self.label(), self.rights.stop_sending_at(now))
         log.info("acts by %s", self.lease.label)
-        figures = acting[FIGURES]
+        figures = acting[PLAN_LIMITS]
         self.plans = made_plans(self.settings, self.plans, figures.document)
         everybody = REFUSE in (figures.lapsed, acting[BLOCKED].lapsed)
         blocked: Container[str] = Everything() if everybody else acting[BLOCKED].document
-        self.give(api.Rules(tuple(self.plans.values()), blocked, listed(acting[ASIDE])))
+        self.give(api.Rules(tuple(self.plans.values()), blocked, listed(acting[SET_ASIDE])))
 
     def view(self) -> dict[str, Any]:
         """For operators."""
@@ -334,15 +341,15 @@
         return {
             name: {
                 "acting": self.rights.label(name, now),
-                "right_for": round(max(one.until - now, 0.0), 3),
-                "at_hand": sorted(one.at_hand),
-                "lacks": sorted(one.wanted),
+                "right_for": round(max(one.expires_at - now, 0.0), 3),
+                "at_hand": sorted(one.contents),
+                "lacks": sorted(one.missing),
             }
-            for name, one in sorted(self.rights.known.items())
+            for name, one in sorted(self.rights.documents.items())
         }
 
 
-def listed(acting: Acting) -> Container[str]:
+def listed(acting: EffectiveRules) -> Container[str]:
     if acting.lapsed == REFUSE:
         return Everything()
     # An empty tuple costs nothing to look into.
@@ -353,7 +360,7 @@
     """As ``revisions.machine.assemble``, of a plain object."""
     if told.get("parts") is not None:
         return base.with_parts({int(number): dict(part) for number, part in told["parts"].items()})
-    return base.changed(dict(told.get("put", {})), list(told.get("gone", ())))
+    return base.with_changes(dict(told.get("put", {})), list(told.get("gone", ())))
 
 
 def made_plans(
@@ -374,7 +381,7 @@
     return made
 
 
-def write(path: str, acted_on: dict[str, Known]) -> None:
+def write(path: str, acted_on: dict[str, KnownDocument]) -> None:
     data = json.dumps(dump(acted_on))
     try:
         with open(f"{path}.new", "w", encoding="utf-8") as file:
--- a/latchspoke/revisions/machine.py
+++ b/latchspoke/revisions/machine.py
@@ -8,21 +8,21 @@
 import msgspec
 
 from latchspoke.revisions.documents import (
-    EMPTY,
-    FIGURES,
+    EMPTY_DIGEST,
     KINDS,
-    PARTS,
+    PART_COUNT,
+    PLAN_LIMITS,
     Change,
     Document,
     DocumentError,
     Scalar,
-    between,
-    check,
     contradictions,
-    loose,
+    diff,
+    permissiveness,
+    validate_entries,
 )
 from latchspoke.revisions.records import (
-    LAPSES,
+    LAPSE_POLICIES,
     Activate,
     Content,
     FetchRules,
@@ -32,14 +32,16 @@
     Terms,
 )
 
-AT_ONCE = 4000  # entries of one answer, and one part more; reading them must not hold up a gateway
-KEPT = 100  # versions of a document, with what led to each
-LENGTH_LEAST, LENGTH_MOST = 0.5, 600.0  # s of a right
-NOTES_MOST = 1000
+MAX_CONTENT_ENTRIES = (
+    4000  # entries of one answer, and one part more; reading them must not hold up a gateway
+)
+MAX_REVISIONS = 100  # versions of a document, with what led to each
+MIN_LEASE_S, MAX_LEASE_S = 0.5, 600.0  # s of a right
+MAX_EVENTS = 1000
 
 
 @dataclass(slots=True)
-class State:
+class DocumentState:
     """One document. ``head`` is the newest version, ``active`` the one under which rights are given."""
 
     terms: Terms = field(default_factory=Terms)
@@ -51,18 +53,18 @@
     steps: dict[int, Change] = field(default_factory=dict)  # from its parent to this version
 
     @property
-    def content(self) -> Document:
+    def head_document(self) -> Document:
         return self.documents.get(self.head, Document())
 
     @property
-    def acted_on(self) -> Document:
+    def active_document(self) -> Document:
         return self.documents.get(self.active, Document())
 
     def revision(self, version: int) -> Revision | None:
-        return next((r for r in reversed(self.revisions) if r.version == version), None)
+        return next((revision for revision in reversed(self.revisions) if revision.version == version), None)
 
 
-class Saved(msgspec.Struct, frozen=True):
+class SavedState(msgspec.Struct, frozen=True):
     """A state in a snapshot. Of the contents the active one is whole, the head as a change from it."""
 
     terms: Terms
@@ -91,77 +93,87 @@
     """Commands in, new states out. A command that no longer fits changes nothing and says why."""
 
     def __init__(self) -> None:
-        self.states = {name: State() for name in KINDS}
-        self.notes: deque[tuple[str, str]] = deque(maxlen=NOTES_MOST)
+        self.states = {name: DocumentState() for name in KINDS}
+        self.events: deque[tuple[str, str]] = deque(maxlen=MAX_EVENTS)
 
     def apply(self, index: int, body: bytes) -> str:
         """'' where it was done, else why not."""
         command: RulesCommand = msgspec.msgpack.decode(body, type=RulesCommand)
         match command:
             case PutRules():
-                why = self.put(command)
+                reason = self.put(command)
                 code, detail = "rules-put", f"{command.name}: {command.reason}, by {command.author}"
             case Activate(name, version, longest):
-                why = self.activate(name, version, longest)
+                reason = self.activate(name, version, longest)
                 code, detail = "rules-active", f"{name}: version {version}"
-        self.notes.append((f"not-{code}" if why else code, f"{detail}{': ' if why else ''}{why}"))
-        return why
+        self.events.append((f"not-{code}" if reason else code, f"{detail}{': ' if reason else ''}{reason}"))
+        return reason
 
     def put(self, command: PutRules) -> str:
-        state = self.states.get(command.name, State())
+        state = self.states.get(command.name, DocumentState())
         if command.parent != state.head:
             return f"version {command.parent} of {command.name} is not the newest, {state.head} is"
         terms = command.terms or state.terms
-        new = state.content.changed(command.put, command.gone)
-        if why := self.fault(command, terms, new):
-            return why
+        new_document = state.head_document.with_changes(command.put, command.gone)
+        if reason := self.validation_error(command, terms, new_document):
+            return reason
         version = state.head + 1
-        barrier = bool(contradictions(command.name, state.acted_on, new))
-        step = between(state.content, new)
+        barrier = bool(contradictions(command.name, state.active_document, new_document))
+        step = diff(state.head_document, new_document)
         revision = Revision(
-            version, state.head, new.digest, command.author, command.reason, command.at, barrier, step.size
+            version,
+            state.head,
+            new_document.digest,
+            command.author,
+            command.reason,
+            command.at,
+            barrier,
+            step.size,
         )
         state.terms, state.head = terms, version
         state.longest = max(state.longest, terms.length)
-        state.documents = {v: d for v, d in state.documents.items() if v == state.active} | {version: new}
-        state.revisions = [*state.revisions, revision][-KEPT:]
+        state.documents = {
+            known: document for known, document in state.documents.items() if known == state.active
+        } | {version: new_document}
+        state.revisions = [*state.revisions, revision][-MAX_REVISIONS:]
         state.steps[version] = step
-        for old in [v for v in state.steps if v <= version - KEPT]:
-            del state.steps[old]
+        for old_version in [known for known in state.steps if known <= version - MAX_REVISIONS]:
+            del state.steps[old_version]
         self.states[command.name] = state
         return ""
 
     @staticmethod
-    def fault(command: PutRules, terms: Terms, new: Document) -> str:
+    def validation_error(command: PutRules, terms: Terms, new_document: Document) -> str:
         """Why such a version can't be; '' where it can."""
         try:
-            check(command.name, command.put)
-            if command.name == FIGURES:
-                check(FIGURES, terms.least)
-        except DocumentError as e:
-            return str(e)
-        if not LENGTH_LEAST <= terms.length <= LENGTH_MOST:
-            return f"a right of {terms.length:g} s; {LENGTH_LEAST:g} to {LENGTH_MOST:g} s are taken"
-        if terms.lapse not in LAPSES:
-            return f"lapse: {terms.lapse!r}; one of {', '.join(LAPSES)} is wanted"
-        if command.name != FIGURES and terms.least:
-            return f"least: only {FIGURES} has figures"
+            validate_entries(command.name, command.put)
+            if command.name == PLAN_LIMITS:
+                validate_entries(PLAN_LIMITS, terms.least)
+        except DocumentError as error:
+            return str(error)
+        if not MIN_LEASE_S <= terms.length <= MAX_LEASE_S:
+            return f"a right of {terms.length:g} s; {MIN_LEASE_S:g} to {MAX_LEASE_S:g} s are taken"
+        if terms.lapse not in LAPSE_POLICIES:
+            return f"lapse: {terms.lapse!r}; one of {', '.join(LAPSE_POLICIES)} is wanted"
+        if command.name != PLAN_LIMITS and terms.least:
+            return f"least: only {PLAN_LIMITS} has figures"
         for path, value in terms.least.items():
-            held = new.get(path)
-            if held is not None and loose(path, held) < loose(path, value):
-                return f"{path}: {held:g} is below {value:g}, by which lapsed gateways go"
+            limit = new_document.get(path)
+            if limit is not None and permissiveness(path, limit) < permissiveness(path, value):
+                return f"{path}: {limit:g} is below {value:g}, by which lapsed gateways go"
         return ""
 
     def activate(self, name: str, version: int, longest: float = 0.0) -> str:
         state = self.states.get(name)
         if state is None or version != state.head or version <= state.active:
             return f"version {version} of {name} is not the newest one that waits"
-        state.documents = {version: state.content}
+        state.documents = {version: state.head_document}
         state.active = version
         if longest:
             state.longest = max(longest, state.terms.length)
         state.revisions = [
-            msgspec.structs.replace(r, activated=True) if r.version == version else r for r in state.revisions
+            msgspec.structs.replace(revision, activated=True) if revision.version == version else revision
+            for revision in state.revisions
         ]
         return ""
 
@@ -170,55 +182,55 @@
     def look(self, question: bytes) -> bytes:
         """Of all documents; or the content of one, if it is asked for."""
         if not question:
-            return msgspec.msgpack.encode({name: self.summary(s) for name, s in self.states.items()})
+            return msgspec.msgpack.encode({name: self.summary(state) for name, state in self.states.items()})
         content = self.content(msgspec.msgpack.decode(question, type=FetchRules))
         return msgspec.msgpack.encode(content)
 
     @staticmethod
-    def summary(state: State) -> Summary:
-        content = state.content
+    def summary(state: DocumentState) -> Summary:
+        content = state.head_document
         return Summary(
             state.terms, state.active, state.head, len(content), content.digest, list(state.revisions)
         )
 
-    def content(self, asked: FetchRules) -> Content | None:
+    def content(self, request: FetchRules) -> Content | None:
         """What leads to this version: a change from ``base``, or (asked with digests) parts that differ.
 
         None where it is not here, or not as a change: then it is to be asked for by parts.
         """
-        state = self.states.get(asked.name)
-        document = state.documents.get(asked.version) if state is not None else None
+        state = self.states.get(request.name)
+        document = state.documents.get(request.version) if state is not None else None
         if state is None or document is None:
             return None
-        if asked.base and not asked.digests:
-            return self.steps(state, asked)
-        known = dict(enumerate(asked.digests[:PARTS]))
+        if request.base and not request.digests:
+            return self.merged_change(state, request)
+        known = dict(enumerate(request.digests[:PART_COUNT]))
         parts: dict[int, dict[str, Scalar]] = {}
-        size = then = 0
-        for number in range(max(asked.first, 0), PARTS):
-            if known.get(number, EMPTY.hex()) == document.digests[number].hex():
+        size = next_part = 0
+        for part_index in range(max(request.first, 0), PART_COUNT):
+            if known.get(part_index, EMPTY_DIGEST.hex()) == document.digests[part_index].hex():
                 continue
-            if size >= AT_ONCE:
-                then = number
+            if size >= MAX_CONTENT_ENTRIES:
+                next_part = part_index
                 break
-            parts[number] = dict(document.parts[number])
-            size += len(parts[number])
-        return Content(asked.name, asked.version, parts=parts, then=then)
+            parts[part_index] = dict(document.parts[part_index])
+            size += len(parts[part_index])
+        return Content(request.name, request.version, parts=parts, then=next_part)
 
     @staticmethod
-    def steps(state: State, asked: FetchRules) -> Content | None:
+    def merged_change(state: DocumentState, request: FetchRules) -> Content | None:
         """All changes since ``base`` as one; None where some are no longer here, or they are too many."""
         put: dict[str, Scalar] = {}
         gone: set[str] = set()
-        for version in range(asked.base + 1, asked.version + 1):
+        for version in range(request.base + 1, request.version + 1):
             step = state.steps.get(version)
             if step is None:
                 return None
-            put = {path: value for path, value in put.items() if path not in step.gone} | step.put
-            gone = (gone | set(step.gone)) - step.put.keys()
-        if len(put) + len(gone) > AT_ONCE:
+            put = {path: value for path, value in put.items() if path not in step.removed} | step.put
+            gone = (gone | set(step.removed)) - step.put.keys()
+        if len(put) + len(gone) > MAX_CONTENT_ENTRIES:
             return None
-        return Content(asked.name, asked.version, asked.base, put, tuple(sorted(gone)))
+        return Content(request.name, request.version, request.base, put, tuple(sorted(gone)))
 
     # Snapshots.
 
@@ -226,31 +238,38 @@
         return msgspec.msgpack.encode({name: self.save(self.states[name]) for name in sorted(self.states)})
 
     @staticmethod
-    def save(state: State) -> Saved:
+    def save(state: DocumentState) -> SavedState:
         """Entries in their paths' order, as the same state is to be the same bytes on every member."""
-        change = between(state.acted_on, state.content)
-        steps = {v: (dict(sorted(s.put.items())), s.gone) for v, s in sorted(state.steps.items())}
-        return Saved(
-            state.terms, state.active, state.head, state.longest, dict(sorted(state.acted_on.items())),
-            dict(sorted(change.put.items())), change.gone, state.revisions, steps,
+        change = diff(state.active_document, state.head_document)
+        steps = {
+            version: (dict(sorted(step.put.items())), step.removed)
+            for version, step in sorted(state.steps.items())
+        }
+        return SavedState(
+            state.terms, state.active, state.head, state.longest, dict(sorted(state.active_document.items())),
+            dict(sorted(change.put.items())), change.removed, state.revisions, steps,
         )  # fmt: skip
 
     def load(self, body: bytes) -> None:
-        saved: dict[str, Saved] = msgspec.msgpack.decode(body, type=dict[str, Saved]) if body else {}
-        self.states = {name: State() for name in KINDS}
-        self.states |= {name: self.restore(one) for name, one in saved.items()}
+        saved_states: dict[str, SavedState] = (
+            msgspec.msgpack.decode(body, type=dict[str, SavedState]) if body else {}
+        )
+        self.states = {name: DocumentState() for name in KINDS}
+        self.states |= {name: self.restore(saved_state) for name, saved_state in saved_states.items()}
 
     @staticmethod
-    def restore(saved: Saved) -> State:
-        active = Document().changed(saved.entries)
-        documents = {saved.active: active}
-        documents[saved.head] = active.changed(saved.put, saved.gone)
+    def restore(saved: SavedState) -> DocumentState:
+        active_document = Document().with_changes(saved.entries)
+        documents = {saved.active: active_document}
+        documents[saved.head] = active_document.with_changes(saved.put, saved.gone)
         steps = {version: Change(put, gone) for version, (put, gone) in saved.steps.items()}
-        return State(saved.terms, saved.active, saved.head, saved.longest, documents, saved.revisions, steps)
+        return DocumentState(
+            saved.terms, saved.active, saved.head, saved.longest, documents, saved.revisions, steps
+        )
 
 
 def assemble(content: Content, base: Document) -> Document:
     """What an answer to ``FetchRules`` makes of what is at hand; its digest tells whether it is right."""
     if content.parts is not None:
         return base.with_parts(content.parts)
-    return base.changed(content.put, content.gone)
+    return base.with_changes(content.put, content.gone)
--- a/latchspoke/revisions/records.py
+++ b/latchspoke/revisions/records.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from latchspoke.revisions.documents import Scalar
-from latchspoke.revisions.rights import KEEP, REFUSE, STRICT
+from latchspoke.revisions.leases import KEEP, REFUSE, STRICT
 
 NAME = "rules"
-LAPSES = (KEEP, STRICT, REFUSE)
+LAPSE_POLICIES = (KEEP, STRICT, REFUSE)
 
 
 class Terms(msgspec.Struct, frozen=True):
@@ -70,7 +70,7 @@
 # What gateways and members say to one another.
 
 
-class Told(msgspec.Struct, frozen=True):
+class DocumentReport(msgspec.Struct, frozen=True):
     """Of one document, by a gateway."""
 
     acting: int = 0
@@ -83,14 +83,14 @@
     gateway: str
     session: str
     number: int
-    documents: dict[str, Told] = {}
+    documents: dict[str, DocumentReport] = {}
 
     @property
     def identity(self) -> str:
         return f"{self.gateway}#{self.session}"
 
 
-class Granted(msgspec.Struct, frozen=True):
+class DocumentGrant(msgspec.Struct, frozen=True):
     """Of one document: the version under which the gateway may act, for so long (s) from its question on.
 
     -1 is none, 0 the empty one that stands for a gateway's own file. ``digests``: the versions whose content
@@ -110,10 +110,10 @@
 
     session: str
     number: int
-    documents: dict[str, Granted]
+    documents: dict[str, DocumentGrant]
 
 
-class Held(msgspec.Struct, frozen=True):
+class LeaseStatus(msgspec.Struct, frozen=True):
     """A gateway's right on one document as the leader counts it: ``right_for`` s more at the most."""
 
     version: int
@@ -121,7 +121,7 @@
     lacks: tuple[int, ...]
 
 
-class Switched(msgspec.Struct, frozen=True):
+class ActivationStatus(msgspec.Struct, frozen=True):
     """An activation that this leader saw, and for how long (s) what came before went on at the most."""
 
     name: str
@@ -130,11 +130,11 @@
     lasted: float
 
 
-class Holders(msgspec.Struct, frozen=True):
+class GatewayLeases(msgspec.Struct, frozen=True):
     """What the leader knows of the gateways."""
 
-    gateways: dict[str, dict[str, Held]]
-    switches: tuple[Switched, ...]
+    gateways: dict[str, dict[str, LeaseStatus]]
+    switches: tuple[ActivationStatus, ...]
 
 
 class FetchRules(msgspec.Struct, frozen=True):
--- a/tests/agent/test_members.py
+++ b/tests/agent/test_members.py
@@ -25,7 +25,14 @@
 from latchspoke.consensus.member import Output
 from latchspoke.consensus.records import Entry, HardState, Kind, Members
 from latchspoke.duties.machine import NAME as DUTIES
-from latchspoke.duties.office import Done, Look, Refused, Shown, put_duty, read_duties
+from latchspoke.duties.member_service import (
+    Committed,
+    Query,
+    QueryResult,
+    Rejected,
+    decode_duties,
+    duty_command,
+)
 from latchspoke.duties.records import Define, Rule
 from latchspoke.lab.relay import Mode, Relay
 from latchspoke.lab.schedules.real import draw, trial
@@ -405,7 +412,7 @@
     record = MembersRecord({"a1": f"127.0.0.1:{free_port()}"}, True, Seconds(0.02), Seconds(0.1), 0.02)
     driver = MemberDriver("a1", record, base)
     await driver.start()
-    while not driver.office.leads:
+    while not driver.office.is_leader:
         await asyncio.sleep(0.01)
     return driver
 
@@ -413,18 +420,18 @@
 def test_a_fault_of_the_program_ends_a_member_and_every_question(tmp_path: Path) -> None:
     async def play() -> None:
         driver = await alone(tmp_path)
-        assert isinstance(await driver.ask(put=put_duty(Define("census", Rule()))), Done)
+        assert isinstance(await driver.ask(put=duty_command(Define("census", Rule()))), Committed)
 
         def fault(now: float) -> None:
             raise ZeroDivisionError
 
-        waiting = asyncio.ensure_future(driver.ask(look=Look(DUTIES)))
+        waiting = asyncio.ensure_future(driver.ask(look=Query(DUTIES)))
         driver.give(fault)
-        assert isinstance(await waiting, Refused | Shown)
+        assert isinstance(await waiting, Rejected | QueryResult)
         while driver.status().role != "halted":
             await asyncio.sleep(0.01)
         assert "ZeroDivisionError" in driver.status().disk
-        assert await driver.ask(look=Look(DUTIES)) == Refused("")
+        assert await driver.ask(look=Query(DUTIES)) == Rejected("")
         await driver.stop()
 
     asyncio.run(play())
@@ -436,13 +443,13 @@
         (pages,) = driver.ledger.db.execute("PRAGMA page_count").fetchone()
         driver.ledger.db.execute(f"PRAGMA max_page_count = {pages}")
         large = Define("census", Rule(names=("x" * 200_000,)))
-        assert await driver.ask(put=put_duty(large)) == Refused("", under_way=True)
+        assert await driver.ask(put=duty_command(large)) == Rejected("", under_way=True)
         assert "full" in driver.status().disk
         driver.ledger.db.execute("PRAGMA max_page_count = 100000")
         while driver.status().disk:
             await asyncio.sleep(0.01)
-        shown = await driver.ask(look=Look(DUTIES))
-        assert isinstance(shown, Shown) and "census" in read_duties(shown), (
+        shown = await driver.ask(look=Query(DUTIES))
+        assert isinstance(shown, QueryResult) and "census" in decode_duties(shown), (
             "it stood in the log, and is done now"
         )
         await driver.stop()
--- a/tests/agent/test_rules.py
+++ b/tests/agent/test_rules.py
@@ -277,13 +277,13 @@
 
     async def burst() -> list[Any]:
         from latchspoke.agent.client import AgentClient, AgentEntry
-        from latchspoke.duties.office import Done
+        from latchspoke.duties.member_service import Committed
         from latchspoke.revisions.records import PutRules
 
         client = AgentClient("h1", AgentEntry(str(field.fleet.hosts["h1"].socket)), 5.0, None)
         try:
             return [
-                await client.call(Done, "POST", f"/v1/rules/commands?ident={n}",
+                await client.call(Committed, "POST", f"/v1/rules/commands?ident={n}",
                                   PutRules("plans", n, {"large.rate": 10.0 + n}))
                 for n in range(1, 11)
             ]  # fmt: skip
--- a/tests/duties/test_duties.py
+++ b/tests/duties/test_duties.py
@@ -6,22 +6,22 @@
 import pytest
 
 from latchspoke.console import lab
-from latchspoke.duties.desk import Desk
-from latchspoke.duties.holder import Holder
+from latchspoke.duties.coordinator import DutyCoordinator
+from latchspoke.duties.holder import DutyHolder
 from latchspoke.duties.machine import DutiesMachine
 from latchspoke.duties.records import (
-    Answer,
-    Beat,
     Candidate,
     Command,
     Define,
     Grant,
-    Held,
+    Heartbeat,
+    HeartbeatReply,
+    HeldDuty,
     Move,
     Release,
     Remove,
     Rule,
-    Why,
+    TenureEnd,
 )
 from latchspoke.lab.schedules import changes, check, faults, rule_changes
 from latchspoke.lab.schedules.world import Setup
@@ -29,58 +29,58 @@
 DRIFT = 0.05
 
 
-def answer(holder: Holder, beat: Beat, *held: Held) -> Answer:
-    return Answer(holder.who.identity, beat.number, held, 10.0)
+def answer(holder: DutyHolder, beat: Heartbeat, *held: HeldDuty) -> HeartbeatReply:
+    return HeartbeatReply(holder.candidate.identity, beat.number, held, 10.0)
 
 
 @pytest.fixture
-def holder() -> Holder:
-    return Holder(Candidate("g1", "a"))
+def holder() -> DutyHolder:
+    return DutyHolder(Candidate("g1", "a"))
 
 
-def test_a_right_counts_from_before_the_question(holder: Holder) -> None:
-    beat = holder.beat(100.0)
-    holder.answered(answer(holder, beat, Held("census", 4, 10.0)), 107.0)
+def test_a_right_counts_from_before_the_question(holder: DutyHolder) -> None:
+    beat = holder.heartbeat(100.0)
+    holder.handle_reply(answer(holder, beat, HeldDuty("census", 4, 10.0)), 107.0)
     assert holder.token("census", 107.9) == 4
-    assert holder.to_stop(108.0) == ["census"]
+    assert holder.duties_to_stop(108.0) == ["census"]
     assert holder.token("census", 109.9) == 4, "it may still end what it does"
     assert holder.token("census", 110.0) is None
 
 
 def test_whoever_wants_all_of_a_grant_to_stop_in_gets_half_of_it() -> None:
-    holder = Holder(Candidate("g1", "a"), stop=2.0)
-    beat = holder.beat(100.0)
-    assert holder.answered(answer(holder, beat, Held("census", 4, 2.0)), 100.1) == ["census"]
-    assert holder.to_stop(100.9) == [] and holder.to_stop(101.0) == ["census"]
-
-
-def test_an_answer_that_came_too_late_gives_nothing_and_is_given_back(holder: Holder) -> None:
-    beat = holder.beat(100.0)
-    assert holder.answered(answer(holder, beat, Held("census", 4, 10.0)), 109.0) == []
-    assert holder.beat(109.5).released == {"census": 4}
-
-
-def test_what_was_stopped_is_told_until_the_members_know(holder: Holder) -> None:
-    first = holder.beat(0.0)
-    holder.answered(answer(holder, first, Held("census", 1, 10.0)), 0.1)
-    early = holder.beat(1.0)
-    holder.stopped("census")
-    told = holder.beat(2.0)
-    holder.answered(answer(holder, early), 2.1)
-    assert holder.beat(2.5).released == {"census": 1}, "that answer knew nothing of the end"
-    holder.answered(answer(holder, told, Held("census", 1, 10.0)), 2.6)
+    holder = DutyHolder(Candidate("g1", "a"), stop_time_s=2.0)
+    beat = holder.heartbeat(100.0)
+    assert holder.handle_reply(answer(holder, beat, HeldDuty("census", 4, 2.0)), 100.1) == ["census"]
+    assert holder.duties_to_stop(100.9) == [] and holder.duties_to_stop(101.0) == ["census"]
+
+
+def test_an_answer_that_came_too_late_gives_nothing_and_is_given_back(holder: DutyHolder) -> None:
+    beat = holder.heartbeat(100.0)
+    assert holder.handle_reply(answer(holder, beat, HeldDuty("census", 4, 10.0)), 109.0) == []
+    assert holder.heartbeat(109.5).released == {"census": 4}
+
+
+def test_what_was_stopped_is_told_until_the_members_know(holder: DutyHolder) -> None:
+    first = holder.heartbeat(0.0)
+    holder.handle_reply(answer(holder, first, HeldDuty("census", 1, 10.0)), 0.1)
+    early = holder.heartbeat(1.0)
+    holder.mark_stopped("census")
+    told = holder.heartbeat(2.0)
+    holder.handle_reply(answer(holder, early), 2.1)
+    assert holder.heartbeat(2.5).released == {"census": 1}, "that answer knew nothing of the end"
+    holder.handle_reply(answer(holder, told, HeldDuty("census", 1, 10.0)), 2.6)
     assert holder.token("census", 2.6) is None
-    last = holder.beat(3.0)
-    holder.answered(answer(holder, last), 3.1)
-    assert holder.beat(3.5).released == {}
+    last = holder.heartbeat(3.0)
+    holder.handle_reply(answer(holder, last), 3.1)
+    assert holder.heartbeat(3.5).released == {}
 
 
-def test_answers_out_of_order_never_shorten_or_revive(holder: Holder) -> None:
-    one, two = holder.beat(0.0), holder.beat(5.0)
-    holder.answered(answer(holder, two, Held("census", 1, 10.0)), 5.1)
-    holder.answered(answer(holder, one, Held("census", 1, 10.0)), 5.2)
+def test_answers_out_of_order_never_shorten_or_revive(holder: DutyHolder) -> None:
+    one, two = holder.heartbeat(0.0), holder.heartbeat(5.0)
+    holder.handle_reply(answer(holder, two, HeldDuty("census", 1, 10.0)), 5.1)
+    holder.handle_reply(answer(holder, one, HeldDuty("census", 1, 10.0)), 5.2)
     assert holder.token("census", 14.9) == 1
-    holder.answered(answer(holder, two, Held("census", 1, 10.0)), 20.0)
+    holder.handle_reply(answer(holder, two, HeldDuty("census", 1, 10.0)), 20.0)
     assert holder.token("census", 20.0) is None
 
 
@@ -89,26 +89,26 @@
 
     def __init__(self, *rules: Rule) -> None:
         self.machine = DutiesMachine()
-        self.desk = Desk(self.machine, DRIFT)
-        self.desk.lead(0.0)
+        self.desk = DutyCoordinator(self.machine, DRIFT)
+        self.desk.become_leader(0.0)
         self.numbers: dict[str, int] = {}
         for n, rule in enumerate(rules):
             self.commit(Define(f"d{n}", rule), 0.0)
 
     def commit(self, command: Command, now: float) -> str:
         why = self.machine.apply(0, msgspec.msgpack.encode(command))
-        self.desk.applied(command, now)
+        self.desk.command_applied(command, now)
         return why
 
-    def beat(self, who: Candidate, now: float, **released: int) -> Answer:
+    def beat(self, who: Candidate, now: float, **released: int) -> HeartbeatReply:
         self.numbers[who.name] = self.numbers.get(who.name, 0) + 1
-        beat = Beat(who, self.numbers[who.name], released)
-        for command in self.desk.heard(beat, now):
+        beat = Heartbeat(who, self.numbers[who.name], released)
+        for command in self.desk.handle_heartbeat(beat, now):
             self.commit(command, now)
-        return self.desk.answer(beat, now, now)
+        return self.desk.reply(beat, now, now)
 
     def due(self, now: float) -> list[Command]:
-        commands = self.desk.due(now)
+        commands = self.desk.due_commands(now)
         for command in commands:
             self.commit(command, now)
         return commands
@@ -133,7 +133,7 @@
     board, two = Board(Rule(10.0)), Candidate("g2", "b")
     board.beat(Candidate("g1", "a"), 0.0)
     board.due(0.0)
-    board.desk.lead(50.0)
+    board.desk.become_leader(50.0)
     board.beat(two, 59.0)
     assert board.due(61.0) == []
     assert board.due(61.1) == [Grant("d0", two.identity, 1, True)]
@@ -144,7 +144,7 @@
     board.beat(Candidate("g1", "a"), 0.0)
     board.due(0.0)
     board.commit(Define("d0", Rule(1.0)), 1.0)
-    board.desk.lead(1.0)
+    board.desk.become_leader(1.0)
     board.beat(two, 10.9)
     assert board.due(11.0) == []
 
@@ -155,7 +155,7 @@
     board.beat(one, 0.0)
     board.due(0.0)
     board.beat(two, 12.0)
-    grant = board.desk.due(12.0)
+    grant = board.desk.due_commands(12.0)
     assert grant == [Grant("d0", two.identity, 1, True)]
     held = board.beat(one, 12.01).held
     assert [(right.length, right.give_up) for right in held] == [(0.0, True)]
@@ -171,7 +171,7 @@
     assert [held.give_up for held in board.beat(one, 0.8).held] == [True]
     board.beat(one, 0.9, d0=1)
     assert board.due(0.95) == [Grant("d0", two.identity, 1)]
-    assert board.machine.duties["d0"].past[-1].why is Why.RELEASED
+    assert board.machine.duties["d0"].past[-1].why is TenureEnd.RELEASED
 
 
 def test_a_move_to_nobody_that_lives_changes_nothing() -> None:
@@ -216,7 +216,7 @@
     board = Board(Rule(10.0))
     board.beat(Candidate("g1", "a"), 0.0)
     board.due(0.0)
-    assert board.due(30.0) == [Release("d0", 1, Why.ENDED)]
+    assert board.due(30.0) == [Release("d0", 1, TenureEnd.EXPIRED)]
     assert board.holders() == [""]
 
 
--- a/tests/revisions/test_follower.py
+++ b/tests/revisions/test_follower.py
@@ -15,8 +15,8 @@
 from latchspoke.config import RulesConfig
 from latchspoke.net.clock import Clock
 from latchspoke.net.rules import Follower, boottime
-from latchspoke.revisions.desk import RulesDesk
-from latchspoke.revisions.documents import BLOCKED, FIGURES
+from latchspoke.revisions.coordinator import RulesCoordinator
+from latchspoke.revisions.documents import BLOCKED, PLAN_LIMITS
 from latchspoke.revisions.machine import RulesMachine
 from latchspoke.revisions.records import Content, FetchRules, PutRules, RulesQuestion, Terms
 
@@ -31,8 +31,8 @@
     def __init__(self, path: Path, length: float = 0.6) -> None:
         self.path, self.terms = path, Terms(length, "refuse")
         self.machine = RulesMachine()
-        self.desk = RulesDesk(self.machine, 0.02)
-        self.desk.lead(-1e9)
+        self.desk = RulesCoordinator(self.machine, 0.02)
+        self.desk.become_leader(-1e9)
         self.asked: list[dict[str, Any]] = []
         self.spoil: Callable[[Content], Content] = lambda content: content
         self.status = 200
@@ -103,7 +103,7 @@
 def test_nothing_is_let_through_before_the_first_right_and_figures_come_in_one_step(tmp_path: Path) -> None:
     async def test(member: Played, gate: Gate) -> None:
         assert "anybody" in gate.given[0].blocked and not gate.follower.ready
-        member.put(FIGURES, mala_rate=2.5, mala_concurrency=3)
+        member.put(PLAN_LIMITS, mala_rate=2.5, mala_concurrency=3)
         member.put(BLOCKED, c1="by order")
         await gate.acts("aside:0,blocked:1,plans:1")
         last = gate.given[-1]
@@ -112,7 +112,7 @@
         member.put(BLOCKED, c2="by order")
         await gate.acts("aside:0,blocked:2,plans:1")
         assert gate.given[-1].plans[0] is last.plans[0], "what is as before stays the same object"
-        member.put(FIGURES, nobody_rate=1.0)
+        member.put(PLAN_LIMITS, nobody_rate=1.0)
         await gate.acts("aside:0,blocked:2,plans:2")
         assert [plan.name for plan in gate.given[-1].plans] == ["mala"]
 
