--- a/latchspoke/duties/__init__.py
+++ b/latchspoke/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one holder has at a time: leases by a majority's word, fenced. Pure; see docs/duties.md."""
+"""Duties with one holder at a time, as fenced leases on the replicated log. No I/O; see docs/duties.md."""
--- a/latchspoke/duties/coordinator.py
+++ b/latchspoke/duties/coordinator.py
@@ -1,8 +1,8 @@
-"""The leader's side: who lives, whose time has surely ended, and who comes next.
+"""The leader's side of duties: which candidates are live, which tenures have expired, and who succeeds.
 
-What is here is the leader's own and is lost with it. A new leader knows from the log who holds what; it
-can't know until when, so it takes every tenure as renewed at the moment of its election, which no answer of
-an older leader can have come after. Times are monotonic seconds of the leader's own clock.
+This state is local to the leader and lost with it. A new leader knows the holders from the log, but not when
+their leases were last renewed, so it treats every tenure as renewed at its election; no earlier leader can
+have renewed one later. Times are monotonic seconds of the leader's own clock.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
     TenureEnd,
 )
 
-FRESH_FRACTION = 0.5  # of a grant: who has not been heard for so long gets no duty
-FORGET_AFTER_GRANTS = 20.0  # grants; candidates not heard for so long are forgotten
-MAX_AVOIDANCE_S = 600.0  # s; who lost a duty by silence again and again is passed over for so long at most
-DEFAULT_LENGTH_S = 10.0  # s; where there is no duty at all
+FRESH_FRACTION = 0.5  # of a lease; a candidate silent for longer is granted no duty
+FORGET_AFTER_GRANTS = 20.0  # silence after which a candidate is forgotten, in default lease lengths
+MAX_AVOIDANCE_S = 600.0  # upper bound of the backoff for holders that let their leases expire repeatedly
+DEFAULT_LENGTH_S = 10.0  # lease length that sets the heartbeat interval while no duty applies
 
 
 @dataclass(slots=True)
 class CandidateStatus:
-    """A candidate as last heard."""
+    """A candidate and the time of its last heartbeat."""
 
     candidate: Candidate
     heard_at: float
@@ -39,39 +39,39 @@
 
 @dataclass(slots=True)
 class Avoidance:
-    """A name that has lost duties by its silence."""
+    """Backoff for a name whose leases expired without a release."""
 
     until: float
     lapses: int
 
 
 class DutyCoordinator:
-    """See the module. ``drift`` bounds how much faster or slower than true time any clock here runs."""
+    """Grants and renews duties on the leader; ``drift`` bounds the relative rate error of every clock."""
 
     def __init__(self, machine: DutiesMachine, drift: float) -> None:
         self.machine, self.drift = machine, drift
         self.candidates: dict[str, CandidateStatus] = {}
-        self.expiries: dict[str, float] = {}  # by duty: from then on its tenure has surely ended
-        self.pending: dict[str, Command] = {}  # proposed, and not yet applied
+        self.expiries: dict[str, float] = {}  # by duty: when its tenure has certainly expired
+        self.pending: dict[str, Command] = {}  # by duty: proposed and not yet applied
         self.avoided: dict[str, Avoidance] = {}
         self.elected_at = 0.0
 
     def become_leader(self, elected_at: float) -> None:
-        """This member leads; it was elected then."""
+        """Discards the state of an earlier term; this member was elected leader at ``elected_at``."""
         self.elected_at = elected_at
         self.candidates, self.expiries, self.pending = {}, {}, {}
 
     def max_local_duration(self, length: float) -> float:
-        """How long a grant lasts by this clock, if it is as fast and the holder's as slow as may be."""
+        """Longest time a lease can last by this clock, with both clocks at the limits of their drift."""
         return length * (1 + self.drift) / (1 - self.drift)
 
     def expiry(self, duty: str, state: DutyState) -> float:
-        """From then on its tenure has surely ended."""
+        """Time from which the duty's tenure has certainly expired."""
         assert state.tenure is not None
         return self.expiries.get(duty, self.elected_at + self.max_local_duration(state.tenure.longest))
 
     def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> list[Command]:
-        """A candidate lives. What it says it has stopped is to be proposed at once."""
+        """Records a live candidate; returns the releases to propose for duties that it has stopped."""
         self.candidates[heartbeat.who.identity] = CandidateStatus(heartbeat.who, now)
         releases: list[Command] = []
         for duty, token in heartbeat.released.items():
@@ -82,20 +82,20 @@
                 releases.append(self.propose(Release(duty, token)))
         return releases
 
-    def reply(self, heartbeat: Heartbeat, received: float, now: float) -> HeartbeatReply:
-        """By a majority's word, begun after ``received``, this member still leads."""
+    def reply(self, heartbeat: Heartbeat, received_at: float, now: float) -> HeartbeatReply:
+        """Renews the candidate's tenures, after a quorum confirmed this leader later than ``received_at``."""
         candidate, held = heartbeat.who, []
         for duty, state in self.machine.duties.items():
             tenure = state.tenure
             if tenure is None or not state.held or tenure.holder != candidate.identity:
                 continue
             if self.has_successor(duty):
-                # Named all the same: not to be named says that the end of it is committed.
+                # Listed with length 0: leaving it out would mean that the end of the tenure is committed.
                 held.append(HeldDuty(duty, tenure.token, 0.0, give_up=True))
                 continue
             length = state.rule.length if state.rule is not None else 0.0
             if heartbeat.released.get(duty) != state.token:
-                expiry = received + self.max_local_duration(tenure.longest)
+                expiry = received_at + self.max_local_duration(tenure.longest)
                 self.expiries[duty] = max(expiry, self.expiry(duty, state))
             held.append(HeldDuty(duty, tenure.token, length, self.must_give_up(duty, state, candidate, now)))
         rules = [(duty, state.rule) for duty, state in self.machine.duties.items() if state.rule is not None]
@@ -106,11 +106,11 @@
         return HeartbeatReply(candidate.identity, heartbeat.number, tuple(held), length)
 
     def has_successor(self, duty: str) -> bool:
-        """Whether a successor has been proposed: from then on the tenure before is not renewed."""
+        """Whether the end of the current tenure has been proposed, after which it is not renewed."""
         return isinstance(self.pending.get(duty), Grant | Release)
 
     def must_give_up(self, duty: str, state: DutyState, candidate: Candidate, now: float) -> bool:
-        """Whether its holder is to hand it over."""
+        """Whether the holder must hand the duty over."""
         rule = state.rule
         if rule is None or not candidate.is_eligible(duty, rule):
             return True
@@ -124,7 +124,7 @@
         )
 
     def due_commands(self, now: float) -> list[Command]:
-        """What is to be proposed now: successors, and ends that nobody follows."""
+        """Returns the commands to propose now: grants to successors, and ends of tenures without one."""
         commands: list[Command] = []
         self.forget_silent(now)
         for duty, state in sorted(self.machine.duties.items()):
@@ -147,7 +147,7 @@
         return command
 
     def command_applied(self, command: Command, now: float) -> None:
-        """It has been carried out, or has come to nothing."""
+        """Called once a proposed command has been applied, whether or not it had an effect."""
         if self.pending.get(command.duty) == command:
             del self.pending[command.duty]
         state = self.machine.duties.get(command.duty)
@@ -155,7 +155,7 @@
             self.expiries[command.duty] = now + self.max_local_duration(state.tenure.longest)
 
     def live_candidates(self, duty: str, state: DutyState, now: float) -> list[CandidateStatus]:
-        """Candidates that live and may hold it."""
+        """Candidates with a recent heartbeat that are eligible for the duty."""
         rule = state.rule
         if rule is None:
             return []
@@ -166,7 +166,10 @@
         ]  # fmt: skip
 
     def choose_successor(self, duty: str, state: DutyState, now: float) -> Candidate | None:
-        """Whom an operator wants; else who has fewest, those that were lost of late only if need be."""
+        """The candidate requested by an operator, else the one with the fewest duties.
+
+        Candidates whose leases expired recently are chosen only if there is no other.
+        """
         candidates = [status.candidate for status in self.live_candidates(duty, state, now)]
         previous_holder = state.tenure.holder if state.tenure is not None else ""
         duty_counts = self.duty_counts()
@@ -186,7 +189,7 @@
         return min(candidates, key=sort_key, default=None)
 
     def duty_counts(self) -> dict[str, int]:
-        """How many duties each holds, or is about to."""
+        """Number of duties that each candidate holds or has been proposed for."""
         duty_counts: dict[str, int] = {}
         for duty, state in self.machine.duties.items():
             pending = self.pending.get(duty)
@@ -205,7 +208,7 @@
             avoidance.until = now + min(state.tenure.longest * 2**avoidance.lapses, MAX_AVOIDANCE_S)
 
     def forget_silent(self, now: float) -> None:
-        """Candidates long silent, and lapses that lie far back."""
+        """Drops candidates that have been silent for long, and old backoff records."""
         for identity in [
             identity
             for identity, status in self.candidates.items()
@@ -219,5 +222,5 @@
 
 
 def tie_break_key(duty: str, candidate: Candidate) -> bytes:
-    """A place in the line for this duty, other for each duty, so that no candidate is first for all."""
+    """Orders equally loaded candidates differently for each duty, so that none is first for all."""
     return blake2b(f"{duty}\n{candidate.identity}".encode(), digest_size=8).digest()
--- a/latchspoke/duties/findings.py
+++ b/latchspoke/duties/findings.py
@@ -1,7 +1,7 @@
-"""What the census of the fleet has found, on the log: raised once, whoever holds the census when it is.
+"""Replicated state machine of the census findings, so that each is raised once across changes of the holder.
 
-A report is taken only under the token that the log itself knows as the duty's newest, so that a holder which
-slept through its end can neither raise nor clear anything.
+A report is accepted only under the newest token of its duty, so that a holder whose lease has expired can
+neither raise nor clear findings.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from latchspoke.duties.machine import DutiesMachine
 
 NAME = "findings"
-MAX_PAST_FINDINGS = 100  # of those that are over
+MAX_PAST_FINDINGS = 100  # ended findings that are kept
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """``since`` and ``until``: the reporter's time of day, in s; 0 while it lasts."""
+    """One finding; ``since`` and ``until`` are the reporter's Unix seconds; ``until`` is 0 while open."""
 
     key: str
     text: str
@@ -24,7 +24,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What is new or other than before, and the keys of what is over."""
+    """New or changed findings, and the keys of those that have ended."""
 
     duty: str
     token: int
@@ -34,7 +34,7 @@
 
 
 class Findings(msgspec.Struct, frozen=True):
-    """All that is known."""
+    """Open and past findings."""
 
     open: dict[str, Finding] = {}
     past: tuple[Finding, ...] = ()
@@ -42,7 +42,7 @@
 
 
 class FindingsMachine:
-    """See the module. It reads the duties as they stand at the same place of the log."""
+    """Applies reports; validates their token against the duties' state at the same log index."""
 
     def __init__(self, duties: DutiesMachine) -> None:
         self.duties = duties
--- a/latchspoke/duties/holder.py
+++ b/latchspoke/duties/holder.py
@@ -1,7 +1,7 @@
-"""The holder's side: what it may do now, by its own clock, and what it says to the members.
+"""The holder's side of duties: its leases by its own clock, and the heartbeats that renew them.
 
-Times are monotonic seconds of this process's own clock, of a kind that goes on while the machine sleeps
-(``CLOCK_BOOTTIME``). A right is counted from before the question was sent, and is checked at the act.
+Times are monotonic seconds of a clock that also runs while the machine is suspended (``CLOCK_BOOTTIME``). A
+lease starts when the heartbeat was sent, and is checked immediately before each action.
 """
 
 from __future__ import annotations
@@ -10,43 +10,39 @@
 
 from latchspoke.duties.records import Candidate, Heartbeat, HeartbeatReply, HeldDuty
 
-STOP_MARGIN_FRACTION = 0.2  # of a grant: its holder stops so long before its end
-MAX_STOP_FRACTION = 0.5  # of a grant: no more of it is kept for stopping
-HEARTBEAT_FRACTION = 0.25  # of a grant between two beats
-MAX_UNANSWERED = 64  # beats whose answer may still come
+STOP_MARGIN_FRACTION = 0.2  # of a lease: the holder stops at least this long before it expires
+MAX_STOP_FRACTION = 0.5  # of a lease that may be reserved for stopping
+HEARTBEAT_FRACTION = 0.25  # of a lease between two heartbeats
+MAX_UNANSWERED = 64  # heartbeats whose reply is still accepted
 
 
 @dataclass(slots=True)
 class DutyLease:
-    """One duty held here."""
+    """The lease on one duty held by this process."""
 
     token: int
-    expires_at: float  # nothing is done from then on
-    stop_at: float  # what goes on is stopped by then
-    heartbeat_number: int  # the beat whose answer brought it
+    expires_at: float
+    stop_at: float  # when its work must begin to stop
+    heartbeat_number: int  # of the heartbeat whose reply granted it
     stopping: bool = False
 
 
 class DutyHolder:
-    """All duties of one run of a process."""
+    """All duties of one process instance."""
 
     def __init__(self, candidate: Candidate, stop_time_s: float = 0.0) -> None:
-        """``stop``: s that its work may need to stop; that is begun so much earlier, half a grant at most."""
+        """``stop_time_s``: how long the work needs to stop, up to ``MAX_STOP_FRACTION`` of a lease."""
         self.candidate, self.stop_time_s = candidate, stop_time_s
         self.leases: dict[str, DutyLease] = {}
-        self.released_tokens: dict[str, int] = {}  # the last token of each duty whose work has stopped here
-        self.unacknowledged: dict[
-            str, int
-        ] = {}  # of these, those that no answer has shown the members to know
-        self.sent_heartbeats: dict[
-            int, tuple[float, dict[str, int]]
-        ] = {}  # when, and what it told as stopped
+        self.released_tokens: dict[str, int] = {}  # by duty: the last token whose work has stopped
+        self.unacknowledged: dict[str, int] = {}  # releases not yet confirmed by a reply
+        self.sent_heartbeats: dict[int, tuple[float, dict[str, int]]] = {}  # send time and reported releases
         self.heartbeat_number = 0
-        self.member_index = 0  # whom of the members to ask: another one after a beat without an answer
+        self.member_index = 0  # which member to ask; advances after an unanswered heartbeat
         self.heartbeat_interval_s = 1.0
 
     def heartbeat(self, now: float) -> Heartbeat:
-        """The next one to send, at once: rights that its answer brings count from ``now``."""
+        """Returns the next heartbeat, to be sent at once: leases granted by its reply start at ``now``."""
         if self.heartbeat_number in self.sent_heartbeats:
             self.member_index += 1
         self.heartbeat_number += 1
@@ -56,14 +52,14 @@
         return Heartbeat(self.candidate, self.heartbeat_number, dict(self.unacknowledged))
 
     def handle_reply(self, reply: HeartbeatReply, now: float) -> list[str]:
-        """The duties that are new here; what is to be stopped shows in ``to_stop``."""
+        """Applies a reply and returns newly granted duties; see ``duties_to_stop`` for those that end."""
         sent_at, reported = self.sent_heartbeats.pop(reply.number, (None, {}))
         if reply.identity != self.candidate.identity or sent_at is None:
             return []
         self.heartbeat_interval_s = HEARTBEAT_FRACTION * reply.length
         listed_tokens = {held.duty: held.token for held in reply.held}
         for duty, token in reported.items():
-            # It was told with this very beat, and is no longer held: the members know.
+            # This heartbeat reported the release and the duty is no longer listed, so it is committed.
             if listed_tokens.get(duty) != token and self.unacknowledged.get(duty) == token:
                 del self.unacknowledged[duty]
         for duty, lease in self.leases.items():
@@ -72,17 +68,17 @@
         return [held.duty for held in reply.held if self.accept(held, sent_at, reply.number, now)]
 
     def accept(self, held: HeldDuty, sent_at: float, heartbeat_number: int, now: float) -> bool:
-        """One duty of an answer to the beat sent then; whether it is new here."""
+        """Applies one granted duty of a reply; returns whether it is new."""
         if held.token <= self.released_tokens.get(held.duty, 0):
             return False
         expires_at = sent_at + held.length
-        # One that wants nearly all of a grant to stop in would never begin.
+        # Without this limit, work that takes most of a lease to stop would never start.
         stop_at = expires_at - max(
             STOP_MARGIN_FRACTION * held.length, min(self.stop_time_s, MAX_STOP_FRACTION * held.length)
         )
         lease = self.leases.get(held.duty)
         if lease is not None and lease.token < held.token:
-            # It was lost and won again unseen; what goes on under the old token is stopped first.
+            # Lost and granted again between two replies: work under the old token must stop first.
             lease.stopping = True
             return False
         if lease is None:
@@ -97,7 +93,7 @@
         return False
 
     def token(self, duty: str, now: float) -> int | None:
-        """The token under which this may be done now, or None. To be asked just before every act."""
+        """The token of a valid lease, or None. Call this immediately before each action."""
         lease = self.leases.get(duty)
         return lease.token if lease is not None and self.is_valid(lease, now) else None
 
@@ -105,7 +101,7 @@
         return now < lease.expires_at
 
     def duties_to_stop(self, now: float) -> list[str]:
-        """Duties whose work is to be stopped now; ``stopped`` is to follow."""
+        """Duties whose work must stop now; call ``mark_stopped`` once it has."""
         stopping = []
         for duty, lease in self.leases.items():
             lease.stopping = lease.stopping or now >= lease.stop_at
@@ -114,7 +110,7 @@
         return stopping
 
     def mark_stopped(self, duty: str) -> None:
-        """Nothing of it goes on here; the members are told with the next beat."""
+        """The duty's work has stopped; the next heartbeat reports the release."""
         lease = self.leases.pop(duty, None)
         if lease is not None:
             self.record_release(duty, lease.token)
@@ -124,6 +120,6 @@
         self.unacknowledged[duty] = self.released_tokens[duty]
 
     def stop_all(self) -> None:
-        """This process is to end: all its work is to be stopped."""
+        """Marks all duties as to be stopped, for a shutdown."""
         for lease in self.leases.values():
             lease.stopping = True
--- a/latchspoke/duties/machine.py
+++ b/latchspoke/duties/machine.py
@@ -1,4 +1,4 @@
-"""The duties as the log tells them: who was given what, with which token. Deterministic."""
+"""Replicated state machine of the duties: their holders and fencing tokens. Deterministic."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 NAME = "duties"
-MAX_PAST_TENURES = 20  # tenures of each duty, for its history
+MAX_PAST_TENURES = 20  # kept for each duty
 MAX_EVENTS = 1000
 
 
@@ -30,14 +30,14 @@
 
 
 class DutiesMachine:
-    """Commands in, new states out. A command that no longer fits changes nothing and says why."""
+    """Applies commands; a command whose preconditions no longer hold is refused with a reason."""
 
     def __init__(self) -> None:
         self.duties: dict[str, DutyState] = {}
-        self.events: deque[tuple[str, str]] = deque(maxlen=MAX_EVENTS)  # code and detail, for the logs
+        self.events: deque[tuple[str, str]] = deque(maxlen=MAX_EVENTS)  # code and detail, to be logged
 
     def apply(self, index: int, body: bytes) -> str:
-        """'' where it was done, else why not."""
+        """Returns '' if the command was applied, else the reason for its refusal."""
         command: Command = msgspec.msgpack.decode(body, type=Command)
         reason = self.execute(command)
         code = f"not-{EVENT_CODES[type(command)]}" if reason else EVENT_CODES[type(command)]
@@ -52,9 +52,9 @@
             case Grant(_, holder, after, ended):
                 return f"{holder} by token {state.token}" + (f", {after} ended" if ended and after else "")
             case Release(_, token, _):
-                return f"token {token} of {state.tenure.holder if state.tenure else 'nobody'}"
+                return f"token {token} of {state.tenure.holder if state.tenure else 'no holder'}"
             case Move(_, to):
-                return f"to {to or 'anybody else'}"
+                return f"to {to or 'any other candidate'}"
             case Define(_, rule):
                 return f"grants of {rule.length:g} s"
             case Remove():
@@ -74,7 +74,7 @@
         return reason
 
     def transition(self, command: Command, state: DutyState) -> tuple[str, DutyState]:
-        """What becomes of a duty that there is."""
+        """Returns the reason for a refusal or '', and the new state of an existing duty."""
         match command:
             case Remove():
                 return "", msgspec.structs.replace(state, rule=None)
@@ -90,7 +90,7 @@
 
     @staticmethod
     def define(state: DutyState, rule: Rule) -> DutyState:
-        """A shorter grant does not shorten what a holder was told before."""
+        """Sets the rule; ``longest`` never shrinks, as the holder may still rely on a longer lease."""
         tenure = state.tenure
         if tenure is not None and state.held:
             tenure = msgspec.structs.replace(tenure, longest=max(tenure.longest, rule.length))
@@ -102,14 +102,14 @@
         if state.held and not command.ended:
             return f"{command.duty} is held", state
         rule, state = state.rule, self.end_tenure(state, TenureEnd.EXPIRED)
-        assert rule is not None  # else it was refused before
+        assert rule is not None  # a grant without a rule is refused in ``execute``
         token = state.token + 1
         tenure = Tenure(command.holder, token, rule.length)
         return "", msgspec.structs.replace(state, token=token, tenure=tenure, wanted=None)
 
     @staticmethod
     def end_tenure(state: DutyState, reason: TenureEnd) -> DutyState:
-        """Its tenure, if it has one that goes on, becomes one of the past."""
+        """Moves a tenure that has not ended to the past ones."""
         if state.tenure is None or not state.held:
             return state
         tenure = msgspec.structs.replace(state.tenure, why=reason)
@@ -117,7 +117,7 @@
         return msgspec.structs.replace(state, tenure=tenure, past=past)
 
     def look(self, question: bytes) -> bytes:
-        """All of them."""
+        """Returns all duties; ``question`` is not used."""
         return self.dump()
 
     def dump(self) -> bytes:
--- a/latchspoke/duties/member_service.py
+++ b/latchspoke/duties/member_service.py
@@ -1,7 +1,7 @@
-"""A member with the state machines on its log: beats, commands and questions in; answers out. Pure.
+"""A Raft member with its state machines: heartbeats, commands and queries in, replies out. No I/O.
 
-The driver's part is the same on sockets and in virtual time: after each input, ``take`` until it gives
-nothing, each time store and sync, send the messages, then ``apply``; and hand on ``answers``.
+Drivers on sockets and in simulation work alike: after each input, call ``take_output`` until it returns None;
+each time store and sync the output, send its messages, then call ``apply_output``. Deliver ``replies``.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from latchspoke.revisions.records import NAME as RULES
 from latchspoke.revisions.records import Activate, RulesAnswer, RulesCommand, RulesQuestion
 
-RULES_HOLDERS = "rules-holders"  # what only the leader knows: a look at its desk, in a machine's place
-COMPACT_AFTER_ENTRIES = 1000  # entries; then they become a snapshot
+RULES_HOLDERS = "rules-holders"  # in place of a machine's name: queries the leader's rules coordinator
+COMPACT_AFTER_ENTRIES = 1000  # log entries between two snapshots
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Not done here; ``leader`` is who may be asked, or ''. Nothing is known of a command ``under_way``."""
+    """Not handled here; ``leader`` may be asked, or is ''. A command ``under_way`` may still be applied."""
 
     leader: str
     under_way: bool = False
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """A command stands in the log at ``index``; ``why`` says why it changed nothing, or ''."""
+    """A command is committed at ``index``; ``why`` is the reason if it had no effect, else ''."""
 
     index: int
     why: str
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryResult:
-    """What a machine had to show at some moment after the question, with all up to ``index``."""
+    """The linearizable result of a query, with all entries up to ``index`` applied."""
 
     index: int
     body: bytes
 
 
 class CommandRequest(msgspec.Struct, frozen=True):
-    """A command for a machine; ``ident`` is drawn by who asks, so that it may ask again."""
+    """A command for a state machine; ``ident`` is a random ID that makes retries idempotent."""
 
     machine: str
     body: bytes
@@ -60,7 +60,7 @@
 
 
 class Query(msgspec.Struct, frozen=True):
-    """A question to a machine."""
+    """A query to a state machine."""
 
     machine: str
     question: bytes = b""
@@ -83,16 +83,16 @@
 
 @dataclass(slots=True)
 class PendingRead:
-    """A beat, a gateway's question or a look that waits for a majority's word."""
+    """A heartbeat, a gateway's question or a query that waits for the confirmation of its read index."""
 
     requester: int
     request: Heartbeat | RulesQuestion | Query
     received_at: float
-    index: int = -1  # what must be applied first, once confirmed
+    index: int = -1  # read index, once a quorum has confirmed it
 
 
 class MemberService:
-    """See the module."""
+    """Connects a Raft member with its state machines and the leader's coordinators."""
 
     def __init__(self, member: Member, drift: float) -> None:
         self.member = member
@@ -104,12 +104,12 @@
         self.coordinator = DutyCoordinator(self.duties, drift)
         self.coordinator_term = -1
         self.pending_reads: dict[int, PendingRead] = {}
-        # By index: the term, who asked, and the command if it is the desk's concern.
+        # By log index: the term, the requester, and the command if a coordinator proposed it.
         self.proposed: dict[int, tuple[int, int | None, Command | Activate | None]] = {}
         self.replies: list[tuple[int, Reply]] = []
         self.read_number = 0
 
-    # Inputs. ``asker`` names who gets the reply.
+    # Inputs. ``requester`` is returned with the reply.
 
     def handle_heartbeat(self, requester: int, heartbeat: Heartbeat, now: float) -> None:
         self.start_read(PendingRead(requester, heartbeat, now), now)
@@ -118,7 +118,7 @@
                 self.propose(command, now)
 
     def handle_rules_question(self, requester: int, question: RulesQuestion, now: float) -> None:
-        """A gateway's, about the rules by which it may act."""
+        """Handles a gateway's request to renew its rule leases."""
         self.start_read(PendingRead(requester, question, now), now)
 
     def handle_query(self, requester: int, query: Query, now: float) -> None:
@@ -138,10 +138,10 @@
             for activate in self.rules_coordinator.due_activations(now):
                 self.append_command(None, rules_command(activate), activate, now)
 
-    # The driver's turn.
+    # Output, for the driver.
 
     def take_output(self) -> Output | None:
-        """None where there is nothing to do."""
+        """Returns None if there is nothing to do."""
         output = self.member.take()
         empty = not (
             output.to_store or output.messages or output.restore or output.committed or output.confirmed
@@ -150,7 +150,7 @@
         return None if empty else output
 
     def apply_output(self, output: Output, now: float) -> None:
-        """What was stored and sent takes effect."""
+        """Applies an output that has been stored and sent."""
         if output.restore is not None:
             self.machines.load(output.restore.index, output.restore.body)
         for entry in output.committed:
@@ -164,21 +164,21 @@
         self.answer_reads(now)
 
     def compact(self, min_entries: int = COMPACT_AFTER_ENTRIES) -> Snapshot | None:
-        """A snapshot to store in the place of the entries it covers, if it is time."""
+        """Returns a snapshot to store in place of the entries it covers, if enough have been applied."""
         applied = self.machines.applied
         if self.machines.lacking or applied - self.member.log.snapshot.index < min_entries:
             return None
         return self.member.compact(applied, self.machines.dump())
 
-    # Parts.
+    # Internals.
 
     @property
     def is_leader(self) -> bool:
-        """Whether this is the leader, and knows all that was ever committed."""
+        """Whether this member leads and has applied every entry committed before its election."""
         return self.member.settled and self.coordinator_term == self.member.term
 
     def update_leadership(self) -> None:
-        """A leader's desk is its own from the election on, once it has applied all that came before."""
+        """Resets the coordinators for a new term, once all entries from before the election are applied."""
         member = self.member
         if member.settled and self.machines.applied >= member.elected_index:
             if self.coordinator_term != member.term:
@@ -198,7 +198,7 @@
         self.pending_reads[self.read_number] = read
 
     def propose(self, command: Command, now: float) -> None:
-        """The desk's own."""
+        """Proposes a command of the duty coordinator."""
         self.append_command(None, duty_command(command), command, now)
 
     def append_command(
@@ -221,7 +221,7 @@
             )
 
     def answer_reads(self, now: float) -> None:
-        """Questions that a majority has confirmed, and whose entries are applied."""
+        """Answers the reads whose read index is confirmed and applied."""
         for read_id, read in list(self.pending_reads.items()):
             if not 0 <= read.index <= self.machines.applied:
                 continue
--- a/latchspoke/duties/records.py
+++ b/latchspoke/duties/records.py
@@ -1,4 +1,4 @@
-"""What is said and remembered about duties."""
+"""Replicated commands, state and messages of the duties."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """Who may hold a duty, and for how long without a further word (``length``, in s)."""
+    """Who may hold a duty, and the ``length`` of its lease in seconds."""
 
     length: float = 10.0
-    names: tuple[str, ...] = ("*",)  # patterns
-    zones: tuple[str, ...] = ()  # none named: any
-    versions: tuple[str, ...] = ()
+    names: tuple[str, ...] = ("*",)  # glob patterns
+    zones: tuple[str, ...] = ()  # empty: any
+    versions: tuple[str, ...] = ()  # empty: any
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """One run of a process that may hold duties. ``session`` is drawn at its start and never used again."""
+    """One process instance that may hold duties; ``session`` is drawn at each start."""
 
     name: str
     session: str
     zone: str = ""
     version: str = ""
-    duties: tuple[str, ...] = ("*",)  # patterns: what it is there for
+    duties: tuple[str, ...] = ("*",)  # glob patterns of the duties that it can hold
 
     @property
     def identity(self) -> str:
@@ -40,42 +40,42 @@
 
 
 class TenureEnd(Enum):
-    """How a tenure ended."""
+    """How a tenure ended, if it has."""
 
     HELD = ""
-    RELEASED = "released"  # the holder said that it had stopped
-    EXPIRED = "ended"  # its time had surely run out at the holder
+    RELEASED = "released"  # the holder reported that it had stopped
+    EXPIRED = "ended"  # the lease had certainly expired at the holder
 
 
 class Tenure(msgspec.Struct, frozen=True):
-    """One holder's time with a duty; tokens of a duty only grow, also over its removal."""
+    """One holder's tenure of a duty. A duty's tokens only increase, also across its removal."""
 
     holder: str
     token: int
-    longest: float = 0.0  # s; the longest that any of its answers may have granted
+    longest: float = 0.0  # longest lease that any reply may have granted, in seconds
     why: TenureEnd = TenureEnd.HELD
 
 
-# What is committed.
+# Replicated commands.
 
 
 class Define(msgspec.Struct, frozen=True, tag="define"):
-    """A duty exists from now on, or goes by this rule; who holds it keeps it."""
+    """Creates a duty or replaces its rule; the current holder keeps it."""
 
     duty: str
     rule: Rule
 
 
 class Remove(msgspec.Struct, frozen=True, tag="remove"):
-    """Nobody gets the duty any more. Who holds it is asked to stop; its tokens are remembered."""
+    """Removes a duty: it is no longer granted, its holder is told to stop, and its last token is kept."""
 
     duty: str
 
 
 class Grant(msgspec.Struct, frozen=True, tag="grant"):
-    """To ``holder``, if the last token is still ``after`` and that tenure may be followed.
+    """Grants the duty to ``holder`` if the last token is still ``after`` and that tenure has ended.
 
-    ``ended``: the leader that proposes it has waited out the tenure before.
+    ``ended``: the proposing leader has waited until the previous tenure expired.
     """
 
     duty: str
@@ -85,7 +85,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release"):
-    """The holder of this token has stopped, or its time has surely ended and nobody follows yet."""
+    """Ends the tenure of this token: released by its holder, or expired without a successor."""
 
     duty: str
     token: int
@@ -93,7 +93,7 @@
 
 
 class Move(msgspec.Struct, frozen=True, tag="move"):
-    """An operator wants this one to hold it, or ('') anybody else than who does."""
+    """An operator's request to move the duty to the candidate named ``to``, or to any other one if ''."""
 
     duty: str
     to: str
@@ -103,12 +103,12 @@
 
 
 class DutyState(msgspec.Struct, frozen=True):
-    """A duty as the log tells it. ``token`` is the last one given."""
+    """Replicated state of a duty; ``token`` is the last one granted."""
 
-    rule: Rule | None  # none: removed
+    rule: Rule | None  # None once removed
     token: int = 0
     tenure: Tenure | None = None
-    wanted: str | None = None  # by an operator's ``move``
+    wanted: str | None = None  # ``to`` of a pending ``Move``
     past: tuple[Tenure, ...] = ()
 
     @property
@@ -116,11 +116,11 @@
         return self.tenure is not None and self.tenure.why is TenureEnd.HELD
 
 
-# What a holder and the members say to one another.
+# Messages between holders and members.
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A candidate lives. ``number`` grows with each; ``released`` names tokens whose work has stopped."""
+    """A candidate's heartbeat; ``number`` increases, ``released`` has the tokens whose work has stopped."""
 
     who: Candidate
     number: int
@@ -128,18 +128,18 @@
 
 
 class HeldDuty(msgspec.Struct, frozen=True):
-    """``length`` (s) counts from the moment at which the beat that this answers was sent."""
+    """A lease on a duty for ``length`` seconds from the sending of the heartbeat that this answers."""
 
     duty: str
     token: int
     length: float
-    give_up: bool = False  # stop, and say so
+    give_up: bool = False  # the holder must stop and report the release
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True):
-    """All that this candidate holds, by a majority's word that came after its beat."""
+    """All duties held by the candidate, confirmed by a quorum after its heartbeat was received."""
 
     identity: str
     number: int
     held: tuple[HeldDuty, ...] = ()
-    length: float = 10.0  # s; the shortest of all rules: how often to ask goes by it
+    length: float = 10.0  # shortest lease of the applicable rules in seconds; sets the heartbeat interval
--- a/latchspoke/fleet/__init__.py
+++ b/latchspoke/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided about a fleet of gateways: no I/O, no clock, no sockets in here."""
+"""Decision logic for operating a fleet of gateways, free of I/O: callers pass in the time and all inputs."""
--- a/latchspoke/fleet/census.py
+++ b/latchspoke/fleet/census.py
@@ -1,4 +1,4 @@
-"""What a census of the fleet comes to, and what of it is news. Pure."""
+"""Turns a comparison of the fleet's gateways into findings and tracks which of them to report. No I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 from latchspoke.fleet.compare import Comparison, Difference
 
-CLEAR_AFTER = 2  # censuses in a row without a finding, before it counts as over: what flaps is raised once
-MAX_NAMES = 5  # that a text names
+# Consecutive censuses without a finding before it is cleared, so that a flapping one is raised only once.
+CLEAR_AFTER = 2
+MAX_NAMES = 5  # listed in one finding
 
 
 def format_names(names: tuple[str, ...]) -> str:
@@ -18,35 +19,36 @@
 
 
 def describe_difference(difference: Difference) -> str:
-    """The sides, the largest first."""
+    """Lists each value with the instances that hold it, the largest group first."""
     sides = (f"{json.dumps(value)}: {format_names(names)}" for value, names in difference.holders)
     return "; ".join(sides)
 
 
 def collect_findings(comparison: Comparison, unreachable_agents: Mapping[str, str]) -> dict[str, str]:
-    """By key, in words: who differs on what, who has not taken up its file, what can't be known."""
-    found = {f"differs {d.path}": describe_difference(d) for d in comparison.differences}
-    found |= {f"out of date {name}": why for name, why in comparison.stale}
-    found |= {f"unheard {name}": why for name, why in comparison.unreachable}
-    return found | {f"unheard agent {name}": why for name, why in unreachable_agents.items()}
+    """Finding texts by key: differing values, settings not applied, unreachable instances and agents."""
+    found = {
+        f"differs {difference.path}": describe_difference(difference) for difference in comparison.differences
+    }
+    found |= {f"out of date {name}": reason for name, reason in comparison.stale}
+    found |= {f"unheard {name}": reason for name, reason in comparison.unreachable}
+    return found | {f"unheard agent {name}": reason for name, reason in unreachable_agents.items()}
 
 
 @dataclass(slots=True)
 class FindingTracker:
-    """What a holder of the census remembers between two of them."""
+    """Compares successive censuses with the findings on record."""
 
     clear_counts: dict[str, int] = field(default_factory=dict)
 
     def update(
-        self, found: Mapping[str, str], known: Mapping[str, str]
+        self, findings: Mapping[str, str], open_findings: Mapping[str, str]
     ) -> tuple[dict[str, str], tuple[str, ...]]:
-        """What is to be reported beside what is on record: new or other findings, and those over.
-
-        A text that alone has changed is reported too, as who disagrees matters as much as on what.
-        """
-        for key in known:
-            self.clear_counts[key] = 0 if key in found else self.clear_counts.get(key, 0) + 1
-        for key in [key for key in self.clear_counts if key not in known]:
+        """Returns the findings to report (new or with a changed text) and the keys of those that ended."""
+        for key in open_findings:
+            self.clear_counts[key] = 0 if key in findings else self.clear_counts.get(key, 0) + 1
+        for key in [key for key in self.clear_counts if key not in open_findings]:
             del self.clear_counts[key]
-        new = {key: text for key, text in found.items() if known.get(key) != text}
-        return new, tuple(sorted(key for key, count in self.clear_counts.items() if count >= CLEAR_AFTER))
+        reported = {key: text for key, text in findings.items() if open_findings.get(key) != text}
+        return reported, tuple(
+            sorted(key for key, count in self.clear_counts.items() if count >= CLEAR_AFTER)
+        )
--- a/latchspoke/fleet/claims.py
+++ b/latchspoke/fleet/claims.py
@@ -1,8 +1,8 @@
-"""Who may act on an instance: a lease that ends by itself, with a fencing token that only grows.
+"""Claims on instances: leases with a fencing token that increases with each claim.
 
-The agent that owns an instance holds its claims; there is no other place to ask. A step names the token
-of its claim, and a token that is not the newest one is refused. So a holder that was thought dead and
-wakes up late can't act beside the one that came after it. Times are Unix seconds.
+The agent that owns an instance is the only authority on its claims. Each step carries the token of its
+claim, and any token but the newest is refused, so a holder that resumes after its lease has expired can't
+act alongside its successor. Times are Unix seconds.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 import immutables
 
-MAX_TTL_S = 120.0  # s; a dead holder blocks others no longer than this
+MAX_TTL_S = 120.0  # bounds how long a failed holder blocks others
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A holder's right to act on one instance."""
+    """A lease on one instance; ``token`` is its fencing token."""
 
     instance: str
     token: int
@@ -32,24 +32,24 @@
 
 
 class ClaimRefusedError(Exception):
-    """Somebody else holds it, or held it last. ``claim`` says who, which operation and since when."""
+    """The token is stale or the instance is claimed; ``claim`` is the conflicting or last claim, if any."""
 
     def __init__(self, reason: str, claim: Claim | None) -> None:
         super().__init__(reason)
         self.reason, self.claim = reason, claim
 
 
-Claims = immutables.Map[str, Claim]  # by instance; a released or lapsed one is kept for its token
+Claims = immutables.Map[str, Claim]  # by instance; released and expired claims are kept for their token
 NO_CLAIMS: Claims = immutables.Map()
 
 
 def acquire(
     claims: Claims, instances: Iterable[str], holder: str, operation: str, ttl: float, now: float
 ) -> Claims:
-    """All of them or none. The same operation and holder get a new token, which shuts out the old one.
+    """Claims all of the instances or none; raises ClaimRefusedError, or ValueError for a bad ``ttl``.
 
-    That is how an operator goes on with an operation whose tool has died: steps of the dead tool that
-    are still under way carry the old token.
+    The same holder may claim again for the same operation: the new token fences off steps in flight from
+    a tool that has died, so that the operation can be resumed.
     """
     if not 0 < ttl <= MAX_TTL_S:
         raise ValueError(f"a claim lasts more than 0 and at most {MAX_TTL_S:g} s, not {ttl:g}")
@@ -68,7 +68,7 @@
 
 
 def renew(claims: Claims, tokens: dict[str, int], ttl: float, now: float) -> Claims:
-    """A claim that has lapsed is not renewed: somebody may have looked and found it free."""
+    """Extends live claims. An expired claim is refused, because others may already have seen it as free."""
     renewed = claims
     for name, token in sorted(tokens.items()):
         claim = check_token(claims, name, token, now)
@@ -77,7 +77,7 @@
 
 
 def release(claims: Claims, tokens: dict[str, int]) -> Claims:
-    """Give back those that are still one's own; the token stays known, so that it never comes again."""
+    """Releases the claims whose token is current; the token is kept so that it is never issued again."""
     remaining = claims
     for name, token in tokens.items():
         claim = claims.get(name)
@@ -87,7 +87,7 @@
 
 
 def check_token(claims: Claims, instance: str, token: int, now: float) -> Claim:
-    """The claim by which a step may be done, or why not."""
+    """Returns the live claim with this token; raises ClaimRefusedError if there is none."""
     claim = claims.get(instance)
     if claim is None:
         raise ClaimRefusedError(f"{instance} is not claimed", None)
@@ -95,6 +95,6 @@
         raise ClaimRefusedError(f"token {token} for {instance} is not the newest", claim)
     if not claim.is_live(now):
         raise ClaimRefusedError(
-            f"the claim on {instance} has {'been released' if claim.released else 'lapsed'}", claim
+            f"the claim on {instance} has {'been released' if claim.released else 'expired'}", claim
         )
     return claim
--- a/latchspoke/fleet/compare.py
+++ b/latchspoke/fleet/compare.py
@@ -1,8 +1,7 @@
-"""Which instances disagree, on what, and which side is the larger.
+"""Compares the views of several instances and reports where they differ.
 
-Views are plain objects (what JSON can hold). They are flattened to paths, each path's values are grouped,
-and a path where not all that were heard hold one value is a difference. What an instance may rightfully
-have for itself is left out by pattern.
+Views are JSON-like objects. Each is flattened to dotted paths, and a path whose value is not the same on
+all reachable instances is a difference. Paths that may differ between instances are excluded by pattern.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 from typing import Any
 
 MISSING = "(missing)"
-# Paths of a gateway's view that should be the same all over a fleet.
+# Paths of a gateway's view that must be the same across a fleet.
 SHARED_PATHS = ("version", "settings.*", "discovery.address", "counter.address")
 INSTANCE_PATHS = ("settings.index",)
 
@@ -24,18 +23,22 @@
     """One path with more than one value; ``majority`` is None where no value has more than half."""
 
     path: str
-    holders: tuple[tuple[Any, tuple[str, ...]], ...]  # value and names, the most first
+    holders: tuple[tuple[Any, tuple[str, ...]], ...]  # value and instance names, the largest group first
     majority: Any
 
     def deviating(self) -> tuple[str, ...]:
-        """Who does not hold the majority's value; all, where there is none."""
+        """Instances without the majority's value; all of them if there is no majority."""
         majority_names = self.holders[0][1] if self.majority is not None else ()
         return tuple(name for _, names in self.holders for name in names if name not in majority_names)
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """``compared`` gave a view; ``unheard`` did not, with why; ``stale`` have not taken their file up."""
+    """``compared`` names the instances with a view.
+
+    ``unreachable`` and ``stale`` pair an instance with the reason why it has no view, or has not applied its
+    settings file.
+    """
 
     compared: tuple[str, ...]
     unreachable: tuple[tuple[str, str], ...]
@@ -44,12 +47,12 @@
 
     @property
     def agree(self) -> bool:
-        """Only where all were heard and nothing differs: silence is no agreement."""
+        """Whether all instances were reachable and nothing differs."""
         return not (self.unreachable or self.differences or self.stale)
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
-    """Dotted paths with their values; an empty object or list stands for itself."""
+    """Yields dotted paths with their values; an empty object or list is a value."""
     if isinstance(value, Mapping) and value:
         for name, item in value.items():
             yield from flatten(item, f"{path}.{name}" if path else str(name))
@@ -71,11 +74,11 @@
     shared: Iterable[str] = SHARED_PATHS,
     excluded: Iterable[str] = INSTANCE_PATHS,
 ) -> Comparison:
-    """``views`` by instance; a text in a view's place says why there is none."""
+    """Compares ``views`` by instance; a string in place of a view says why there is none."""
     reachable = {name: view for name, view in views.items() if not isinstance(view, str)}
     unreachable = tuple((name, view) for name, view in sorted(views.items()) if isinstance(view, str))
     shared, excluded = tuple(shared), tuple(excluded)
-    # One dictionary a path, value by name; a thousand equal views cost their reading and nothing else.
+    # For each path, the value by instance.
     columns: dict[str, dict[str, Any]] = {}
     for name, view in reachable.items():
         for path, value in flatten(view):
@@ -86,7 +89,7 @@
             difference := find_difference(path, columns[path], reachable)
         ):
             found.append(difference)
-    # Digests differ wherever a figure does: they speak only where no figure tells what it is.
+    # A digest differs whenever any covered value does, so it is reported only on its own.
     if any(not d.path.endswith("digest") for d in found):
         found = [d for d in found if not d.path.endswith("digest")]
     return Comparison(tuple(sorted(reachable)), unreachable, tuple(found), tuple(find_stale(reachable)))
@@ -108,7 +111,7 @@
 
 
 def find_stale(views: Mapping[str, Mapping[str, Any]]) -> Iterator[tuple[str, str]]:
-    """Who holds a file that it does not go by, and how that came."""
+    """Yields the instances that have not applied their settings file, with the reason."""
     for name in sorted(views):
         file = views[name].get("file")
         if not isinstance(file, Mapping) or file.get("taken_up", True):
--- a/latchspoke/fleet/lifecycle.py
+++ b/latchspoke/fleet/lifecycle.py
@@ -1,11 +1,10 @@
-"""The life of one instance: what each event makes of it, and what is then to be done.
+"""State machine of one supervised instance: events in, the next state and effects out. No I/O.
 
-Pure: an instance and an event with its time go in, the next instance and effects come out. Times are
-Unix seconds, so that a promise such as "killed no sooner than" outlives the agent that made it.
+Times are Unix seconds, so that deadlines such as ``kill_at`` remain valid when the agent restarts.
 
-An instance has a *goal* (what was asked of it), a *phase* (what it is doing), and of its last process an
-*end* (how that went). Phases say what is known, never what is hoped: a process that lives and does not
-answer is ``silent``, also while it drains.
+An instance has a *goal* (the requested state), a *phase* (its current state) and an *end* (how its last
+process exited). A process that runs but does not answer its health checks is ``silent``, even while it
+drains.
 """
 
 from __future__ import annotations
@@ -16,19 +15,19 @@
 
 
 class Goal(Enum):
-    """What was asked for."""
+    """The requested state."""
 
     UP = "up"
     DOWN = "down"
 
 
 class Phase(Enum):
-    """What an instance is doing, as far as its agent knows."""
+    """The current state, as far as the agent knows."""
 
     STOPPED = "stopped"
     STARTING = "starting"
     READY = "ready"
-    UNREADY = "unready"  # answers, and says that it takes nothing
+    UNREADY = "unready"  # answers its health checks, but accepts no requests
     SILENT = "silent"
     DRAINING = "draining"
     KILLING = "killing"
@@ -37,21 +36,26 @@
 
 
 class ExitReason(Enum):
-    """How a process ended. Each word calls for something else from an operator."""
+    """How a process ended."""
 
     NONE = "none"
-    CLEAN = "clean"  # drained when told to, and left with code 0
-    FORCED = "forced"  # ignored SIGTERM until the agent killed it
-    FAILED_START = "failed-start"  # left before it was ever ready
-    CRASHED = "crashed"  # left by itself while nobody had asked it to
-    KILLED = "killed"  # a signal from elsewhere ended it
-    LOST_IN_DRAIN = "lost-in-drain"  # ended in the middle of a drain, and not by its agent
-    VANISHED = "vanished"  # gone, and nothing says how
+    CLEAN = "clean"  # drained on request and exited with code 0
+    FORCED = "forced"  # killed by the agent because it did not exit after SIGTERM
+    FAILED_START = "failed-start"  # exited before it was ready
+    CRASHED = "crashed"  # exited without a request
+    KILLED = "killed"  # ended by a signal that the agent did not send
+    LOST_IN_DRAIN = "lost-in-drain"  # ended during a drain with a failure, and not by the agent
+    VANISHED = "vanished"  # gone, with an unknown exit status
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Times in seconds. ``drain`` is the longest deadline; no SIGKILL before that plus ``margin``."""
+    """Timeouts and restart limits of an instance.
+
+    ``drain_timeout_s`` is the longest request deadline. SIGKILL is sent no earlier than that plus
+    ``kill_margin_s`` after SIGTERM. ``max_crashes`` counts consecutive failures; the count is reset once a
+    process has been up for ``settle_time_s``.
+    """
 
     start_timeout_s: float = 10.0
     drain_timeout_s: float = 4.0
@@ -64,13 +68,13 @@
     settle_time_s: float = 60.0
 
     def kill_delay_s(self) -> float:
-        """So long after SIGTERM a gateway may still be answering what it had taken."""
+        """Time from SIGTERM to SIGKILL, in which a gateway may still answer its in-flight requests."""
         return max(self.drain_timeout_s, 3.0) + self.kill_margin_s
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One instance as its agent knows it; a value, so that readers may keep an old one."""
+    """One instance as its agent knows it; immutable, and stored by the agent under these field names."""
 
     name: str
     goal: Goal = Goal.DOWN
@@ -78,7 +82,7 @@
     since: float = 0.0
     launch: int = 0
     pid: int = 0
-    started: int = 0  # of the process, in the kernel's ticks since boot: tells a reused id apart
+    started: int = 0  # start time of the process in kernel ticks since boot; detects a reused process ID
     spawned_at: float = 0.0
     was_ready: bool = False
     answered_at: float = 0.0
@@ -93,15 +97,15 @@
 
     @property
     def alive(self) -> bool:
-        """Whether a process is there, or is being made."""
+        """Whether a process exists or is being started."""
         return self.phase in LIVE_PHASES
 
     def silent_for(self, now: float) -> float:
-        """How long it has not answered, in seconds; 0 where there is no process."""
+        """Seconds since the last answered health check, or since the start; 0 without a process."""
         return max(now - max(self.answered_at, self.spawned_at), 0.0) if self.alive else 0.0
 
     def state_label(self, now: float, limits: Limits) -> str:
-        """The state in one word for a table; ``draining+silent`` where both hold."""
+        """The state as shown to operators; ``draining+silent`` if both apply."""
         if self.phase is Phase.FAILED:
             return "crash-looping" if self.crashes >= limits.max_crashes else str(self.end.value)
         if self.phase is Phase.STOPPED and self.end not in (ExitReason.NONE, ExitReason.CLEAN):
@@ -122,24 +126,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRequested:
-    """Somebody wants it up."""
+    """An operator or the agent requests a start."""
 
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """Somebody wants it down, with all it has taken answered; ``then_start`` for a restart."""
+    """An operator requests a graceful stop; ``then_start`` makes it a restart."""
 
     then_start: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadRequested:
-    """Somebody wants its file read again."""
+    """An operator requests that the settings file is read again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Spawned:
-    """The process is there."""
+    """The process was started."""
 
     pid: int
     started: int
@@ -147,21 +151,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SpawnFailed:
-    """There could be no process."""
+    """The process could not be started."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """It has answered a check."""
+    """A health check was answered."""
 
     ready: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Exited:
-    """The process is gone. ``status`` as a shell has it (128 + signal), None where nobody knows."""
+    """The process has exited. ``status`` as in a shell (128 + signal), or None if unknown."""
 
     status: int | None
 
@@ -179,13 +183,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Spawn:
-    """Make the process of this launch; answer ``Spawned`` or ``SpawnFailed``."""
+    """Start the process of this launch; ``Spawned`` or ``SpawnFailed`` follows."""
 
     launch: int
 
 
 class Signal(Enum):
-    """Send this to the process, once it is sure that it is still that one."""
+    """Send this signal, after checking that the process ID has not been reused."""
 
     TERM = "TERM"
     KILL = "KILL"
@@ -194,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordEvent:
-    """For the record and the log."""
+    """Write an event to the agent's event store and its log."""
 
     kind: str
     detail: str = ""
@@ -205,13 +209,16 @@
 
 
 class InvalidPhaseError(Exception):
-    """What was asked can't be done in this phase; the text says why."""
+    """The request can't be carried out in the current phase."""
 
 
 def handle(
     instance: Instance, event: Event, now: float, limits: Limits, jitter_sample: float = 0.5
 ) -> Transition:
-    """The one entry. ``draw`` in 0..1 is the chance that jitters pauses, given from outside."""
+    """Applies one event; ``jitter_sample`` in 0..1 is a random number for the jitter of the restart backoff.
+
+    Raises InvalidPhaseError if a reload is requested while the instance is not running.
+    """
     match event:
         case StartRequested():
             transition = request_start(instance, now)
@@ -233,7 +240,7 @@
 
 
 def request_start(instance: Instance, now: float) -> Transition:
-    """A drain that is under way goes on, and the start follows it: what was told is not called back."""
+    """Starts a stopped instance; during a drain the start is deferred until the process has exited."""
     if instance.phase in (Phase.DRAINING, Phase.KILLING):
         return replace(instance, goal=Goal.UP, restart=True), [RecordEvent("start-after-drain")]
     if instance.alive:
@@ -263,7 +270,7 @@
     if not instance.alive:
         if then_start:
             return launch(replace(instance, crashes=0), now)
-        # One that failed or waits for its next try is only told not to try again.
+        # A failed instance, or one that waits for a restart, is only kept from restarting.
         was_stopped = instance.phase is Phase.STOPPED
         return replace(
             instance,
@@ -276,9 +283,9 @@
         instance, goal=goal, phase=Phase.DRAINING, since=now, restart=then_start,
         terminated_at=now, kill_at=now + limits.kill_delay_s(),
     )  # fmt: skip
-    # Without a process yet the signal follows as soon as there is one.
+    # Without a process yet, SIGTERM is sent as soon as it has been started.
     return draining, [Signal.TERM, RecordEvent("draining")] if instance.pid else [
-        RecordEvent("draining", "not up yet")
+        RecordEvent("draining", "no process yet")
     ]
 
 
@@ -307,8 +314,8 @@
 
 
 def classify_exit(instance: Instance, status: int | None) -> tuple[ExitReason, str]:
-    """The word for an end, from what was asked, how far it had come, and the status."""
-    detail = "nothing says how" if status is None else f"code {status}"
+    """Derives the exit reason from the phase, whether it was ever ready, and the exit status."""
+    detail = "exit status unknown" if status is None else f"code {status}"
     if status is not None and status > 128:
         detail = f"signal {status - 128}"
     if instance.phase is Phase.KILLING:
@@ -325,7 +332,7 @@
 def process_ended(
     instance: Instance, end: ExitReason, detail: str, now: float, limits: Limits, jitter_sample: float
 ) -> Transition:
-    """No process any more: stopped, started again at once, or after a pause that grows."""
+    """After an exit: stops, relaunches at once after a drain, or waits with exponential backoff."""
     exited = replace(
         instance, pid=0, started=0, end=end, end_detail=detail, ended_at=now, since=now, kill_at=0.0
     )
@@ -339,29 +346,29 @@
     if crashes >= limits.max_crashes:
         return replace(exited, phase=Phase.FAILED, crashes=crashes), [
             *events,
-            RecordEvent("gave-up", f"{crashes} ends in a row"),
+            RecordEvent("gave-up", f"{crashes} consecutive failures"),
         ]
     backoff = min(limits.min_backoff_s * 2.0 ** (crashes - 1), limits.max_backoff_s)
     backoff *= 1 + limits.jitter_fraction * (2 * jitter_sample - 1)
     waiting = replace(exited, phase=Phase.WAITING, crashes=crashes, retry_at=now + backoff)
-    return waiting, [*events, RecordEvent("waiting", f"{backoff:.2f} s before the next try")]
+    return waiting, [*events, RecordEvent("waiting", f"{backoff:.2f} s until the next start")]
 
 
 def tick(instance: Instance, now: float, limits: Limits) -> Transition:
-    """What is due by the time alone."""
+    """Applies the timeouts that have passed."""
     if instance.phase is Phase.WAITING and now >= instance.retry_at:
         return launch(instance, now)
     if instance.phase is Phase.DRAINING and instance.pid and now >= instance.kill_at:
         killing = replace(instance, phase=Phase.KILLING, since=now)
         elapsed = now - instance.terminated_at
-        return killing, [Signal.KILL, RecordEvent("killing", f"{elapsed:.1f} s after SIGTERM it still ran")]
+        return killing, [Signal.KILL, RecordEvent("killing", f"{elapsed:.1f} s after SIGTERM still running")]
     if (
         instance.phase is Phase.STARTING
         and instance.pid
         and now - instance.spawned_at > limits.start_timeout_s
     ):
         return replace(instance, phase=Phase.SILENT, since=now), [
-            RecordEvent("silent", "not ready in its time")
+            RecordEvent("silent", "not ready within the start timeout")
         ]
     if instance.phase in (Phase.READY, Phase.UNREADY) and instance.silent_for(now) > limits.silence_timeout_s:
         return replace(instance, phase=Phase.SILENT, since=now), [RecordEvent("silent")]
@@ -369,7 +376,7 @@
 
 
 def next_tick_at(instance: Instance, limits: Limits) -> float | None:
-    """When the next ``Tick`` has something to do, if nothing else comes."""
+    """Time at which the next ``Tick`` is needed if no other event arrives first."""
     due_times: dict[Phase, Callable[[], float]] = {
         Phase.WAITING: lambda: instance.retry_at,
         Phase.DRAINING: lambda: instance.kill_at,
--- a/latchspoke/fleet/rollout.py
+++ b/latchspoke/fleet/rollout.py
@@ -1,12 +1,12 @@
-"""What a rolling operation does next: whom to act on, whether to wait, when to stop.
+"""Decides the next action of a rolling operation: start steps, wait or stop. No I/O.
 
-Pure: the plan, how each step stands and who is available go in with the time; one move comes out. The
-caller makes the move, records it, looks again and asks anew, so that another process can take over at
-any moment from what is recorded.
+``decide`` takes the plan, the state of each step, the availability of the instances and the time, and
+returns one decision. The caller carries it out, records it and asks again, so that another process can take
+over at any time from the records.
 
-Rules: waves go in their order, and one begins when the last is done and its pause is over. Before each
-act so many instances must be left available as the plan says, with unknown ones counted as unavailable.
-More failures than allowed stop it, and so does a step of which nothing can be learnt in its time.
+Waves run in order, each after the previous one is done and its pause has passed. Steps start only while the
+plan's minimum of instances stays available; instances in an unknown state count as unavailable. The
+operation stops after more failures than allowed, or when a step's state stays unknown past its time limit.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 from latchspoke.fleet.wire import OperationPlan
 
-AVAILABILITY_WAIT_S = 30.0  # s; too few available, nothing under way: so long it may come right by itself
+AVAILABILITY_WAIT_S = 30.0  # with too few instances available and no step running, before the operation stops
 
 
 class StepState(Enum):
-    """How the step on one instance stands."""
+    """State of the step on one instance."""
 
     PENDING = "todo"
     RUNNING = "doing"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepStatus:
-    """What is known of one step; ``at`` is when it came to stand so."""
+    """The last known state of one step and the time at which it was entered."""
 
     state: StepState = StepState.PENDING
     since: float = 0.0
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartSteps:
-    """Begin the step on these."""
+    """Start the steps on these instances."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Look again later; ``until`` where the time alone decides."""
+    """Ask again later; ``until`` is set if only the time matters."""
 
     reason: str
     until: float | None = None
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Nothing more is begun. What is under way goes on at its agent."""
+    """Start no more steps; running ones continue on their agents."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """Every step is done, or failed within what is allowed."""
+    """Every step is done, or has failed within the allowed number of failures."""
 
 
 Decision = StartSteps | Wait | Stop | Done
@@ -77,15 +77,21 @@
     now: float,
     below_minimum_since: float | None = None,
 ) -> Decision:
-    """One move. ``available`` has each member; ``short_since``: since when too few have been."""
+    """Returns the next decision.
+
+    ``available`` covers every member of the plan; ``below_minimum_since`` is the time since when too few of
+    them have been available.
+    """
     failed = [name for name, step in steps.items() if step.state is StepState.FAILED]
     if len(failed) > plan.failures:
         return Stop(f"{len(failed)} failed, {plan.failures} allowed: {describe_steps(failed, steps)}")
     unknown = [
-        n for n, s in steps.items() if s.state is StepState.UNKNOWN and now - s.since >= plan.step_limit
+        name
+        for name, step in steps.items()
+        if step.state is StepState.UNKNOWN and now - step.since >= plan.step_limit
     ]
     if unknown:
-        return Stop(f"nothing is known of {describe_steps(unknown, steps)}")
+        return Stop(f"step state unknown: {describe_steps(unknown, steps)}")
     for wave_index, wave in enumerate(plan.waves):
         pending = [name for name in wave if steps.get(name, NOT_STARTED).state is StepState.PENDING]
         running = [
@@ -104,7 +110,7 @@
 def remaining_pause(
     plan: OperationPlan, steps: Mapping[str, StepStatus], wave_index: int, now: float
 ) -> Wait | None:
-    """The pause after the wave before; only a wave that has not begun waits for it."""
+    """Returns the rest of the pause after the previous wave, which delays only a wave that has not begun."""
     if wave_index == 0 or any(
         steps.get(name, NOT_STARTED).state is not StepState.PENDING for name in plan.waves[wave_index]
     ):
@@ -122,8 +128,8 @@
     now: float,
     below_minimum_since: float | None,
 ) -> Decision:
-    """Who of this wave can go now without leaving too few."""
-    # What does not serve costs nothing to act on, so it goes first.
+    """Starts as many steps of this wave as the minimum of available instances allows."""
+    # Instances that are unavailable anyway go first, as their steps do not reduce the capacity.
     ordered = sorted(pending, key=lambda name: (available.get(name, False), name))
     interrupts_service = plan.action in ("drain", "restart")
     spare = sum(available.values()) - plan.least_available
@@ -158,12 +164,12 @@
 def build_waves(
     names: list[str], zones: Mapping[str, str], size: int, canary_size: int = 0
 ) -> list[list[str]]:
-    """Waves of at most ``size``, zone after zone, so that a bad change shows in one zone at a time.
+    """Builds waves of at most ``size`` instances of one zone each, to limit the impact of a bad change.
 
-    ``first`` makes the first wave that small (a canary).
+    ``canary_size`` is the size of an extra first wave, if positive. Raises ValueError for a bad ``size``.
     """
     if size < 1:
-        raise ValueError(f"a wave holds at least 1, not {size}")
+        raise ValueError(f"a wave must hold at least 1 instance, not {size}")
     ordered = sorted(names, key=lambda name: (zones.get(name, ""), name))
     result = [ordered[:canary_size]] if 0 < canary_size < len(ordered) else []
     rest = ordered[canary_size:] if result else ordered
--- a/latchspoke/fleet/steps.py
+++ b/latchspoke/fleet/steps.py
@@ -1,4 +1,4 @@
-"""When a step of an operation is over, and how it went. Pure; the agent asks after each event."""
+"""Determines the outcome of an operation's step on one instance. No I/O; evaluated after each event."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepOutcome:
-    """``state`` is doing, done or failed; ``detail`` is for people."""
+    """``state`` is ``doing``, ``done`` or ``failed``; ``detail`` is shown to operators."""
 
     state: str
     detail: str = ""
@@ -37,7 +37,7 @@
 def step_outcome(
     action: str, base: Instance, instance: Instance, deadline: float, now: float, limits: Limits
 ) -> StepOutcome:
-    """How the step stands: ``base`` is the instance just before it, ``until`` its last moment."""
+    """Evaluates a step: ``base`` is the instance just before it, ``deadline`` the end of its time limit."""
     evaluate = {"start": start_outcome, "drain": drain_outcome, "restart": restart_outcome}.get(action)
     outcome = evaluate(base, instance) if evaluate is not None else StepOutcome("done", "signalled")
     if outcome is IN_PROGRESS and now >= deadline:
@@ -53,7 +53,7 @@
     if instance.phase in (Phase.WAITING, Phase.FAILED):
         return StepOutcome("failed", f"{instance.end.value}: {instance.end_detail}")
     if instance.phase is Phase.STOPPED:
-        return StepOutcome("failed", "was stopped meanwhile")
+        return StepOutcome("failed", "was stopped by another request")
     return IN_PROGRESS
 
 
@@ -66,18 +66,18 @@
         return StepOutcome("failed", f"{instance.end.value}: {instance.end_detail}")
     if instance.phase in (Phase.DRAINING, Phase.KILLING):
         return IN_PROGRESS
-    return StepOutcome("failed", f"is {instance.phase.value}: something else acted on it")
+    return StepOutcome("failed", f"is {instance.phase.value}: changed by another request")
 
 
 def restart_outcome(base: Instance, instance: Instance) -> StepOutcome:
     if instance.phase is Phase.READY and instance.launch > base.launch:
         if base.alive and instance.end is not ExitReason.CLEAN:
             return StepOutcome(
-                "failed", f"up again, but its drain ended {instance.end.value}: {instance.end_detail}"
+                "failed", f"running again, but the drain ended {instance.end.value}: {instance.end_detail}"
             )
         return StepOutcome("done", f"ready as launch {instance.launch}")
     if instance.phase in (Phase.WAITING, Phase.FAILED):
         return StepOutcome("failed", f"{instance.end.value}: {instance.end_detail}")
     if instance.phase is Phase.STOPPED:
-        return StepOutcome("failed", "was stopped meanwhile")
+        return StepOutcome("failed", "was stopped by another request")
     return IN_PROGRESS
--- a/latchspoke/fleet/view.py
+++ b/latchspoke/fleet/view.py
@@ -1,7 +1,7 @@
-"""The whole fleet as one tool sees it: a persistent map, so that old versions cost next to nothing.
+"""A tool's view of the whole fleet, as immutable versions that share their unchanged parts.
 
-What an agent told replaces what was known of its instances. What an agent did *not* tell changes one
-thing only: since when its instances are unknown; the last that was known stays beside it.
+An agent's listing replaces what was known of its instances. If an agent is unreachable, its instances are
+marked as unknown and keep their last known status.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceView:
-    """One instance: ``status`` as last told at ``heard_at``; ``problem`` where its agent is not heard now."""
+    """One instance with its last status; ``problem`` says why its agent is unreachable, if it is."""
 
     id: str
     agent: str
@@ -33,13 +33,13 @@
 
     @property
     def available(self) -> bool:
-        """Only what is known to serve counts; unknown counts as unavailable."""
+        """Whether it is known to be ready; an unknown state counts as unavailable."""
         return not self.problem and self.status.state == "ready"
 
 
 @dataclass(frozen=True, slots=True)
 class AgentView:
-    """One agent: what it last said of itself, or why it is not heard."""
+    """One agent with its last status; ``problem`` says why it is unreachable, if it is."""
 
     name: str
     status: AgentStatus | None
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """One version; ``told`` and ``unheard`` make the next."""
+    """One version of the view; ``with_listing`` and ``with_problem`` return the next one."""
 
     version: int = 0
     instances: immutables.Map[str, InstanceView] = field(default_factory=empty_instances)
     agents: immutables.Map[str, AgentView] = field(default_factory=empty_agents)
 
     def with_listing(self, agent: str, listing: Listing, now: float) -> FleetView:
-        """An agent has answered. Instances that it no longer has are no longer there."""
+        """Applies an agent's listing; instances missing from it are removed."""
         statuses = {f"{agent}/{status.name}": status for status in listing.instances}
         with self.instances.mutate() as changed:
             for known_id in [known.id for known in self.instances.values() if known.agent == agent]:
@@ -77,7 +77,7 @@
         return FleetView(self.version + 1, instances, self.agents.set(agent, agent_view))
 
     def with_problem(self, agent: str, problem: str) -> FleetView:
-        """An agent has not answered, or not so that it can be understood."""
+        """Marks an agent, and all of its instances, as unreachable."""
         previous = self.agents.get(agent)
         agent_view = AgentView(
             agent, previous.status if previous else None, previous.received_at if previous else 0.0, problem
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What became of one instance between two versions; None where it was not there."""
+    """The change of one instance between two versions; None for a version without it."""
 
     id: str
     old: InstanceView | None
@@ -120,7 +120,7 @@
 
 
 def changes(old: FleetView, new: FleetView) -> Iterator[Change]:
-    """What a person should hear of; a status that only got older is no change."""
+    """Yields the changes that matter to an operator; a newer but equal status is none."""
     if old.instances is new.instances:
         return
     for name in sorted({*old.instances, *new.instances}):
@@ -133,18 +133,18 @@
 
 
 class SelectorError(ValueError):
-    """A selector can't be read; the text is one line."""
+    """A selector is invalid; the message is one line."""
 
 
 SELECTOR_KEYS = ("name", "host", "zone", "state", "version")
 
 
 def select(view: FleetView, selectors: Iterable[str]) -> list[InstanceView]:
-    """Those that fit: words are ``KEY=PATTERN[,PATTERN]``, or a bare pattern for names.
+    """Returns the instances that match selectors ``KEY=PATTERN[,PATTERN]``, or ``PATTERN`` for names.
 
-    Of one key any pattern may fit; of several keys all must.
-    Keys are name, host (the agent), zone, state and version; patterns are the shell's. A name pattern
-    with a slash stands for agent/instance. No words select all.
+    An instance must match one pattern of every given key. Keys are name, host (the agent), zone, state and
+    version; patterns are shell globs. A name pattern with a slash matches agent/instance. Without selectors
+    all instances match. Raises SelectorError.
     """
     patterns_by_key: dict[str, tuple[str, ...]] = {}
     for selector in selectors:
--- a/latchspoke/fleet/wire.py
+++ b/latchspoke/fleet/wire.py
@@ -1,8 +1,8 @@
-"""The schema of what agents and the tool tell each other: msgspec records, interface version 1.
+"""Records exchanged between agents and the command-line tool, interface version 1.
 
-A field may be added with a default; a field that goes or changes its meaning needs a new version. Both
-sides say theirs in the header ``Latchspoke-Interface``, and the agent names the versions it speaks.
-Times are Unix seconds; ages and durations are seconds.
+A field may be added with a default; removing a field or changing its meaning needs a new version. Both
+sides send their version in the header ``Latchspoke-Interface``. Times are Unix seconds; durations are
+seconds.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=False):
-    """What all of them share: values that are not changed, and unknown fields passed over."""
+    """Base of all records: immutable, and decoding ignores unknown fields."""
 
 
 class ClaimInfo(Record, frozen=True, omit_defaults=True):
-    """Who holds an instance."""
+    """The current claim on an instance."""
 
     instance: str
     token: int
@@ -74,7 +74,7 @@
 
 
 class AgentStatus(Record, frozen=True, omit_defaults=True):
-    """One agent; ``store`` says why it takes no operations, if it takes none."""
+    """One agent; ``store`` says why it accepts no operations, if its store is unusable."""
 
     name: str
     host: str
@@ -87,40 +87,40 @@
 
 
 class Listing(Record, frozen=True, omit_defaults=True):
-    """All that an agent has, in one answer."""
+    """An agent and all of its instances."""
 
     agent: AgentStatus
     instances: list[InstanceStatus] = []
 
 
 class ViewAnswer(Record, frozen=True, omit_defaults=True):
-    """Gateways' own views by instance; ``missing`` says why there is none."""
+    """Gateways' own views by instance; ``missing`` gives the reason for those without one."""
 
     views: dict[str, dict[str, Any]] = {}
     missing: dict[str, str] = {}
 
 
 class OperationPlan(Record, frozen=True, omit_defaults=True):
-    """What one operation is to do, kept by each agent that it touches, before its first step."""
+    """The plan of an operation, stored by each agent involved before the first step."""
 
     id: str
     action: str
     operator: str
     created: float
-    waves: list[list[str]]  # of ids, agent/instance
+    waves: list[list[str]]  # of IDs, agent/instance
     least_available: int = 0
     pause: float = 0.0
     step_limit: float = 60.0
     failures: int = 0
     reason: str = ""
-    members: list[str] = []  # ids that count towards what must be left available
+    members: list[str] = []  # IDs of the instances that count towards ``least_available``
 
 
 class OperationStatus(Record, frozen=True, omit_defaults=True):
-    """An operation as one agent recorded it: the plan, how it stands, and the steps on its instances."""
+    """An operation as recorded by one agent, with the steps on its instances."""
 
     plan: OperationPlan
-    state: str = "open"  # open, interrupted (by a person), done, stopped, abandoned
+    state: str = "open"  # open, interrupted (by an operator), done, stopped, abandoned
     detail: str = ""
     steps: list[StepInfo] = []
 
@@ -130,14 +130,14 @@
 
 
 class CloseOperation(Record, frozen=True, omit_defaults=True):
-    """The tool's last word on an operation."""
+    """The final state of an operation, sent by the tool."""
 
     state: str
     detail: str = ""
 
 
 class ClaimRequest(Record, frozen=True, omit_defaults=True):
-    """``fence``: the token of the duty under which this is asked, by its name, if it is under one."""
+    """Claims instances; ``fence`` maps the duty under which this is requested, if any, to its token."""
 
     instances: list[str]
     operation: str
@@ -146,7 +146,7 @@
 
 
 class TokenRequest(Record, frozen=True, omit_defaults=True):
-    """To renew or to give back."""
+    """Renews or releases claims."""
 
     tokens: dict[str, int]
     ttl: float = 30.0
@@ -166,7 +166,7 @@
 
 
 class Event(Record, frozen=True, omit_defaults=True):
-    """A line of an agent's record."""
+    """One event in an agent's store."""
 
     revision: int
     at: float
@@ -183,7 +183,7 @@
 
 
 class Problem(Record, frozen=True, omit_defaults=True):
-    """Every answer that is no success. ``code`` is for programs, ``error`` is one line for people."""
+    """The body of every error response; ``code`` is stable, ``error`` is one line for operators."""
 
     code: str
     error: str
@@ -191,7 +191,7 @@
 
 
 def decode(kind: type[T], data: bytes) -> T:
-    """Raises ``msgspec.DecodeError``, whose text names the field and what stood there."""
+    """Decodes a JSON record; raises ``msgspec.DecodeError``, whose message names the invalid field."""
     return msgspec.json.decode(data, type=kind)
 
 
--- a/latchspoke/revisions/__init__.py
+++ b/latchspoke/revisions/__init__.py
@@ -1,1 +1,1 @@
-"""Rules with versions: documents, who may act under which version until when. Pure; see docs/versions.md."""
+"""Versioned rule documents and the leases under which gateways apply them. No I/O; see docs/versions.md."""
--- a/latchspoke/revisions/coordinator.py
+++ b/latchspoke/revisions/coordinator.py
@@ -1,8 +1,8 @@
-"""The leader's side: who may act under which version until when, and when the next one may be active.
+"""The leader's side of rule versions: grants leases to gateways and decides when a version may be activated.
 
-What is here is the leader's own and is lost with it. Rights that an earlier leader has given are unknown to a
-new one; they end a whole right after its election at the latest, and until then it makes nothing active that
-contradicts what they may be under. Times are monotonic seconds of the leader's own clock.
+This state is local to the leader and lost with it. Leases granted by an earlier leader are unknown to a new
+one but expire within one lease length of its election; until then it activates no version that contradicts
+an earlier one. Times are monotonic seconds of the leader's own clock.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
     RulesQuestion,
 )
 
-FORGET_AFTER_S = 60.0  # s after its last right; a gateway not heard for so long is no longer told of
-MAX_ACTIVATIONS = 200  # activations with how long what came before went on
+FORGET_AFTER_S = 60.0  # how long a silent gateway is kept after its last lease has expired
+MAX_ACTIVATIONS = 200  # kept for the status report
 
 
 @dataclass(slots=True)
 class DocumentLease:
-    """A gateway's right on one document, as far as it can last."""
+    """A gateway's lease on one document, with the latest time at which it can expire."""
 
     version: int = -1
     expires_at: float = 0.0
     held_versions: tuple[int, ...] = ()
-    missing_since: float | None = None  # since when it has lacked the newest version
+    missing_since: float | None = None  # since when the gateway has lacked the newest version
 
 
 @dataclass(slots=True)
 class GatewayState:
-    """A gateway as last heard."""
+    """A gateway's leases and the time of its last question."""
 
     heard_at: float
     leases: dict[str, DocumentLease] = field(default_factory=dict)
@@ -45,16 +45,16 @@
 
 @dataclass(slots=True)
 class ObservedActivation:
-    """An activation as this leader saw it, and the rights under what came before that may go on."""
+    """An activation seen by this leader, with the leases under earlier versions that may still be valid."""
 
     name: str
     version: int
     activated_at: float
-    open_leases: dict[str, float]  # by gateway: until when
-    last_overlap_at: float  # until then at the latest somebody acted on what came before
+    open_leases: dict[str, float]  # expiry by gateway
+    last_overlap_at: float  # latest end of the leases that are no longer open
 
     def overlap_s(self, now: float) -> float:
-        """For how long (s) old and new were acted on side by side, at the most."""
+        """Upper bound of the time in which the new and earlier versions were both applied."""
         return (
             max([self.last_overlap_at, *(min(expires_at, now) for expires_at in self.open_leases.values())])
             - self.activated_at
@@ -62,7 +62,7 @@
 
 
 class RulesCoordinator:
-    """See the module. ``drift`` bounds how much faster or slower than true time any clock here runs."""
+    """Grants rule leases on the leader; ``drift`` bounds the relative rate error of every clock."""
 
     def __init__(self, machine: RulesMachine, drift: float) -> None:
         self.machine, self.drift = machine, drift
@@ -70,27 +70,26 @@
         self.pending: set[tuple[str, int]] = set()
         self.activations: list[ObservedActivation] = []
         self.active: dict[str, int] = {}
-        self.lease_lengths: dict[
-            str, tuple[float, float]
-        ] = {}  # the length of a right, and since when it is seen here
+        # By document: the lease length, and since when it applies.
+        self.lease_lengths: dict[str, tuple[float, float]] = {}
         self.elected_at = 0.0
 
     def become_leader(self, elected_at: float) -> None:
-        """This member leads; it was elected then."""
+        """Discards the state of an earlier term; this member was elected leader at ``elected_at``."""
         self.elected_at = elected_at
         self.gateways, self.pending, self.activations, self.lease_lengths = {}, set(), [], {}
         self.active = {name: state.active for name, state in self.machine.states.items()}
 
     def max_local_duration(self, length: float) -> float:
-        """How long a right lasts by this clock, if it is as fast and the gateway's as slow as may be."""
+        """Longest time a lease can last by this clock, with both clocks at the limits of their drift."""
         return length * (1 + self.drift) / (1 - self.drift)
 
-    def answer(self, question: RulesQuestion, received: float, now: float) -> RulesAnswer:
-        """By a majority's word, begun after ``received``, this member still leads."""
+    def answer(self, question: RulesQuestion, received_at: float, now: float) -> RulesAnswer:
+        """Answers a gateway, after a quorum confirmed this leader later than ``received_at``."""
         gateway = self.gateways.setdefault(question.identity, GatewayState(now))
         gateway.heard_at = now
         granted = {
-            name: self.grant(question, gateway, name, state, received, now)
+            name: self.grant(question, gateway, name, state, received_at, now)
             for name, state in self.machine.states.items()
         }
         return RulesAnswer(question.session, question.number, granted)
@@ -101,10 +100,10 @@
         gateway: GatewayState,
         name: str,
         state: DocumentState,
-        received: float,
+        received_at: float,
         now: float,
     ) -> DocumentGrant:
-        """Under the active version, to whoever has it at hand and is not long overdue with the next one."""
+        """Grants the active version if the gateway has it and is not overdue with the newest one."""
         report = question.documents.get(name, DocumentReport())
         lease = gateway.leases.setdefault(name, DocumentLease())
         lease.held_versions = report.have
@@ -116,7 +115,7 @@
         overdue = lease.missing_since is not None and now - lease.missing_since > state.terms.length
         may_hold = state.active in report.have and not overdue
         if may_hold:
-            expires_at = received + self.max_local_duration(state.terms.length)
+            expires_at = received_at + self.max_local_duration(state.terms.length)
             if lease.version != state.active:
                 self.record_adoption(name, question.identity, now)
                 lease.expires_at = now
@@ -128,7 +127,7 @@
         )  # fmt: skip
 
     def due_activations(self, now: float) -> list[Activate]:
-        """Versions that may be active now."""
+        """Returns the activations to propose now."""
         for identity in [
             identity
             for identity, gateway in self.gateways.items()
@@ -147,19 +146,19 @@
         return commands
 
     def longest_lease(self, name: str, state: DocumentState, now: float) -> float:
-        """The longest right that can be out, once those by earlier terms have surely ended; 0 until then."""
+        """The longest lease that can be valid, or 0 while leases under earlier terms may remain."""
         since = max(self.elected_at, self.lease_lengths[name][1])
         return state.terms.length if now >= since + self.max_local_duration(state.longest) else 0.0
 
     @staticmethod
     def retention_s(gateway: GatewayState, now: float) -> float:
-        """How long (s) its silence is borne: while any right of it may last, and a while longer."""
+        """How long a silent gateway is kept: until its last lease expires, plus ``FORGET_AFTER_S``."""
         return (
             max((lease.expires_at for lease in gateway.leases.values()), default=now) - now + FORGET_AFTER_S
         )
 
     def may_activate(self, name: str, state: DocumentState, now: float) -> bool:
-        """Whether all who could act on what the head contradicts have it, or their right has surely ended."""
+        """Whether the newest version contradicts no lease that may still be valid on a gateway without it."""
         revision = state.revision(state.head)
         if revision is None or not revision.barrier:
             return True
@@ -171,15 +170,15 @@
         )
 
     def activation_applied(self, command: Activate, now: float) -> None:
-        """It has been carried out, or has come to nothing."""
+        """Called once a proposed activation has been applied, whether or not it had an effect."""
         self.pending.discard((command.name, command.version))
         if (state := self.machine.states.get(command.name)) is not None:
             self.record_activation(command.name, state, now)
 
-    # What is told of it.
+    # Status.
 
     def record_activation(self, name: str, state: DocumentState, now: float) -> None:
-        """An activation, when this leader first sees it; rights under earlier ones may go on for a while."""
+        """Records an activation when it is first seen, with the leases that are still open."""
         if self.active.get(name) == state.active:
             return
         self.active[name] = state.active
@@ -191,7 +190,7 @@
         del self.activations[:-MAX_ACTIVATIONS]
 
     def record_adoption(self, name: str, identity: str, now: float) -> None:
-        """A gateway gets its first right under what is active: what it had before counts no more."""
+        """Closes a gateway's earlier lease once it gets one on the active version."""
         for activation in self.activations:
             expires_at = activation.open_leases.pop(identity, None) if activation.name == name else None
             if expires_at is not None:
--- a/latchspoke/revisions/documents.py
+++ b/latchspoke/revisions/documents.py
@@ -1,7 +1,7 @@
-"""Documents as values: entries by path, a digest for each part, changes, and what contradicts what.
+"""Immutable rule documents: entries by path, digests by part, differences and contradictions.
 
-A gateway loads this, so it needs nothing beyond the standard library. A document is never changed: a change
-makes another one, which shares all parts that the change does not touch.
+Gateways import this module, so it uses the standard library only. Changing a document returns a new one that
+shares the parts without changes.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 Entries = Mapping[str, Scalar]
 
 PART_COUNT = 256
-PLAN_LIMITS = "plans"  # PLAN.FIGURE: number, over what a gateway's own file says
-BLOCKED = "blocked"  # customers' keys, each with why
-SET_ASIDE = "aside"  # servers' names, each with why
+PLAN_LIMITS = "plans"  # PLAN.FIELD: number, which overrides the gateway's own file
+BLOCKED = "blocked"  # customer key: reason
+SET_ASIDE = "aside"  # server name: reason
 KINDS = (PLAN_LIMITS, BLOCKED, SET_ASIDE)
 PLAN_FIELDS = ("rate", "burst", "concurrency", "ceiling_rate", "ceiling_burst", "ceiling_slack")
-MAX_TEXT_LENGTH = 200  # characters of a path or a reason
+MAX_TEXT_LENGTH = 200  # of a path or a reason, in characters
 
 
 class DocumentError(ValueError):
-    """No such document can be; one line says what and where."""
+    """A document or an entry is invalid; the message is one line."""
 
 
 def part_index(path: str) -> int:
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """Use ``changed`` and ``made_of``; parts and their digests go together."""
+    """Entries by path, hashed into parts. Create it with ``build_document`` or ``with_changes``."""
 
     parts: tuple[Entries, ...] = field(default_factory=lambda: ({},) * PART_COUNT)
     digests: tuple[bytes, ...] = (EMPTY_DIGEST,) * PART_COUNT
 
     @property
     def digest(self) -> str:
-        """Of the whole, 32 hex digits: the same for equal documents, however they came to be."""
+        """Digest of all entries in 32 hex digits; equal for equal documents."""
         return blake2b(b"".join(self.digests), digest_size=16).hexdigest()
 
     def __contains__(self, path: object) -> bool:
@@ -67,7 +67,7 @@
             yield from part.items()
 
     def with_changes(self, put: Entries, removed: Iterable[str] = ()) -> Document:
-        """Another document; entries in both are put."""
+        """Returns a new document; a path in both ``put`` and ``removed`` is put."""
         touched: dict[int, dict[str, Scalar]] = {}
         for path in removed:
             index = part_index(path)
@@ -78,7 +78,7 @@
         return self.with_parts(touched)
 
     def with_parts(self, parts: Mapping[int, Entries]) -> Document:
-        """With whole parts in the place of others."""
+        """Returns a new document with these parts replaced."""
         new_parts, digests = list(self.parts), list(self.digests)
         for index, entries in parts.items():
             new_parts[index], digests[index] = entries, digest_entries(entries)
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What leads from one document to another."""
+    """The difference between two documents."""
 
     put: dict[str, Scalar]
     removed: tuple[str, ...] = ()
@@ -102,7 +102,7 @@
 
 
 def diff(old: Document, new: Document) -> Change:
-    """Only parts whose digests differ are looked at."""
+    """Computes the change from ``old`` to ``new``; parts with equal digests are skipped."""
     put: dict[str, Scalar] = {}
     removed: list[str] = []
     for index in range(PART_COUNT):
@@ -114,11 +114,11 @@
     return Change(put, tuple(sorted(removed)))
 
 
-# What contradicts what.
+# Contradictions.
 
 
 def permissiveness(path: str, value: Scalar | None) -> float:
-    """How much a figure lets through; 0 stands for no quota at all."""
+    """How much a limit admits; 0 means no limit, except for ``ceiling_slack``. NaN without a value."""
     if value is None:
         return math.nan
     number = float(value)
@@ -126,7 +126,7 @@
 
 
 def limit_contradiction(path: str, old: Scalar | None, new: Scalar | None) -> str:
-    """'' where who acts under the old figure lets nothing through that the new one forbids."""
+    """Returns '' if a gateway with the old limit admits nothing that the new limit forbids."""
     if old is None or new is None:
         return f"{path}: {'from' if old is None else 'back to'} each gateway's own file, which may be looser"
     if permissiveness(path, new) < permissiveness(path, old):
@@ -135,10 +135,10 @@
 
 
 def contradictions(kind: str, old: Document, new: Document) -> list[str]:
-    """In words, a line a path; none where old and new may be acted on side by side for any time.
+    """Describes the contradicting entries; none if both versions may be applied at the same time.
 
-    Loosening contradicts nothing: who is late with it is merely strict. Tightening does: who is late lets
-    through what others already refuse.
+    Loosening a rule contradicts nothing, as late gateways are only stricter. Tightening one does, as late
+    gateways admit what others already refuse.
     """
     change = diff(old, new)
     if kind == PLAN_LIMITS:
@@ -150,7 +150,7 @@
 
 
 def describe_change(kind: str, old: Document, new: Document, max_lines: int = 20) -> list[str]:
-    """What a change comes to, for people."""
+    """Lists the changed entries for operators, at most ``max_lines`` of them."""
     change = diff(old, new)
     lines = [f"{path}: {format_value(old.get(path))} -> {format_value(value)}"
              for path, value in sorted(change.put.items())]  # fmt: skip
@@ -164,7 +164,7 @@
 
 
 def strictest(documents: Iterable[Document], least: Entries) -> dict[str, Scalar]:
-    """Of figures: by path the one that lets the least through, ``least`` counted in."""
+    """Returns the least permissive limit for each path of the documents and ``least``."""
     found: dict[str, Scalar] = dict(least)
     for document in documents:
         for path, value in document.items():
@@ -173,11 +173,11 @@
     return found
 
 
-# What can stand in one.
+# Validation.
 
 
 def validate_entries(kind: str, entries: Entries) -> None:
-    """Raises DocumentError."""
+    """Checks entries of a document; raises DocumentError."""
     if kind not in KINDS:
         raise DocumentError(f"there is no document {kind!r}; there are {', '.join(KINDS)}")
     for path, value in entries.items():
--- a/latchspoke/revisions/leases.py
+++ b/latchspoke/revisions/leases.py
@@ -1,8 +1,8 @@
-"""A gateway's side: which version of each document it acts on, and until when it may. No I/O, no clock.
+"""A gateway's side of rule versions: the version of each document that it applies, and until when. No I/O.
 
-Times are monotonic seconds of this process's own clock, of a kind that goes on while the machine sleeps.
-A right counts from before the question was sent. ``lapse_at`` is the one figure that each decision compares
-with the time; nothing else has to happen on time. Questions and answers are plain objects, as JSON has them.
+Times are monotonic seconds of a clock that also runs while the machine is suspended. A lease starts when the
+question was sent. Each decision compares the time with ``next_expiry``, so that no timer has to fire on time.
+Questions and answers are JSON-like objects.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from latchspoke.revisions.documents import KINDS, PLAN_LIMITS, Document, DocumentError, Scalar, strictest
 
 KEEP, STRICT, REFUSE = "keep", "strict", "refuse"
-QUESTION_FRACTION = 0.25  # of a right between two questions
-MAX_UNANSWERED = 64  # questions whose answer may still come
-MAX_CONTENTS = 4  # versions of a document at hand
-DEFAULT_LEASE_S = 10.0  # s; until a member has said how long rights last
+QUESTION_FRACTION = 0.25  # of a lease between two questions
+MAX_UNANSWERED = 64  # questions whose answer is still accepted
+MAX_CONTENTS = 4  # versions kept of each document
+DEFAULT_LEASE_S = 10.0  # before the first answer
 
 EMPTY_DOCUMENT = Document()
 
 
 @dataclass(frozen=True, slots=True)
 class EffectiveRules:
-    """What a decision goes by: a version, or (lapsed) what the document itself says for that case.
+    """The rules that apply to a decision: a version, or its lapse policy once the lease has expired.
 
-    ``version`` 0 stands for no rules but the gateway's own file; it takes a right as any other.
+    ``version`` 0 stands for the gateway's own file only; it needs a lease like any other version.
     """
 
     version: int = 0
     document: Document = field(default_factory=Document)
-    lapsed: str = ""  # '', or keep, strict, refuse
+    lapsed: str = ""  # '' with a valid lease, else keep, strict or refuse
 
     def __str__(self) -> str:
         return f"{self.version}{'-' if self.lapsed else ''}{self.lapsed}"
@@ -40,19 +40,19 @@
 
 @dataclass(slots=True)
 class KnownDocument:
-    """One document, as far as this gateway knows it. All gateways have version 0, which is empty."""
+    """A gateway's state of one document. Version 0, which is empty, is always available."""
 
     version: int = 0
     expires_at: float = -math.inf
     contents: dict[int, Document] = field(default_factory=lambda: {0: Document()})
-    missing: dict[int, str] = field(default_factory=dict)  # versions told of, with their digests
+    missing: dict[int, str] = field(default_factory=dict)  # announced versions to fetch, with their digests
     lapse: str = KEEP
     least: dict[str, Scalar] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class MissingContent:
-    """A version whose content is wanted; ``base`` is at hand, 0 for none."""
+    """A version whose content must be fetched; ``base`` is the newest older version available, or 0."""
 
     name: str
     version: int
@@ -60,24 +60,22 @@
 
 
 class RuleLeases:
-    """All documents of one run of a gateway."""
+    """The leases of one gateway instance on all documents."""
 
     def __init__(self, gateway: str, session: str) -> None:
         self.gateway, self.session = gateway, session
         self.documents = {name: KnownDocument() for name in KINDS}
-        self.next_expiry = (
-            math.inf
-        )  # the moment at which a right ends, or inf; to be compared at each decision
-        self.contacted = False  # whether members have ever answered
+        self.next_expiry = math.inf  # when the next lease expires, or inf; checked at each decision
+        self.contacted = False  # whether any member has ever answered
         self.sent_questions: dict[int, float] = {}
         self.question_number = 0
-        self.member_index = 0  # whom of the members to ask: another one after a question without an answer
+        self.member_index = 0  # which member to ask; advances after an unanswered question
         self.lease_length_s = DEFAULT_LEASE_S
 
-    # Asking.
+    # Questions and answers.
 
     def question(self, now: float) -> dict[str, Any]:
-        """To be sent at once: rights that its answer brings count from ``now``."""
+        """Returns the next question, to be sent at once: leases granted by its answer start at ``now``."""
         if self.question_number in self.sent_questions:
             self.member_index += 1
         self.question_number += 1
@@ -100,7 +98,7 @@
         return QUESTION_FRACTION * self.lease_length_s
 
     def handle_answer(self, answer: Mapping[str, Any], now: float) -> bool:
-        """Whether what is acted on has changed, or a right has become longer."""
+        """Applies an answer; returns whether it was accepted, so that versions or leases may have changed."""
         sent_at = self.sent_questions.pop(int(answer["number"]), None)
         if sent_at is None or answer["session"] != self.session:
             return False
@@ -132,7 +130,7 @@
 
     @staticmethod
     def discard_old_contents(document: KnownDocument, announced: Iterable[int]) -> None:
-        """Keep what is acted on and what is to come; older ones are of no more use."""
+        """Keeps the applied version, newer and announced ones."""
         kept_versions = sorted(
             version for version in document.contents if version >= document.version or version in announced
         )[-MAX_CONTENTS:]
@@ -141,7 +139,7 @@
         }
 
     def missing_contents(self) -> list[MissingContent]:
-        """What is lacking, the newest base beside it."""
+        """Returns the contents to fetch, each with the newest base available."""
         missing = []
         for name, document in self.documents.items():
             for version in document.missing:
@@ -150,24 +148,24 @@
         return missing
 
     def add_content(self, name: str, version: int, content: Document) -> None:
-        """The content of a version. Raises DocumentError where it is not what the members agreed on."""
+        """Adds the content of a version; raises DocumentError if its digest is not the announced one."""
         document = self.documents[name]
         if document.missing.get(version) != content.digest:
-            raise DocumentError(f"{name} {version}: its digest is {content.digest}, which nobody told of")
+            raise DocumentError(f"{name} {version}: content digest {content.digest} is not the announced one")
         document.contents[version] = content
         del document.missing[version]
 
-    # Deciding.
+    # Decisions.
 
     def update_next_expiry(self, now: float) -> None:
-        """The first right to end from now on."""
+        """Sets ``next_expiry`` to the first expiry after ``now``."""
         self.next_expiry = min(
             (document.expires_at for document in self.documents.values() if document.expires_at > now),
             default=math.inf,
         )
 
     def effective_rules(self, name: str, now: float) -> EffectiveRules:
-        """By what a decision of this moment goes."""
+        """Returns the rules that apply to a decision at ``now``."""
         document = self.documents.get(name)
         if document is None:
             return EffectiveRules()
@@ -186,7 +184,7 @@
         return EffectiveRules(document.version, content, document.lapse)
 
     def stop_sending_at(self, now: float) -> float:
-        """From when on nothing of what came under these versions is sent any more, or inf."""
+        """Time from which requests admitted under the current versions must not be sent any more, or inf."""
         expirations = (
             document.expires_at
             for document in self.documents.values()
@@ -196,11 +194,11 @@
 
     @property
     def has_effective_rules(self) -> bool:
-        """Whether anything is known of an earlier run."""
+        """Whether any version is applied, such as one loaded from an earlier run."""
         return any(document.version for document in self.documents.values())
 
     def label(self, name: str, now: float) -> str:
-        """As ``acting`` in words, without the work of what a lapsed document comes to."""
+        """The text of ``effective_rules`` without computing the document of an expired lease."""
         document = self.documents[name]
         return str(
             EffectiveRules(
@@ -209,13 +207,13 @@
         )
 
     def ready(self, now: float) -> bool:
-        """Whether this gateway may begin: members have answered, and it may act by every document."""
+        """Whether the gateway may start: members have answered, and the leases on all documents are valid."""
         return self.contacted and all(now < document.expires_at for document in self.documents.values())
 
-    # What outlives this process.
+    # Persistence.
 
     def persistent_state(self) -> dict[str, KnownDocument]:
-        """What was last acted on, for a start at which no member is heard; see ``dump``."""
+        """The versions last applied, to be saved with ``dump`` for a start without reachable members."""
         return {
             name: KnownDocument(
                 document.version, contents={document.version: document.contents[document.version]},
@@ -225,7 +223,7 @@
         }  # fmt: skip
 
     def load(self, saved_documents: Mapping[str, Any]) -> None:
-        """As known, without any right: all of it counts as lapsed. Raises DocumentError."""
+        """Restores saved documents with expired leases. Raises DocumentError."""
         loaded = {}
         try:
             for name, saved in saved_documents.items():
@@ -236,12 +234,12 @@
                 document.contents = {document.version: content}
                 loaded[name] = document
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise DocumentError(f"the rules last known can't be read: {error!r}") from None
+            raise DocumentError(f"the saved rules can't be read: {error!r}") from None
         self.documents |= loaded
 
 
 def dump(documents: Mapping[str, KnownDocument]) -> dict[str, Any]:
-    """As ``Rights.load`` reads it."""
+    """Returns JSON-like objects for ``RuleLeases.load``."""
     return {
         name: {
             "version": document.version, "lapse": document.lapse, "least": document.least,
--- a/latchspoke/revisions/machine.py
+++ b/latchspoke/revisions/machine.py
@@ -1,4 +1,4 @@
-"""The rules as the log tells them: versions, each with its parent, and which one is active. Deterministic."""
+"""Replicated state machine of the rule documents: their versions and the active one. Deterministic."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
     Terms,
 )
 
-MAX_CONTENT_ENTRIES = (
-    4000  # entries of one answer, and one part more; reading them must not hold up a gateway
-)
-MAX_REVISIONS = 100  # versions of a document, with what led to each
-MIN_LEASE_S, MAX_LEASE_S = 0.5, 600.0  # s of a right
+# Entries in one answer, exceeded by at most one part; bounds the time that a gateway needs to decode it.
+MAX_CONTENT_ENTRIES = 4000
+MAX_REVISIONS = 100  # kept for each document, with their changes
+MIN_LEASE_S, MAX_LEASE_S = 0.5, 600.0
 MAX_EVENTS = 1000
 
 
 @dataclass(slots=True)
 class DocumentState:
-    """One document. ``head`` is the newest version, ``active`` the one under which rights are given."""
+    """One document: ``head`` is the newest version, ``active`` the one on which leases are granted."""
 
     terms: Terms = field(default_factory=Terms)
     active: int = 0
     head: int = 0
-    longest: float = Terms().length  # s; the longest right that may have been given
-    documents: dict[int, Document] = field(default_factory=lambda: {0: Document()})  # active, and the head
+    longest: float = Terms().length  # longest lease that may have been granted, in seconds
+    # The contents of the active version and the head.
+    documents: dict[int, Document] = field(default_factory=lambda: {0: Document()})
     revisions: list[Revision] = field(default_factory=list)
-    steps: dict[int, Change] = field(default_factory=dict)  # from its parent to this version
+    steps: dict[int, Change] = field(default_factory=dict)  # by version: the change from its parent
 
     @property
     def head_document(self) -> Document:
@@ -65,7 +65,7 @@
 
 
 class SavedState(msgspec.Struct, frozen=True):
-    """A state in a snapshot. Of the contents the active one is whole, the head as a change from it."""
+    """A document's state in a snapshot: the active version in full, the head as a change against it."""
 
     terms: Terms
     active: int
@@ -79,7 +79,7 @@
 
 
 class Summary(msgspec.Struct, frozen=True):
-    """What is told of a document without its content."""
+    """A document's state without its content."""
 
     terms: Terms
     active: int
@@ -90,14 +90,14 @@
 
 
 class RulesMachine:
-    """Commands in, new states out. A command that no longer fits changes nothing and says why."""
+    """Applies commands; a command whose preconditions no longer hold is refused with a reason."""
 
     def __init__(self) -> None:
         self.states = {name: DocumentState() for name in KINDS}
         self.events: deque[tuple[str, str]] = deque(maxlen=MAX_EVENTS)
 
     def apply(self, index: int, body: bytes) -> str:
-        """'' where it was done, else why not."""
+        """Returns '' if the command was applied, else the reason for its refusal."""
         command: RulesCommand = msgspec.msgpack.decode(body, type=RulesCommand)
         match command:
             case PutRules():
@@ -144,7 +144,7 @@
 
     @staticmethod
     def validation_error(command: PutRules, terms: Terms, new_document: Document) -> str:
-        """Why such a version can't be; '' where it can."""
+        """Returns why the new version is invalid, or ''."""
         try:
             validate_entries(command.name, command.put)
             if command.name == PLAN_LIMITS:
@@ -177,10 +177,10 @@
         ]
         return ""
 
-    # What is shown.
+    # Queries.
 
     def look(self, question: bytes) -> bytes:
-        """Of all documents; or the content of one, if it is asked for."""
+        """Returns summaries of all documents, or the content asked for by an encoded ``FetchRules``."""
         if not question:
             return msgspec.msgpack.encode({name: self.summary(state) for name, state in self.states.items()})
         content = self.content(msgspec.msgpack.decode(question, type=FetchRules))
@@ -194,9 +194,9 @@
         )
 
     def content(self, request: FetchRules) -> Content | None:
-        """What leads to this version: a change from ``base``, or (asked with digests) parts that differ.
+        """Returns a version's content: as a change against ``base``, or the parts whose digests differ.
 
-        None where it is not here, or not as a change: then it is to be asked for by parts.
+        None if the version is not kept, or not available as a change; it may then be fetched by parts.
         """
         state = self.states.get(request.name)
         document = state.documents.get(request.version) if state is not None else None
@@ -219,7 +219,7 @@
 
     @staticmethod
     def merged_change(state: DocumentState, request: FetchRules) -> Content | None:
-        """All changes since ``base`` as one; None where some are no longer here, or they are too many."""
+        """Merges all changes since ``base``; None if some are no longer kept or the result is too large."""
         put: dict[str, Scalar] = {}
         gone: set[str] = set()
         for version in range(request.base + 1, request.version + 1):
@@ -239,7 +239,7 @@
 
     @staticmethod
     def save(state: DocumentState) -> SavedState:
-        """Entries in their paths' order, as the same state is to be the same bytes on every member."""
+        """Encodes entries in path order, so that equal states give equal bytes on all members."""
         change = diff(state.active_document, state.head_document)
         steps = {
             version: (dict(sorted(step.put.items())), step.removed)
@@ -269,7 +269,7 @@
 
 
 def assemble(content: Content, base: Document) -> Document:
-    """What an answer to ``FetchRules`` makes of what is at hand; its digest tells whether it is right."""
+    """Applies the answer to a ``FetchRules`` to ``base``; the caller verifies the digest of the result."""
     if content.parts is not None:
         return base.with_parts(content.parts)
     return base.with_changes(content.put, content.gone)
--- a/latchspoke/revisions/records.py
+++ b/latchspoke/revisions/records.py
@@ -1,4 +1,4 @@
-"""What is committed, asked and told about rules, between members and gateways."""
+"""Replicated commands of the rule documents, and messages between members and gateways."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Terms(msgspec.Struct, frozen=True):
-    """A document's own choices: how long a right lasts (s), and what holds once it has lapsed.
+    """A document's lease ``length`` in seconds, and the policy once a lease has expired (``lapse``).
 
-    ``least``: figures by which a lapsed gateway goes where they are stricter; no version may be stricter
-    than these, or a lapsed gateway would let through what it forbids.
+    ``least``: limits that a gateway with an expired lease applies where they are stricter. No version may be
+    stricter than these, or such a gateway would admit what the version forbids.
     """
 
     length: float = 10.0
@@ -24,7 +24,7 @@
 
 
 class Revision(msgspec.Struct, frozen=True):
-    """One version. ``at``: the time of day of whoever put it, in s; only for people."""
+    """One version of a document; ``at`` is its author's Unix time in seconds, for information only."""
 
     version: int
     parent: int
@@ -32,16 +32,16 @@
     author: str
     reason: str
     at: float
-    barrier: bool  # whether it contradicts what may be acted on when it was put
+    barrier: bool  # whether it contradicts the version that was active when it was put
     changes: int
     activated: bool = False
 
 
-# What is committed.
+# Replicated commands.
 
 
 class PutRules(msgspec.Struct, frozen=True, tag="put"):
-    """A new version of ``name`` on top of ``parent``: entries put and gone, and maybe other terms."""
+    """Adds a version of ``name`` on top of ``parent`` with these entries put and removed, or new terms."""
 
     name: str
     parent: int
@@ -54,9 +54,9 @@
 
 
 class Activate(msgspec.Struct, frozen=True, tag="activate"):
-    """By the leader: from now on no right is given under an earlier version.
+    """Activates a version; proposed by the leader. No leases are granted on earlier versions from then on.
 
-    ``longest``: no right that lasts longer than this (s) can be out any more; 0 says nothing of it.
+    ``longest``: upper bound in seconds of all leases that can still be valid, or 0 if unknown.
     """
 
     name: str
@@ -67,18 +67,18 @@
 RulesCommand = PutRules | Activate
 
 
-# What gateways and members say to one another.
+# Messages between gateways and members.
 
 
 class DocumentReport(msgspec.Struct, frozen=True):
-    """Of one document, by a gateway."""
+    """A gateway's report on one document: the version that it applies and those that it has."""
 
     acting: int = 0
     have: tuple[int, ...] = ()
 
 
 class RulesQuestion(msgspec.Struct, frozen=True):
-    """``number`` grows with each of one session, which is drawn at a gateway's start."""
+    """A gateway's request to renew its leases; ``session`` is drawn at its start, ``number`` increases."""
 
     gateway: str
     session: str
@@ -91,10 +91,10 @@
 
 
 class DocumentGrant(msgspec.Struct, frozen=True):
-    """Of one document: the version under which the gateway may act, for so long (s) from its question on.
+    """The version of one document granted for ``length`` seconds from the sending of the question.
 
-    -1 is none, 0 the empty one that stands for a gateway's own file. ``digests``: the versions whose content
-    a gateway should have at hand.
+    Version -1 is no lease, 0 the empty document that stands for the gateway's own file. ``digests`` has the
+    versions whose content the gateway should fetch.
     """
 
     grant: int
@@ -106,7 +106,7 @@
 
 
 class RulesAnswer(msgspec.Struct, frozen=True):
-    """By a majority's word that came after the question."""
+    """The answer to a question, confirmed by a quorum after it was received."""
 
     session: str
     number: int
@@ -114,7 +114,7 @@
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
-    """A gateway's right on one document as the leader counts it: ``right_for`` s more at the most."""
+    """A gateway's lease on one document: ``right_for`` is the longest remaining time in seconds."""
 
     version: int
     right_for: float
@@ -122,7 +122,7 @@
 
 
 class ActivationStatus(msgspec.Struct, frozen=True):
-    """An activation that this leader saw, and for how long (s) what came before went on at the most."""
+    """An activation ``ago`` seconds ago; earlier versions were applied up to ``lasted`` seconds after it."""
 
     name: str
     version: int
@@ -131,16 +131,16 @@
 
 
 class GatewayLeases(msgspec.Struct, frozen=True):
-    """What the leader knows of the gateways."""
+    """The leader's view of the gateways' leases and of recent activations."""
 
     gateways: dict[str, dict[str, LeaseStatus]]
     switches: tuple[ActivationStatus, ...]
 
 
 class FetchRules(msgspec.Struct, frozen=True):
-    """The content of a version, against ``base``, which the asker has.
+    """Requests the content of a version as a change against ``base``, which the requester has.
 
-    Or by parts from the ``first`` one on, against those whose ``digests`` the asker gives, if any.
+    With ``digests`` of the requester's parts, or without a base, it is sent by parts from ``first`` on.
     """
 
     name: str
@@ -151,9 +151,9 @@
 
 
 class Content(msgspec.Struct, frozen=True):
-    """A change against ``base``, or whole parts; which of them is told by ``parts`` being there.
+    """A version's content: whole parts if ``parts`` is set, else a change against ``base``.
 
-    ``then``: the part from which on more is to be asked for, 0 for none.
+    ``then``: the part from which to continue fetching, or 0 if complete.
     """
 
     name: str
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -36,7 +36,7 @@
 def test_a_lapsed_claim_is_neither_used_nor_renewed() -> None:
     claims = acquire(NO_CLAIMS, ["g1"], "first", "op-1", 30.0, 100.0)
     for late in (lambda: check_token(claims, "g1", 1, 130.0), lambda: renew(claims, {"g1": 1}, 30.0, 130.0)):
-        with pytest.raises(ClaimRefusedError, match="lapsed"):
+        with pytest.raises(ClaimRefusedError, match="expired"):
             late()
     assert check_token(renew(claims, {"g1": 1}, 30.0, 129.0), "g1", 1, 158.0).token == 1
 
--- a/tests/revisions/test_revisions.py
+++ b/tests/revisions/test_revisions.py
@@ -131,7 +131,7 @@
 def test_content_with_another_digest_is_refused(rights: RuleLeases) -> None:
     rights.question(0.0)
     rights.handle_answer(told(rights, -1, (1, FIVE)), 0.1)
-    with pytest.raises(DocumentError, match="nobody told of"):
+    with pytest.raises(DocumentError, match="is not the announced one"):
         rights.add_content(PLAN_LIMITS, 1, FOUR)
     assert rights.question(1.0)["documents"][PLAN_LIMITS]["have"] == [0]
 
