--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -1,4 +1,4 @@
-"""Versions of the whole view: what stays known in silence, what is a change, selectors."""
+"""Fleet views: unreachable agents, changes between versions, selectors."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 VIEW = FleetView().with_listing("h1", listing("h1", status("g1"), status("g2", zone="b2")), 10.0)
 
 
-def test_silence_keeps_what_was_known_and_says_unknown() -> None:
-    silent = VIEW.with_problem("h1", "agent h1: no answer in 2 s")
-    seen = silent.instances["h1/g1"]
-    assert (seen.state, seen.status.state, seen.received_at, seen.available) == (
+def test_unreachable_agent_keeps_last_known_status() -> None:
+    unreachable = VIEW.with_problem("h1", "agent h1: no answer in 2 s")
+    instance = unreachable.instances["h1/g1"]
+    assert (instance.state, instance.status.state, instance.received_at, instance.available) == (
         "unknown",
         "ready",
         10.0,
         False,
     )
-    assert VIEW.instances["h1/g1"].available  # the older version is as it was
-    assert [c.describe() for c in changes(VIEW, silent)] == [
+    assert VIEW.instances["h1/g1"].available  # the older version is unchanged
+    assert [change.describe() for change in changes(VIEW, unreachable)] == [
         "ready -> unknown, agent h1: no answer in 2 s"
     ] * 2
 
 
-def test_a_draining_one_that_falls_silent_is_not_done() -> None:
+def test_unreachable_draining_instance_is_unknown() -> None:
     draining = VIEW.with_listing("h1", listing("h1", status("g1", "draining")), 20.0).with_problem(
         "h1", "gone"
     )
@@ -44,10 +44,10 @@
     assert draining.instances["h1/g1"].state == "unknown"
 
 
-def test_changes_tell_what_came_went_and_changed() -> None:
+def test_changes_describe_added_removed_and_changed_instances() -> None:
     new = VIEW.with_listing("h1", listing("h1", status("g1", version="2"), status("g3")), 20.0)
-    told = {c.id: c.describe() for c in changes(VIEW, new)}
-    assert told == {"h1/g1": "version - -> 2", "h1/g2": "gone, was ready", "h1/g3": "appeared, ready"}
+    descriptions = {change.id: change.describe() for change in changes(VIEW, new)}
+    assert descriptions == {"h1/g1": "version - -> 2", "h1/g2": "gone, was ready", "h1/g3": "appeared, ready"}
     assert list(changes(new, new)) == []
 
 
@@ -57,15 +57,17 @@
         "g[12]": ["h1/g1", "h1/g2"], "h2/*": ["h2/g3"], "zone=b2": ["h1/g2"], "host=h1": ["h1/g1", "h1/g2"],
         "state=silent": ["h2/g3"], "name=g1,g3": ["h1/g1", "h2/g3"],
     }  # fmt: skip
-    for word, ids in cases.items():
-        assert [seen.id for seen in select(view, [word])] == ids, word
-    assert [seen.id for seen in select(view, ["zone=b1", "state=ready"])] == ["h1/g1"]
-    assert [seen.id for seen in select(view, ["g1", "g3", "host=h2"])] == ["h2/g3"]
+    for selector, ids in cases.items():
+        assert [instance.id for instance in select(view, [selector])] == ids, selector
+    assert [instance.id for instance in select(view, ["zone=b1", "state=ready"])] == ["h1/g1"]
+    assert [instance.id for instance in select(view, ["g1", "g3", "host=h2"])] == ["h2/g3"]
     assert len(select(view, [])) == 3
 
 
-@pytest.mark.parametrize(("word", "said"), [("colour=red", "no such selector"), ("zone=", "names nothing")])
-def test_a_bad_selector_is_said(word: str, said: str) -> None:
-    # A word taken for "all" by mistake would drain the whole fleet.
-    with pytest.raises(SelectorError, match=said):
-        select(VIEW, [word])
+@pytest.mark.parametrize(
+    ("selector", "message"), [("colour=red", "no such selector"), ("zone=", "names nothing")]
+)
+def test_invalid_selector_is_refused(selector: str, message: str) -> None:
+    # An invalid selector taken for no selector would drain the whole fleet.
+    with pytest.raises(SelectorError, match=message):
+        select(VIEW, [selector])
