--- a/latchspoke/duties/coordinator.py
+++ b/latchspoke/duties/coordinator.py
@@ -143,6 +143,7 @@
         return commands
 
     def propose(self, command: Command) -> Command:
+        """Marks the command as pending, which defers others for the same duty until it is applied."""
         self.pending[command.duty] = command
         return command
 
@@ -200,6 +201,7 @@
         return duty_counts
 
     def record_lapse(self, state: DutyState, now: float) -> None:
+        """Doubles the backoff of a holder whose lease expired without a release."""
         assert state.tenure is not None
         name = state.tenure.holder.partition("#")[0]
         avoidance = self.avoided.setdefault(name, Avoidance(now, 0))
--- a/latchspoke/duties/findings.py
+++ b/latchspoke/duties/findings.py
@@ -49,6 +49,7 @@
         self.state = Findings()
 
     def apply(self, index: int, body: bytes) -> str:
+        """Returns '' if the report was applied, else the reason for its refusal."""
         report: Report = msgspec.msgpack.decode(body, type=Report)
         duty = self.duties.duties.get(report.duty)
         if duty is None or not duty.held or duty.token != report.token:
@@ -65,10 +66,13 @@
         return ""
 
     def look(self, question: bytes) -> bytes:
+        """Returns all findings; ``question`` is not used."""
         return self.dump()
 
     def dump(self) -> bytes:
+        """Encodes the state for a snapshot."""
         return msgspec.msgpack.encode(self.state)
 
     def load(self, body: bytes) -> None:
+        """Restores the state from a snapshot; an empty one clears it."""
         self.state = msgspec.msgpack.decode(body, type=Findings) if body else Findings()
--- a/latchspoke/duties/holder.py
+++ b/latchspoke/duties/holder.py
@@ -98,6 +98,7 @@
         return lease.token if lease is not None and self.is_valid(lease, now) else None
 
     def is_valid(self, lease: DutyLease, now: float) -> bool:
+        """Whether the lease has not expired."""
         return now < lease.expires_at
 
     def duties_to_stop(self, now: float) -> list[str]:
@@ -116,6 +117,7 @@
             self.record_release(duty, lease.token)
 
     def record_release(self, duty: str, token: int) -> None:
+        """Keeps the token as released, to be reported until a reply acknowledges it."""
         self.released_tokens[duty] = max(self.released_tokens.get(duty, 0), token)
         self.unacknowledged[duty] = self.released_tokens[duty]
 
--- a/latchspoke/duties/machine.py
+++ b/latchspoke/duties/machine.py
@@ -47,6 +47,7 @@
         return reason
 
     def describe(self, command: Command) -> str:
+        """Summarizes an applied command for the log."""
         state = self.duties[command.duty]
         match command:
             case Grant(_, holder, after, ended):
@@ -62,6 +63,7 @@
         raise AssertionError(command)
 
     def execute(self, command: Command) -> str:
+        """Applies a command; returns '' or the reason for its refusal."""
         state = self.duties.get(command.duty)
         if isinstance(command, Define):
             self.duties[command.duty] = self.define(state or DutyState(command.rule), command.rule)
@@ -97,6 +99,7 @@
         return msgspec.structs.replace(state, rule=rule, tenure=tenure)
 
     def grant(self, command: Grant, state: DutyState) -> tuple[str, DutyState]:
+        """Ends the previous tenure and starts one with the next token, unless the command is stale."""
         if state.token != command.after:
             return f"the last token of {command.duty} is {state.token}, not {command.after}", state
         if state.held and not command.ended:
@@ -121,7 +124,9 @@
         return self.dump()
 
     def dump(self) -> bytes:
+        """Encodes the state for a snapshot."""
         return msgspec.msgpack.encode(self.duties)
 
     def load(self, body: bytes) -> None:
+        """Restores the state from a snapshot; an empty one clears it."""
         self.duties = msgspec.msgpack.decode(body, type=dict[str, DutyState]) if body else {}
--- a/latchspoke/duties/member_service.py
+++ b/latchspoke/duties/member_service.py
@@ -70,14 +70,17 @@
 
 
 def duty_command(command: Command, ident: str = "") -> CommandRequest:
+    """Encodes a command for the duties state machine."""
     return CommandRequest(NAME, msgspec.msgpack.encode(command), ident)
 
 
 def rules_command(command: RulesCommand, ident: str = "") -> CommandRequest:
+    """Encodes a command for the rules state machine."""
     return CommandRequest(RULES, msgspec.msgpack.encode(command), ident)
 
 
 def decode_duties(result: QueryResult) -> dict[str, DutyState]:
+    """Decodes the result of a query to the duties state machine."""
     return msgspec.msgpack.decode(result.body, type=dict[str, DutyState])
 
 
@@ -112,6 +115,7 @@
     # Inputs. ``requester`` is returned with the reply.
 
     def handle_heartbeat(self, requester: int, heartbeat: Heartbeat, now: float) -> None:
+        """Handles a holder's heartbeat; a leader also proposes the releases that it reports."""
         self.start_read(PendingRead(requester, heartbeat, now), now)
         if self.is_leader:
             for command in self.coordinator.handle_heartbeat(heartbeat, now):
@@ -122,15 +126,18 @@
         self.start_read(PendingRead(requester, question, now), now)
 
     def handle_query(self, requester: int, query: Query, now: float) -> None:
+        """Handles a linearizable query to a state machine."""
         self.start_read(PendingRead(requester, query, now), now)
 
     def handle_command(self, requester: int, request: CommandRequest, now: float) -> None:
+        """Appends a command on the leader; any other member rejects it at once."""
         try:
             self.append_command(requester, request, None, now)
         except NotLeaderError as error:
             self.replies.append((requester, Rejected(error.leader)))
 
     def tick(self, now: float) -> None:
+        """Advances the member's timers; a leader proposes the commands that are due."""
         self.member.tick(now)
         if self.is_leader:
             for command in self.coordinator.due_commands(now):
@@ -189,6 +196,7 @@
             self.coordinator_term = -1
 
     def start_read(self, read: PendingRead, now: float) -> None:
+        """Requests a read index from the member, or rejects if it does not lead."""
         self.read_number += 1
         try:
             self.member.read(self.read_number, now)
@@ -204,10 +212,12 @@
     def append_command(
         self, requester: int | None, request: CommandRequest, command: Command | Activate | None, now: float
     ) -> None:
+        """Appends to the log; ``command`` is set if a coordinator must learn of its application."""
         entry = self.member.propose(Machines.command(request.machine, request.body, request.ident), now)
         self.proposed[entry.index] = entry.term, requester, command
 
     def apply_entry(self, entry: Entry, now: float) -> None:
+        """Applies a committed entry, then informs the coordinator and the requester."""
         result = self.machines.apply(entry)
         term, requester, command = self.proposed.pop(entry.index, (-1, None, None))
         if isinstance(command, Activate):
@@ -234,11 +244,13 @@
                 self.replies.append((read.requester, self.answer_read(request, read.received_at, now)))
 
     def answer_read(self, request: Heartbeat | RulesQuestion, received_at: float, now: float) -> Reply:
+        """Lets the coordinator answer a heartbeat or question."""
         if isinstance(request, RulesQuestion):
             return self.rules_coordinator.answer(request, received_at, now)
         return self.coordinator.reply(request, received_at, now)
 
     def run_query(self, query: Query, index: int, now: float) -> QueryResult | Rejected:
+        """Queries a state machine, or the rules coordinator under ``RULES_HOLDERS``."""
         if query.machine == RULES_HOLDERS:
             return QueryResult(index, msgspec.msgpack.encode(self.rules_coordinator.status(now)))
         machine = self.machines.machines.get(query.machine)
--- a/latchspoke/duties/records.py
+++ b/latchspoke/duties/records.py
@@ -28,9 +28,11 @@
 
     @property
     def identity(self) -> str:
+        """Name and session, unique for each start of a process."""
         return f"{self.name}#{self.session}"
 
     def is_eligible(self, duty: str, rule: Rule) -> bool:
+        """Whether the candidate offers this duty and the rule admits it."""
         return (
             any(fnmatchcase(duty, pattern) for pattern in self.duties)
             and any(fnmatchcase(self.name, pattern) for pattern in rule.names)
@@ -113,6 +115,7 @@
 
     @property
     def held(self) -> bool:
+        """Whether the last tenure has not ended."""
         return self.tenure is not None and self.tenure.why is TenureEnd.HELD
 
 
--- a/latchspoke/fleet/census.py
+++ b/latchspoke/fleet/census.py
@@ -14,6 +14,7 @@
 
 
 def format_names(names: tuple[str, ...]) -> str:
+    """Joins the names, abbreviated after ``MAX_NAMES``."""
     omitted = len(names) - MAX_NAMES
     return ", ".join(names[:MAX_NAMES]) + (f" and {omitted} more" if omitted > 0 else "")
 
--- a/latchspoke/fleet/claims.py
+++ b/latchspoke/fleet/claims.py
@@ -28,6 +28,7 @@
     released: bool = False
 
     def is_live(self, now: float) -> bool:
+        """Whether it is neither released nor expired."""
         return not self.released and now < self.expires
 
 
--- a/latchspoke/fleet/compare.py
+++ b/latchspoke/fleet/compare.py
@@ -64,6 +64,7 @@
 
 
 def is_compared(path: str, shared: Iterable[str], excluded: Iterable[str]) -> bool:
+    """Whether the path matches a shared pattern and no excluded one."""
     return any(fnmatchcase(path, pattern) for pattern in shared) and not any(
         fnmatchcase(path, pattern) for pattern in excluded
     )
@@ -96,6 +97,7 @@
 
 
 def find_difference(path: str, column: Mapping[str, Any], names: Iterable[str]) -> Difference | None:
+    """Groups the instances by their value of one path; None if all values are equal."""
     groups: dict[str, tuple[Any, list[str]]] = {}
     total = 0
     for name in names:
--- a/latchspoke/fleet/lifecycle.py
+++ b/latchspoke/fleet/lifecycle.py
@@ -249,12 +249,14 @@
 
 
 def request_reload(instance: Instance) -> Transition:
+    """Sends SIGHUP; raises InvalidPhaseError unless the process is running."""
     if instance.phase not in RUNNING_PHASES:
         raise InvalidPhaseError(f"{instance.name} is {instance.phase.value}: only a running one can reload")
     return instance, [Signal.HUP, RecordEvent("reloaded")]
 
 
 def launch(instance: Instance, now: float) -> Transition:
+    """Starts the next launch and resets all state of the previous process."""
     launched = replace(
         instance, goal=Goal.UP, phase=Phase.STARTING, since=now, launch=instance.launch + 1, pid=0, started=0,
         spawned_at=now, was_ready=False, answered_at=0.0, terminated_at=0.0, kill_at=0.0, retry_at=0.0,
@@ -264,6 +266,7 @@
 
 
 def request_drain(instance: Instance, then_start: bool, now: float, limits: Limits) -> Transition:
+    """Sends SIGTERM and sets the kill deadline; a drain under way only takes over the new goal."""
     goal = Goal.UP if then_start else Goal.DOWN
     if instance.phase in (Phase.DRAINING, Phase.KILLING):
         return replace(instance, goal=goal, restart=then_start), []
@@ -290,6 +293,7 @@
 
 
 def process_spawned(instance: Instance, pid: int, started: int, now: float, limits: Limits) -> Transition:
+    """Records the new process; sends SIGTERM if a drain was requested meanwhile."""
     running = replace(instance, pid=pid, started=started, spawned_at=now)
     if running.phase is Phase.DRAINING:
         return replace(running, terminated_at=now, kill_at=now + limits.kill_delay_s()), [Signal.TERM]
@@ -297,6 +301,7 @@
 
 
 def check_answered(instance: Instance, ready: bool, now: float, limits: Limits) -> Transition:
+    """Updates the phase after a health check; resets the crash count after ``settle_time_s``."""
     updated = replace(instance, answered_at=now)
     if instance.phase in (Phase.DRAINING, Phase.KILLING) or not instance.alive:
         return updated, []
--- a/latchspoke/fleet/orphaned_operations.py
+++ b/latchspoke/fleet/orphaned_operations.py
@@ -78,6 +78,7 @@
         )
 
     def is_due(self, operation_id: str, now: float) -> bool:
+        """Whether the grace period and the backoff of failed attempts have passed."""
         failure = self.failures.get(operation_id)
         return now - self.orphaned_since[operation_id] >= self.grace_s and (
             failure is None or now >= failure.not_before
--- a/latchspoke/fleet/rollout.py
+++ b/latchspoke/fleet/rollout.py
@@ -158,6 +158,7 @@
 
 
 def describe_steps(names: list[str], steps: Mapping[str, StepStatus]) -> str:
+    """Lists the instances, each with the detail or the state of its step."""
     return "; ".join(f"{name} ({steps[name].detail or steps[name].state.value})" for name in sorted(names))
 
 
--- a/latchspoke/fleet/steps.py
+++ b/latchspoke/fleet/steps.py
@@ -48,6 +48,7 @@
 
 
 def start_outcome(base: Instance, instance: Instance) -> StepOutcome:
+    """Done once ready; failed if the process exited or the instance was stopped."""
     if instance.phase is Phase.READY:
         return StepOutcome("done", "was ready" if instance.launch == base.launch else "ready")
     if instance.phase in (Phase.WAITING, Phase.FAILED):
@@ -58,6 +59,7 @@
 
 
 def drain_outcome(base: Instance, instance: Instance) -> StepOutcome:
+    """Done after a clean exit, or if there was no process; failed after any other exit."""
     if instance.phase is Phase.STOPPED:
         if not base.alive:
             return StepOutcome("done", "had no process")
@@ -70,6 +72,7 @@
 
 
 def restart_outcome(base: Instance, instance: Instance) -> StepOutcome:
+    """Done once a later launch is ready, provided that the drain before it ended cleanly."""
     if instance.phase is Phase.READY and instance.launch > base.launch:
         if base.alive and instance.end is not ExitReason.CLEAN:
             return StepOutcome(
--- a/latchspoke/fleet/view.py
+++ b/latchspoke/fleet/view.py
@@ -29,6 +29,7 @@
 
     @property
     def state(self) -> str:
+        """The last known state, or ``unknown`` while the agent is unreachable."""
         return UNKNOWN if self.problem else self.status.state
 
     @property
@@ -48,10 +49,12 @@
 
 
 def empty_instances() -> immutables.Map[str, InstanceView]:
+    """Default of ``FleetView.instances``."""
     return immutables.Map()
 
 
 def empty_agents() -> immutables.Map[str, AgentView]:
+    """Default of ``FleetView.agents``."""
     return immutables.Map()
 
 
@@ -90,9 +93,11 @@
         return FleetView(self.version + 1, instances, self.agents.set(agent, agent_view))
 
     def sorted(self) -> list[InstanceView]:
+        """All instances, ordered by ID."""
         return sorted(self.instances.values(), key=lambda instance: instance.id)
 
     def unreachable_agents(self) -> list[AgentView]:
+        """Agents with a problem, ordered by name."""
         return sorted((a for a in self.agents.values() if a.problem), key=lambda a: a.name)
 
 
@@ -105,6 +110,7 @@
     new: InstanceView | None
 
     def describe(self) -> str:
+        """One line for operators; '' if nothing relevant changed."""
         if self.old is None:
             return f"appeared, {self.new.state if self.new else UNKNOWN}"
         if self.new is None:
@@ -158,6 +164,7 @@
 
 
 def parse_selector(selector: str) -> tuple[str, tuple[str, ...]]:
+    """Splits a selector into its key and patterns; raises SelectorError."""
     key, separator, pattern_list = selector.partition("=")
     if not separator:
         key, pattern_list = "name", selector
@@ -170,6 +177,7 @@
 
 
 def matches(instance: InstanceView, key: str, patterns: tuple[str, ...]) -> bool:
+    """Whether any pattern matches the instance under this key."""
     values = {
         "name": (instance.status.name, instance.id),
         "host": (instance.agent,),
--- a/latchspoke/fleet/wire.py
+++ b/latchspoke/fleet/wire.py
@@ -126,6 +126,8 @@
 
 
 class Operations(Record, frozen=True, omit_defaults=True):
+    """All operations that an agent has recorded."""
+
     operations: list[OperationStatus] = []
 
 
@@ -153,10 +155,14 @@
 
 
 class Claimed(Record, frozen=True, omit_defaults=True):
+    """The claims granted or renewed by a request."""
+
     claims: list[ClaimInfo]
 
 
 class StepRequest(Record, frozen=True, omit_defaults=True):
+    """Starts ``action`` on an instance under a claim; ``limit`` is the time limit in seconds."""
+
     operation: str
     instance: str
     action: str
@@ -178,6 +184,8 @@
 
 
 class Events(Record, frozen=True, omit_defaults=True):
+    """Events after a requested revision; ``revision`` is the one to continue from."""
+
     events: list[Event]
     revision: int
 
--- a/latchspoke/revisions/coordinator.py
+++ b/latchspoke/revisions/coordinator.py
@@ -197,6 +197,7 @@
                 activation.last_overlap_at = max(activation.last_overlap_at, min(expires_at, now))
 
     def status(self, now: float) -> GatewayLeases:
+        """Leases of all gateways and recent activations, for operators."""
         gateways = {
             identity: {name: self.lease_status(name, lease, now) for name, lease in gateway.leases.items()}
             for identity, gateway in sorted(self.gateways.items())
@@ -210,6 +211,7 @@
         return GatewayLeases(gateways, tuple(activations))
 
     def lease_status(self, name: str, lease: DocumentLease, now: float) -> LeaseStatus:
+        """Remaining lease time and the versions that the gateway lacks."""
         missing = tuple(
             sorted(
                 version
--- a/latchspoke/revisions/documents.py
+++ b/latchspoke/revisions/documents.py
@@ -30,10 +30,12 @@
 
 
 def part_index(path: str) -> int:
+    """The part that holds a path; must be the same on gateways and members."""
     return zlib.crc32(path.encode()) % PART_COUNT
 
 
 def digest_entries(entries: Entries) -> bytes:
+    """Digest of one part, independent of the order of its entries."""
     text = json.dumps(sorted(entries.items()), separators=(",", ":"))
     return blake2b(text.encode(), digest_size=16).digest()
 
@@ -60,9 +62,11 @@
         return sum(map(len, self.parts))
 
     def get(self, path: str) -> Scalar | None:
+        """Returns the entry at a path, or None."""
         return self.parts[part_index(path)].get(path)
 
     def items(self) -> Iterator[tuple[str, Scalar]]:
+        """Yields all entries, ordered by part."""
         for part in self.parts:
             yield from part.items()
 
@@ -86,6 +90,7 @@
 
 
 def build_document(entries: Entries) -> Document:
+    """Returns a document with these entries."""
     return Document().with_changes(entries)
 
 
@@ -98,6 +103,7 @@
 
     @property
     def size(self) -> int:
+        """Number of entries put or removed."""
         return len(self.put) + len(self.removed)
 
 
@@ -160,6 +166,7 @@
 
 
 def format_value(value: Scalar | None) -> str:
+    """Text of an entry for operators."""
     return "none" if value is None else value or "there" if isinstance(value, str) else f"{value:g}"
 
 
@@ -190,6 +197,7 @@
 
 
 def validate_plan_limit(path: str, value: Scalar) -> None:
+    """Checks one entry of ``plans``; raises DocumentError."""
     plan, _, field_name = path.rpartition(".")
     if not plan or field_name not in PLAN_FIELDS:
         raise DocumentError(
--- a/latchspoke/revisions/leases.py
+++ b/latchspoke/revisions/leases.py
@@ -95,6 +95,7 @@
 
     @property
     def question_interval_s(self) -> float:
+        """Seconds between two questions."""
         return QUESTION_FRACTION * self.lease_length_s
 
     def handle_answer(self, answer: Mapping[str, Any], now: float) -> bool:
@@ -115,6 +116,7 @@
     def apply_grant(
         self, document: KnownDocument, grant: Mapping[str, Any], sent_at: float, now: float
     ) -> None:
+        """Applies one document's grant; the lease counts from ``sent_at``. Versions never go back."""
         document.lapse, document.least = grant["lapse"], dict(grant["least"])
         digests = {int(version): str(digest) for version, digest in grant["digests"].items()}
         document.missing = {
--- a/latchspoke/revisions/machine.py
+++ b/latchspoke/revisions/machine.py
@@ -54,13 +54,16 @@
 
     @property
     def head_document(self) -> Document:
+        """Content of the newest version."""
         return self.documents.get(self.head, Document())
 
     @property
     def active_document(self) -> Document:
+        """Content of the active version."""
         return self.documents.get(self.active, Document())
 
     def revision(self, version: int) -> Revision | None:
+        """Metadata of a version, or None if it is no longer kept."""
         return next((revision for revision in reversed(self.revisions) if revision.version == version), None)
 
 
@@ -110,6 +113,7 @@
         return reason
 
     def put(self, command: PutRules) -> str:
+        """Adds a version; returns '' or the reason for the refusal."""
         state = self.states.get(command.name, DocumentState())
         if command.parent != state.head:
             return f"version {command.parent} of {command.name} is not the newest, {state.head} is"
@@ -164,6 +168,7 @@
         return ""
 
     def activate(self, name: str, version: int, longest: float = 0.0) -> str:
+        """Activates the newest version; returns '' or the reason for the refusal."""
         state = self.states.get(name)
         if state is None or version != state.head or version <= state.active:
             return f"version {version} of {name} is not the newest one that waits"
@@ -188,6 +193,7 @@
 
     @staticmethod
     def summary(state: DocumentState) -> Summary:
+        """Describes a document's state without its content."""
         content = state.head_document
         return Summary(
             state.terms, state.active, state.head, len(content), content.digest, list(state.revisions)
@@ -235,6 +241,7 @@
     # Snapshots.
 
     def dump(self) -> bytes:
+        """Encodes the state for a snapshot."""
         return msgspec.msgpack.encode({name: self.save(self.states[name]) for name in sorted(self.states)})
 
     @staticmethod
@@ -251,6 +258,7 @@
         )  # fmt: skip
 
     def load(self, body: bytes) -> None:
+        """Restores the state from a snapshot; an empty one resets it."""
         saved_states: dict[str, SavedState] = (
             msgspec.msgpack.decode(body, type=dict[str, SavedState]) if body else {}
         )
@@ -259,6 +267,7 @@
 
     @staticmethod
     def restore(saved: SavedState) -> DocumentState:
+        """Rebuilds a document's state from its saved form."""
         active_document = Document().with_changes(saved.entries)
         documents = {saved.active: active_document}
         documents[saved.head] = active_document.with_changes(saved.put, saved.gone)
--- a/latchspoke/revisions/records.py
+++ b/latchspoke/revisions/records.py
@@ -87,6 +87,7 @@
 
     @property
     def identity(self) -> str:
+        """Gateway and session, unique for each start of a gateway."""
         return f"{self.gateway}#{self.session}"
 
 
