--- a/latchspoke/duties/findings.py
+++ b/latchspoke/duties/findings.py
@@ -1,7 +1,7 @@
-"""What the census of the fleet has found, on the log: raised once, whoever holds the census when it is.
+"""Replicated state machine of the census findings, so that each is raised once across changes of the holder.
 
-A report is taken only under the token that the log itself knows as the duty's newest, so that a holder which
-slept through its end can neither raise nor clear anything.
+A report is accepted only under the newest token of its duty, so that a holder whose lease has expired can
+neither raise nor clear findings.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from latchspoke.duties.machine import DutiesMachine
 
 NAME = "findings"
-PAST_KEPT = 100  # of those that are over
+MAX_PAST_FINDINGS = 100  # ended findings that are kept
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """``since`` and ``until``: the reporter's time of day, in s; 0 while it lasts."""
+    """One finding; ``since`` and ``until`` are the reporter's Unix seconds; ``until`` is 0 while open."""
 
     key: str
     text: str
@@ -24,7 +24,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What is new or other than before, and the keys of what is over."""
+    """New or changed findings, and the keys of those that have ended."""
 
     duty: str
     token: int
@@ -34,7 +34,7 @@
 
 
 class Findings(msgspec.Struct, frozen=True):
-    """All that is known."""
+    """Open and past findings."""
 
     open: dict[str, Finding] = {}
     past: tuple[Finding, ...] = ()
@@ -42,33 +42,37 @@
 
 
 class FindingsMachine:
-    """See the module. It reads the duties as they stand at the same place of the log."""
+    """Applies reports; validates their token against the duties' state at the same log index."""
 
     def __init__(self, duties: DutiesMachine) -> None:
         self.duties = duties
         self.state = Findings()
 
     def apply(self, index: int, body: bytes) -> str:
+        """Returns '' if the report was applied, else the reason for its refusal."""
         report: Report = msgspec.msgpack.decode(body, type=Report)
         duty = self.duties.duties.get(report.duty)
         if duty is None or not duty.held or duty.token != report.token:
             newest = duty.token if duty is not None else 0
             return f"token {report.token} does not hold {report.duty}, whose newest is {newest}"
-        now_open, past = dict(self.state.open), list(self.state.past)
+        open_findings, past = dict(self.state.open), list(self.state.past)
         for key, text in report.found.items():
-            since = now_open[key].since if key in now_open else report.at
-            now_open[key] = Finding(key, text, since)
+            since = open_findings[key].since if key in open_findings else report.at
+            open_findings[key] = Finding(key, text, since)
         for key in report.over:
-            if key in now_open:
-                past.append(msgspec.structs.replace(now_open.pop(key), until=report.at))
-        self.state = Findings(now_open, tuple(past[-PAST_KEPT:]), report.at)
+            if key in open_findings:
+                past.append(msgspec.structs.replace(open_findings.pop(key), until=report.at))
+        self.state = Findings(open_findings, tuple(past[-MAX_PAST_FINDINGS:]), report.at)
         return ""
 
     def query(self, question: bytes) -> bytes:
+        """Returns all findings; ``question`` is not used."""
         return self.dump()
 
     def dump(self) -> bytes:
+        """Encodes the state for a snapshot."""
         return msgspec.msgpack.encode(self.state)
 
     def load(self, body: bytes) -> None:
+        """Restores the state from a snapshot; an empty one clears it."""
         self.state = msgspec.msgpack.decode(body, type=Findings) if body else Findings()
--- a/latchspoke/net/rules.py
+++ b/latchspoke/net/rules.py
@@ -25,15 +25,22 @@
 from latchspoke.core import DecisionLease
 from latchspoke.net.clock import Clock
 from latchspoke.revisions.documents import (
-    ASIDE,
     BLOCKED,
-    FIGURES,
     KINDS,
+    PLAN_LIMITS,
+    SET_ASIDE,
     Document,
     DocumentError,
     Scalar,
 )
-from latchspoke.revisions.rights import REFUSE, Acting, Fetch, Known, Rights, dump
+from latchspoke.revisions.leases import (
+    REFUSE,
+    EffectiveRules,
+    KnownDocument,
+    MissingContent,
+    RuleLeases,
+    dump,
+)
 
 log = logging.getLogger(__name__)
 
@@ -114,13 +121,13 @@
     ) -> None:
         self.loop, self.timers, self.settings, self.config = loop, timers, settings, config
         self.apply_rules, self.on_ready, self.clock = apply_rules, on_ready, clock
-        self.rights = Rights(name, secrets.token_hex(4))
+        self.rights = RuleLeases(name, secrets.token_hex(4))
         self.plans = {plan.name: plan for plan in settings.plans}  # those in effect
         self.lease = DecisionLease("", math.inf)
         self.connection: AgentConnection | None = None
         self.request_number = 0  # responses to earlier requests are ignored
-        self.pending_fetches: list[Fetch] = []
-        self.current_fetch: Fetch | None = None
+        self.pending_fetches: list[MissingContent] = []
+        self.current_fetch: MissingContent | None = None
         self.fetch_in_parts: set[tuple[str, int]] = set()  # (name, version) whose fetch as a change failed
         self.on_response: Callable[[Any], None] = lambda response: None
         self.stopped = self.started = False
@@ -128,7 +135,7 @@
 
     @property
     def lease_expires_at(self) -> float:
-        return self.rights.lapse_at
+        return self.rights.next_expiry
 
     # Life cycle.
 
@@ -142,7 +149,7 @@
         self.ask_question()
 
     def start_from_cache(self, now: float) -> None:
-        if not self.rights.joined and self.rights.acted_before:
+        if not self.rights.contacted and self.rights.has_effective_rules:
             log.warning("no agent answered: starting with the cached rules")
             self.apply_acting_rules()
             self.on_ready()
@@ -171,7 +178,7 @@
         """Write the rules in effect atomically, in a single background thread, as they may be large."""
         if self.config.cache_path:
             self.loop.run_in_executor(
-                self.writer, write_cache, self.config.cache_path, self.rights.acted_on()
+                self.writer, write_cache, self.config.cache_path, self.rights.persistent_state()
             )
 
     # Requests to agents.
@@ -192,7 +199,7 @@
         if self.connection is not None and self.connection.transport is not None:
             self.connection.send(path, data)
             return
-        socket = self.config.agent_sockets[self.rights.place % len(self.config.agent_sockets)]
+        socket = self.config.agent_sockets[self.rights.member_index % len(self.config.agent_sockets)]
         task = self.loop.create_task(self.dial(socket))
 
         def on_connected(task: asyncio.Task[AgentConnection | None]) -> None:
@@ -261,22 +268,24 @@
             self.request_failed(self.request_number)
 
     def question_answered(self, answer: Any) -> None:
-        if self.rights.answered(answer, self.clock()) and (self.started or self.rights.ready(self.clock())):
+        if self.rights.handle_answer(answer, self.clock()) and (
+            self.started or self.rights.ready(self.clock())
+        ):
             if self.label() != self.lease.label:
                 self.apply_acting_rules()
                 self.save_cache()
             # Renew the lease object in place, so that requests in flight benefit, too.
-            self.lease.expires_at = self.rights.stop_at(self.clock())
+            self.lease.expires_at = self.rights.stop_sending_at(self.clock())
             self.on_ready()
-        self.pending_fetches = self.rights.fetches()
+        self.pending_fetches = self.rights.missing_contents()
         self.fetch_next()
 
     def fetch_next(self) -> None:
         if not self.pending_fetches:
-            self.schedule_question(self.rights.ask_every)
+            self.schedule_question(self.rights.question_interval_s)
             return
         fetch = self.current_fetch = self.pending_fetches.pop()
-        base = self.rights.known[fetch.name].at_hand.get(fetch.base, Document())
+        base = self.rights.documents[fetch.name].contents.get(fetch.base, Document())
         if (fetch.name, fetch.version) in self.fetch_in_parts:
             self.fetch_parts(fetch, base, [digest.hex() for digest in base.digests], 0)
             return
@@ -285,7 +294,7 @@
             "/v1/rules/content", request, lambda response: self.content_received(fetch, base, [], response)
         )
 
-    def fetch_parts(self, fetch: Fetch, base: Document, digests: list[str], first: int) -> None:
+    def fetch_parts(self, fetch: MissingContent, base: Document, digests: list[str], first: int) -> None:
         request = {"name": fetch.name, "version": fetch.version, "digests": digests, "first": first}
         self.send_request(
             "/v1/rules/content",
@@ -293,14 +302,16 @@
             lambda response: self.content_received(fetch, base, digests, response),
         )
 
-    def content_received(self, fetch: Fetch, base: Document, digests: list[str], response: Any) -> None:
+    def content_received(
+        self, fetch: MissingContent, base: Document, digests: list[str], response: Any
+    ) -> None:
         """Assemble the document from one or more responses; its digest is verified once it is complete."""
         document = assembled(response, base)
         if response.get("then"):
             self.fetch_parts(fetch, document, digests, int(response["then"]))
             return
         try:
-            self.rights.take(fetch.name, fetch.version, document)
+            self.rights.add_content(fetch.name, fetch.version, document)
         except DocumentError as e:
             log.warning("fetched rules document is invalid: %s", e)
             self.request_failed(self.request_number)
@@ -317,11 +328,11 @@
     def label(self) -> str:
         """Return the versions in effect, such as ``plans:3,blocked:7-refuse``."""
         now = self.clock()
-        return ",".join(f"{name}:{self.rights.label(name, now)}" for name in sorted(self.rights.known))
+        return ",".join(f"{name}:{self.rights.label(name, now)}" for name in sorted(self.rights.documents))
 
     def expire_lease(self) -> None:
         """Replace the rules whose lease has expired, also if the process was suspended meanwhile."""
-        self.rights.next_lapse(self.clock())
+        self.rights.update_next_expiry(self.clock())
         if self.started:
             self.apply_acting_rules()
         log.warning("lease expired, rules in effect: %s", self.lease.label)
@@ -329,16 +340,16 @@
     def apply_acting_rules(self) -> None:
         """Put the leased rules into effect atomically; requests in flight keep the lease of their start."""
         now = self.clock()
-        acting = {name: self.rights.acting(name, now) for name in KINDS}
-        self.rights.next_lapse(now)
+        acting = {name: self.rights.effective_rules(name, now) for name in KINDS}
+        self.rights.update_next_expiry(now)
         self.started = True
-        self.lease = DecisionLease(self.label(), self.rights.stop_at(now))
+        self.lease = DecisionLease(self.label(), self.rights.stop_sending_at(now))
         log.info("rules in effect: %s", self.lease.label)
-        plan_rules = acting[FIGURES]
+        plan_rules = acting[PLAN_LIMITS]
         self.plans = apply_plan_changes(self.settings, self.plans, plan_rules.document)
         block_everyone = REFUSE in (plan_rules.lapsed, acting[BLOCKED].lapsed)
         blocked: Container[str] = MatchAll() if block_everyone else acting[BLOCKED].document
-        self.apply_rules(api.Rules(tuple(self.plans.values()), blocked, excluded_servers(acting[ASIDE])))
+        self.apply_rules(api.Rules(tuple(self.plans.values()), blocked, excluded_servers(acting[SET_ASIDE])))
 
     def view(self) -> dict[str, Any]:
         """Return the state of each rules document, for operators."""
@@ -346,15 +357,15 @@
         return {
             name: {
                 "acting": self.rights.label(name, now),
-                "right_for": round(max(known.until - now, 0.0), 3),
-                "at_hand": sorted(known.at_hand),
-                "lacks": sorted(known.wanted),
+                "right_for": round(max(known.expires_at - now, 0.0), 3),
+                "at_hand": sorted(known.contents),
+                "lacks": sorted(known.missing),
             }
-            for name, known in sorted(self.rights.known.items())
+            for name, known in sorted(self.rights.documents.items())
         }
 
 
-def excluded_servers(acting: Acting) -> Container[str]:
+def excluded_servers(acting: EffectiveRules) -> Container[str]:
     if acting.lapsed == REFUSE:
         return MatchAll()
     # Lookups in an empty tuple are the fastest.
@@ -365,7 +376,7 @@
     """Like ``revisions.machine.assemble``, for a decoded JSON object."""
     if response.get("parts") is not None:
         return base.with_parts({int(number): dict(part) for number, part in response["parts"].items()})
-    return base.changed(dict(response.get("put", {})), list(response.get("gone", ())))
+    return base.with_changes(dict(response.get("put", {})), list(response.get("gone", ())))
 
 
 def apply_plan_changes(
@@ -386,7 +397,7 @@
     return plans
 
 
-def write_cache(path: str, acted_on: dict[str, Known]) -> None:
+def write_cache(path: str, acted_on: dict[str, KnownDocument]) -> None:
     data = json.dumps(dump(acted_on))
     try:
         with open(f"{path}.new", "w", encoding="utf-8") as file:
