--- a/barleyhub/affinity/plan.py
+++ b/barleyhub/affinity/plan.py
@@ -59,7 +59,7 @@
     }
     skipped = [line["place"] for line in lines if line["passed_over"]]
     if destination is None:
-        why = "no server may be sent to"
+        why = "no place may be sent to"
     elif lines[0]["place"] == destination:
         why = "first in its order"
     else:
--- a/barleyhub/affinity/selection.py
+++ b/barleyhub/affinity/selection.py
@@ -142,7 +142,7 @@
             "evacuated": upstream.zone in self.balancer.evacuated,
             "outside the homes": homes is not None and upstream.region not in homes,
             "can't be reached": now < upstream.backoff_until or now < upstream.assumed_cold_until,
-            "cold, or its heartbeats are missed": self.balancer.is_cold(upstream, now),
+            "cold, or its beats are missed": self.balancer.is_cold(upstream, now),
         }
         return next((reason for reason, holds in reasons.items() if holds), "answers with errors")
 
@@ -160,7 +160,7 @@
                 and diversion is not None
                 and diversion_position(key, member_seed(address)) < diversion.current_share(now)
             ):
-                reason = "was full or unusable; this caller returns later"
+                reason = "was full or away; this caller comes back later"
             if reason:
                 unavailable[address] = reason
         origin = Origin(near, self.balancer.zone, self.balancer.region) if near else NO_ORIGIN
--- a/latchspoke/configstore/config_state.py
+++ b/latchspoke/configstore/config_state.py
@@ -104,7 +104,7 @@
         except CommandRefused as e:
             return Verdict(e.kind, e.reason, self.version, index)
         except Exception as e:
-            return Verdict(INVALID, f"malformed command: {e!r}", self.version, index)
+            return Verdict(INVALID, f"no such order: {e!r}", self.version, index)
         return Verdict(kind, "", self.version, index)
 
     def execute(self, index: int, command: Command) -> str:
@@ -116,30 +116,30 @@
                 return self.set_zone_evacuated(index, command, True)
             case "restore":
                 return self.set_zone_evacuated(index, command, False)
-        raise CommandRefused(INVALID, f"unknown command: {command['do']!r}")
+        raise CommandRefused(INVALID, f"no such order: {command['do']!r}")
 
     def change_configuration(self, index: int, command: Command) -> str:
         """Replaces or modifies the configuration if the command is based on the current version."""
         version, base, digest = command["version"], command["base"], command["digest"]
         if not (type(version) is type(base) is int and isinstance(digest, str)):
-            raise CommandRefused(INVALID, "version and base must be integers and digest a string")
+            raise CommandRefused(INVALID, "version and base are whole numbers, the digest is a text")
         if self.history.get(version) == digest:
             return REPEATED
         if version <= self.version and self.version_forgotten(version):
             # It may have been accepted before, and retried by a caller that got no reply.
-            raise CommandRefused(UNKNOWN, f"version {version} is older than the retained history")
+            raise CommandRefused(UNKNOWN, f"version {version} is older than all that are remembered")
         if digest in self.refused:
             # Sent through two members: its sender may already know of the rejection.
-            raise CommandRefused(CONFLICT, "rejected before")
+            raise CommandRefused(CONFLICT, "refused before")
         if base != self.version:
             if base > self.version:
                 self.refused[digest] = None
                 trim_to_limit(self.refused)
-            raise CommandRefused(CONFLICT, f"based on version {base}, the current version is {self.version}")
+            raise CommandRefused(CONFLICT, f"built on version {base}, current is {self.version}")
         if version <= self.version:
             raise CommandRefused(CONFLICT, f"version {version} is not above the current {self.version}")
         if command.get("unchecked"):
-            raise CommandRefused(UNCHECKED, f"based on version {base}, which its sender did not have")
+            raise CommandRefused(UNCHECKED, f"built on version {base}, which its sender had not seen")
         if command["do"] == "replace":
             document = command["doc"]
         else:
@@ -148,7 +148,7 @@
             except ValueError as e:
                 raise CommandRefused(INVALID, str(e)) from None
         if not isinstance(document, dict):
-            raise CommandRefused(INVALID, "the document must be an object")
+            raise CommandRefused(INVALID, "the document is no object")
         self.document, self.version, self.index = document, version, index
         self.history[version] = digest
         trim_to_limit(self.history)
@@ -162,7 +162,7 @@
         """Starts (``evacuate``) or ends an evacuation of a zone."""
         zone = command["zone"]
         if not isinstance(zone, str):
-            raise CommandRefused(INVALID, "the zone must be a string")
+            raise CommandRefused(INVALID, "the zone is a text")
         changed_index, count = self.zones.get(zone, (0, False))[0], self.evacuation_count(zone)
         expected_count = command.get("stand")
         if count and expected_count is not None and expected_count != count:
@@ -170,7 +170,7 @@
         if (evacuate and count and expected_count is None) or not (evacuate or count):
             return REPEATED
         if changed_index > command.get("after", index):
-            raise CommandRefused(STALE, f"the zone was changed at index {changed_index}")
+            raise CommandRefused(STALE, f"the zone was changed at {changed_index}")
         remaining = count + 1 if evacuate else count - 1
         self.zones[zone] = index, remaining if remaining > 1 else bool(remaining)
         self.index = index
--- a/latchspoke/configstore/replica.py
+++ b/latchspoke/configstore/replica.py
@@ -154,7 +154,7 @@
     async def submit(self, command: Command, limit: float = 0.9) -> Verdict:
         """Submits a command; ``unknown`` after ``limit`` (s) means that it may still be committed."""
         if self.unavailable:
-            return Verdict(UNKNOWN, self.disk_error or "the replica is stopping", self.state.version)
+            return Verdict(UNKNOWN, self.disk_error or "stops", self.state.version)
         answer = await self.wait_for_answer(self.node.submit(command, limit, self.clock()))
         assert isinstance(answer, Verdict)
         return answer
--- a/latchspoke/configstore/store_node.py
+++ b/latchspoke/configstore/store_node.py
@@ -221,9 +221,7 @@
         self.member.tick(now)
         for request_id in [n for n, call in self.pending_commands.items() if now >= call.deadline]:
             del self.pending_commands[request_id]
-            self.answers.append(
-                (request_id, Verdict(UNKNOWN, "no reply within the time limit", self.state.version))
-            )
+            self.answers.append((request_id, Verdict(UNKNOWN, "no answer in time", self.state.version)))
         for read_id in [t for t, until in self.read_deadlines.items() if now >= until]:
             self.finish_read(read_id, None)
         self.request_join()
@@ -277,9 +275,7 @@
     def fail_pending(self) -> None:
         """Answers all pending calls with an unknown outcome, after a failure or at the stop."""
         for request_id in self.pending_commands:
-            self.answers.append(
-                (request_id, Verdict(UNKNOWN, "the replica is unavailable", self.state.version))
-            )
+            self.answers.append((request_id, Verdict(UNKNOWN, "the disk refuses", self.state.version)))
         self.pending_commands.clear()
         for read_id in list(self.read_deadlines):
             self.finish_read(read_id, None)
--- a/latchspoke/configuration/check.py
+++ b/latchspoke/configuration/check.py
@@ -54,7 +54,7 @@
 def parse_version(version: str) -> int:
     """The number of a version, written as eight hexadecimal digits. Raises ValueError."""
     if not isinstance(version, str) or not _VERSION.fullmatch(version):
-        raise ValueError(f"a version must be eight hexadecimal digits, not {version!r:.40}")
+        raise ValueError(f"a version is eight hexadecimal digits, not {version!r:.40}")
     return int(version, 16)
 
 
@@ -72,7 +72,7 @@
     try:
         doc = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise InvalidConfigurationError([Fault("", f"not valid JSON: {error}")]) from None
+        raise InvalidConfigurationError([Fault("", f"can't be read whole: {error}")]) from None
     faults = check(doc)
     if faults:
         raise InvalidConfigurationError(faults)
@@ -97,7 +97,7 @@
 
     def document(self, doc: object) -> list[Fault]:
         if not isinstance(doc, dict):
-            self.add_fault("", "the configuration must be an object")
+            self.add_fault("", "a configuration is an object")
             return self.faults
         parsers: dict[str, Callable[[Any], int]] = {
             "version": parse_version,
@@ -176,14 +176,12 @@
                 target_latency_s is not None
                 and target_latency_s - timeout_limit_s >= MAX_LATENCY_ABOVE_TIMEOUT_S - ROUNDING_S
             ):
-                self.add_fault(
-                    f"{path}.targetLatencyS", "must be less than a minute above the route's timeoutS"
-                )
+                self.add_fault(f"{path}.targetLatencyS", "is a minute or more above the route's timeoutS")
 
     def action(self, action: Fields, path: str, services: set[str]) -> None:
         timeout_s = self.non_negative(action, "timeoutS", path)
         if timeout_s is not None and timeout_s > MAX_TIMEOUT_S:
-            self.add_fault(f"{path}.timeoutS", "must be at most ten minutes")
+            self.add_fault(f"{path}.timeoutS", "is over ten minutes")
         attempts = self.integer(action, "maxAttempts", path)
         if attempts is not None and attempts < 1:
             self.add_fault(f"{path}.maxAttempts", "must be at least 1")
@@ -192,14 +190,14 @@
             self.affinity(action, f"{path}.affinity")
         service, split = action.get("service"), action.get("weightedSplit")
         if service is None and not split:
-            self.add_fault(path, "must have service or weightedSplit")
+            self.add_fault(path, "names neither a service nor a weightedSplit")
         if service is not None:
             self.service_reference(action, path, services)
         for share_path, share in self.objects(action, "weightedSplit", path):
             self.service_reference(share, share_path, services)
             weight = self.number(share, "weight", share_path, required=True)
             if weight is not None and weight < 0:
-                self.add_fault(f"{share_path}.weight", "must not be negative")
+                self.add_fault(f"{share_path}.weight", "is under 0")
 
     def affinity(self, action: Fields, path: str) -> None:
         affinity = action["affinity"]
@@ -209,7 +207,7 @@
         faults = len(self.faults)
         sources = self.strings(affinity, "callerFrom", path)
         if not sources and faults == len(self.faults):
-            self.add_fault(f"{path}.callerFrom", "must name at least one source")
+            self.add_fault(f"{path}.callerFrom", "names nothing to tell callers by")
         for index, source in enumerate(sources):
             if not _CALLER_SOURCE.fullmatch(source):
                 reason = f"{source!r:.60} is none of header:NAME, cookie:NAME, path:1 to path:99, tenant"
@@ -218,12 +216,12 @@
             self.add_fault(f"{path}.near", "must be zone, region or empty")
         exchange_s = self.non_negative(affinity, "exchangeS", path)
         if exchange_s is not None and exchange_s > MAX_EXCHANGE_S:
-            self.add_fault(f"{path}.exchangeS", "must be at most an hour")
+            self.add_fault(f"{path}.exchangeS", "is over an hour")
         if affinity.get("travels") is not None:
             self.travels(affinity, f"{path}.travels")
             if not exchange_s:
                 self.add_fault(
-                    f"{path}.exchangeS", "must be above 0 with travels: it is the lifetime of a shared record"
+                    f"{path}.exchangeS", "must be above 0 where a record travels: it lives for so long"
                 )
 
     def travels(self, affinity: Fields, path: str) -> None:
@@ -233,7 +231,7 @@
             return
         lookup_s = self.non_negative(travels, "lookUpS", path)
         if lookup_s is not None and lookup_s > MAX_LOOKUP_S:
-            self.add_fault(f"{path}.lookUpS", "must be at most a second")
+            self.add_fault(f"{path}.lookUpS", "is over a second")
         if (travels.get("whenLost") or "placement") not in LOST_RECORD_POLICIES:
             self.add_fault(f"{path}.whenLost", "must be placement or refuse")
         source, outcome_path = travels.get("exchangeFrom"), travels.get("askPath")
@@ -273,10 +271,10 @@
         """A non-empty string; with ``single_line`` it must not contain characters forbidden in headers."""
         value = parent.get(field)
         if not isinstance(value, str) or not value:
-            self.add_fault(f"{path}.{field}", "is missing" if value is None else "must be a string")
+            self.add_fault(f"{path}.{field}", "is missing" if value is None else "must be a text")
             return None
         if single_line and _UNSAFE_CHARACTERS.search(value):
-            self.add_fault(f"{path}.{field}", "contains a character that is not allowed in headers")
+            self.add_fault(f"{path}.{field}", "holds a character that no header may")
             return None
         return value
 
@@ -286,7 +284,7 @@
         if name is None:
             return
         if name in names:
-            self.add_fault(f"{path}.name", f"{name!r:.60} is used twice")
+            self.add_fault(f"{path}.name", f"{name!r:.60} is there twice")
         names.add(name)
 
     def service_reference(self, parent: Fields, path: str, services: set[str]) -> None:
@@ -299,7 +297,7 @@
         if value is None:
             return []
         if not isinstance(value, list) or not all(isinstance(item, str) and item for item in value):
-            self.add_fault(f"{path}.{field}", "must be a list of strings")
+            self.add_fault(f"{path}.{field}", "must be a list of texts")
             return []
         return value
 
@@ -317,14 +315,14 @@
     def non_negative(self, parent: Fields, field: str, path: str) -> float | None:
         value = self.number(parent, field, path)
         if value is not None and value < 0:
-            self.add_fault(f"{path}.{field}", "must not be negative")
+            self.add_fault(f"{path}.{field}", "must not be under 0")
             return None
         return value
 
     def integer(self, parent: Fields, field: str, path: str) -> int | None:
         value = self.number(parent, field, path)
         if value is not None and not value.is_integer():
-            self.add_fault(f"{path}.{field}", "must be an integer")
+            self.add_fault(f"{path}.{field}", "must be a whole number")
             return None
         return None if value is None else int(value)
 
--- a/latchspoke/configuration/patch.py
+++ b/latchspoke/configuration/patch.py
@@ -28,7 +28,7 @@
     in place, new ones are appended. A rule moves to the host under which the patch lists it, and a host
     without rules is removed. Objects such as ``limits`` are merged field by field.
     """
-    change = _require_object(patch, "a patch")
+    change = _require_object(patch, "a change")
     parse_version(change.get("version", ""))
     parse_base_version(change.get("baseVersion"))
     upsert = _require_object(change.get("upsert") or {}, "upsert")
@@ -50,7 +50,7 @@
             removed_names = set(names)
             result[section] = [item for item in items if _optional_name(item) not in removed_names]
         elif names and section not in ("clusterList", "tenants"):
-            raise ValueError(f"remove.{field} is not a known list")
+            raise ValueError(f"remove.{field} is not a list that is known")
     result["listenerList"] = _merge_listeners(
         doc["listenerList"], upsert.get("listenerList") or [], removed_rules
     )
@@ -121,13 +121,13 @@
         path = f"upsert.listenerList[{index}]"
         host, rules = listener.get("host"), listener.get("ruleSet")
         if not isinstance(host, str):
-            raise ValueError(f"{path}.host must be a string")
+            raise ValueError(f"{path}.host must be a text")
         extras[host] = {**extras.get(host, {}), **_extra_fields(listener)}
         new_rules.setdefault(host, {})
         for rule in _require_objects(rules, f"{path}.ruleSet"):
             name = _required_name(rule, f"{path}.ruleSet")
             if name in hosts_by_rule:
-                raise ValueError(f"{path}.ruleSet contains {name!r:.60}, which the patch contains twice")
+                raise ValueError(f"{path}.ruleSet holds {name!r:.60}, which the change gives twice")
             hosts_by_rule[name] = host
             new_rules[host][name] = rule
 
@@ -159,7 +159,7 @@
         items = _require_objects(new, path)
         new_items = {_required_name(item, path): item for item in items}
         if len(new_items) < len(items):
-            raise ValueError(f"{path} contains a name twice")
+            raise ValueError(f"{path} gives a name twice")
         kept = (
             [new_items.pop(_optional_name(item) or "", item) for item in old] if isinstance(old, list) else []
         )
@@ -241,5 +241,5 @@
 def _required_name(item: Fields, path: str) -> str:
     name = item.get("name")
     if not isinstance(name, str):
-        raise ValueError(f"{path} contains an item without a name")
+        raise ValueError(f"{path} holds an item without a name")
     return name
--- a/latchspoke/controlplane/calls.py
+++ b/latchspoke/controlplane/calls.py
@@ -51,9 +51,9 @@
     try:
         request = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
-        raise InvalidRequestError(f"the body is not valid JSON: {error}") from None
+        raise InvalidRequestError(f"it can't be read whole: {error}") from None
     if not isinstance(request, dict):
-        raise InvalidRequestError("the body is not a JSON object")
+        raise InvalidRequestError("it is no object")
     try:
         new_version, base_version = (
             parse_version(request.get("version", "")),
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -409,7 +409,7 @@
         call = parse_call(method, target)
         handler = self.handlers.get(call.name)
         if handler is None:
-            return 404, {"errorText": f"unknown call: {method} {target[:100]}"}
+            return 404, {"errorText": f"no such call: {method} {target[:100]}"}
         return handler(call, body, caller)
 
     def resolve_gateways(self, call: ApiCall) -> Response:
@@ -475,7 +475,7 @@
         """Acknowledge a server's change once a majority of the control-plane nodes has it."""
         if await self.replicate(entry):
             return 200, {}
-        return 503, {"errorText": "not yet replicated to a majority of the control-plane nodes"}
+        return 503, {"errorText": "no majority of the control machines knows of it yet"}
 
     def handle_deregistration(self, instance_id: str) -> Awaitable[Response]:
         """Handle a server's deregistration."""
@@ -489,7 +489,7 @@
     async def handle_configuration(self, body: bytes) -> Response:
         """Handle a full configuration or a patch."""
         if self.stopping:
-            return 503, {"errorText": "shutting down"}
+            return 503, {"errorText": "stops"}
         for _ in range(MAX_CHECK_ATTEMPTS):
             try:
                 command, faults = self.parse_command(body)
@@ -571,13 +571,11 @@
         if await self.replica.confirm_read(STORE_TIMEOUT_S) is None:
             return 503, {"errorText": "no majority can be reached"}
         if caller.gone:
-            return 503, {"errorText": "the caller has disconnected"}
+            return 503, {"errorText": "the caller has left"}
         stored, ack_s = self.replica.state, self.settings.bound("ackS", DEFAULT_ACK_TIMEOUT_S)
         call_kind = self.evacuations.classify(zone, is_begin, stored, ack_s, self.clock.now())
         if call_kind is CallKind.UNCLEAR:
-            return 503, {
-                "errorText": "another evacuation of this zone ended a moment ago: send the call again"
-            }
+            return 503, {"errorText": "another evacuation of it was taken back a moment ago: send it again"}
         command: dict[str, Any] = {"do": "evacuate" if is_begin else "restore", "zone": zone}
         if call_kind is CallKind.ANOTHER:
             command["stand"] = stored.evacuation_count(zone)
--- a/latchspoke/dataplane/explain.py
+++ b/latchspoke/dataplane/explain.py
@@ -35,13 +35,13 @@
 def read_explain_request(body: object) -> ExplainRequest:
     """Parse an explain request. Raises ExplainRequestError."""
     if not isinstance(body, dict):
-        raise ExplainRequestError("an object with host and path is required")
+        raise ExplainRequestError("an object with host and path is asked for")
     fields = {name: body.get(name) or "" for name in ("host", "path", "tenant", "key", "caller")}
     for name, value in fields.items():
         if not isinstance(value, str):
-            raise ExplainRequestError(f"{name} must be a string")
+            raise ExplainRequestError(f"{name} must be a text")
     if not fields["host"] or not fields["path"]:
-        raise ExplainRequestError("host and path are required")
+        raise ExplainRequestError("host and path are asked for")
     return ExplainRequest(**fields)
 
 
@@ -233,10 +233,10 @@
     """Derive outcome and reason from the collected evidence."""
     quota = result.get("quota")
     if quota is not None and not quota["fits"]:
-        return {"outcome": "429", "because": "the tenant's quota is used up"}
+        return {"outcome": "429", "because": "the tenant's room is used up"}
     if (caller := result.get("caller")) and caller["id"]:
         because = (
-            f"{caller['service']}: caller {caller['caller']!r} is bound to {caller['id']}: {caller['why']}"
+            f"{caller['service']}: caller {caller['caller']!r} is kept at {caller['id']}: {caller['why']}"
         )
         return {"outcome": "forwarded", "because": because}
     available = {
--- a/latchspoke/dataplane/session_affinity.py
+++ b/latchspoke/dataplane/session_affinity.py
@@ -510,9 +510,9 @@
         table = self.node.downstream.table
         configured = table.routes.get(route) if table is not None else None
         if not affinity_travels or configured is None or configured.affinity is None or upstream is None:
-            return 400, {"errorText": "no such route with travelling affinity, or no such server"}
+            return 400, {"errorText": "no such route that travels, or no such server"}
         if not any(upstream.service == service for service, _ in configured.split):
-            return 400, {"errorText": f"{server_id} is not a server of that route"}
+            return 400, {"errorText": f"{server_id} is no server of that route"}
         allowed_regions = frozenset(self.home_regions(route, tenant)) or None
         berths = self.dispatcher.affinity
         reason = (
@@ -544,7 +544,7 @@
                     number="/".join(map(str, result.record.version)),
                 )
                 return 200, {"moved": record_fields(result.record)}
-        return 503, {"errorText": f"the record is unavailable now: {result.status}"}
+        return 503, {"errorText": f"the record can't be had now: {result.status}"}
 
     async def run_for_operator(self, action: Callable[[str, float], list[StoreOutput]]) -> Told:
         """Run an action on the record store and wait for its result."""
--- a/latchspoke/dataplane/view.py
+++ b/latchspoke/dataplane/view.py
@@ -211,7 +211,7 @@
         fields: dict[str, str] = msgspec.json.decode(body, type=dict[str, str])
         route, tenant, caller = fields["route"], fields.get("tenant", ""), fields["caller"]
     except (KeyError, msgspec.DecodeError) as error:
-        return 400, {"errorText": f"route and caller are required, as strings: {error}"}
+        return 400, {"errorText": f"route and caller are asked for, as texts: {error}"}
     if fields.get("to"):
         return affinity.move_caller(route, tenant, caller, fields["to"])
     return 200, affinity.record_view(route, tenant, caller)
--- a/latchspoke/reach/endpoint.py
+++ b/latchspoke/reach/endpoint.py
@@ -25,7 +25,7 @@
         raise QueryError(f"{unknown[0][:40]!r} is none of since, service, server")
     window_s = read_decimal(fields["since"].encode()) if "since" in fields else DEFAULT_WINDOW_S
     if window_s is None or not 0 < window_s <= RETENTION_S:
-        raise QueryError(f"since must be a number of seconds above 0, up to {RETENTION_S:g}")
+        raise QueryError(f"since is a number of seconds over 0, up to {RETENTION_S:g}")
     return window_s, fields.get("service", ""), fields.get("server", "")
 
 
--- a/latchspoke/registry/registry.py
+++ b/latchspoke/registry/registry.py
@@ -87,7 +87,7 @@
 def parse_heartbeat(instance_id: str, body: object, now: float) -> Entry:
     """The entry for a heartbeat that arrived at ``now``. Raises HeartbeatError."""
     if not isinstance(body, dict) or not instance_id:
-        raise HeartbeatError("a heartbeat is a JSON object, with the instance ID in the path")
+        raise HeartbeatError("a beat is an object, and its id stands in the path")
     try:
         state = STATE_BY_NAME.get(body.get("state", "available"))
         if state is None:
@@ -95,7 +95,7 @@
         address = str(body["address"])
         host, _, port = address.rpartition(":")
         if not host or not 0 < int(port) < 65536:
-            raise HeartbeatError(f"address: {address!r} is not host:port")
+            raise HeartbeatError(f"address: {address!r} is no host:port")
         cold_remaining_s = float(body.get("coldRemainingS") or 0.0)
         slots = max(int(body.get("capacitySlots") or 1), 1)
         cold_until = now + cold_remaining_s if cold_remaining_s > 0 else -math.inf
@@ -105,7 +105,7 @@
             instance_id, service, address, zone, slots, state, sequence, cold_until, now, version=version
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise HeartbeatError(f"invalid heartbeat of {instance_id[:40]}: {error!r}") from None
+        raise HeartbeatError(f"a beat of {instance_id[:40]}: {error!r}") from None
 
 
 class Registry:
--- a/latchspoke/transport/http_server.py
+++ b/latchspoke/transport/http_server.py
@@ -87,7 +87,7 @@
 
     def reject_malformed(self) -> None:
         """Answer 400 and close."""
-        self.respond(400, {"errorText": "malformed HTTP request"}, False)
+        self.respond(400, {"errorText": "no HTTP request"}, False)
 
     def on_message_begin(self) -> None:
         """Reset the state for a new call."""
@@ -127,7 +127,7 @@
         try:
             result = self.handler(method, target, body, self)
         except Exception as error:
-            self.respond(503, {"errorText": f"call failed: {error!r}"}, False)
+            self.respond(503, {"errorText": f"this call failed: {error!r}"}, False)
             raise
         if isinstance(result, tuple):
             self.respond(*result, keep_alive)
@@ -141,7 +141,7 @@
         try:
             status, body = await result
         except Exception as error:
-            status, body, keep_alive = 503, {"errorText": f"call failed: {error!r}"}, False
+            status, body, keep_alive = 503, {"errorText": f"this call failed: {error!r}"}, False
         self.response_task = None
         self.respond(status, body, keep_alive)
         while self.queue and keep_alive and self.response_task is None:
--- a/tests/ctl/test_views.py
+++ b/tests/ctl/test_views.py
@@ -93,7 +93,7 @@
     assert ask(node, host="a.example", path="/read/", key="nobody's")["outcome"] == "401"
     assert ask(node, host="b.example", path="/read/")["because"] == "no route has this host"
     status, fault = node.handle_query("POST", "/explain", b'{"host":"a.example"}')
-    assert (status, fault["errorText"]) == (400, "host and path are required")
+    assert (status, fault["errorText"]) == (400, "host and path are asked for")
 
 
 def test_a_request_is_explained_by_a_configuration_alone() -> None:
