--- a/benchmarks/affinity_system.py
+++ b/benchmarks/affinity_system.py
@@ -21,8 +21,8 @@
 from barleyhub.affinity.rendezvous import NO_ORIGIN, Caller
 from barleyhub.affinity.selection import AffinitySelector
 from benchmarks.system_days import HEADS, SINCE, STATE, Sums, callers_day
-from latchspoke.lab.system.day import Play, Played
-from latchspoke.lab.system.records import Callers, Day, Deployment, Trouble, read
+from latchspoke.lab.system.day import DayResult, DaySimulation
+from latchspoke.lab.system.scenario import CallerSettings, Day, Deployment, Trouble, read_deployment
 
 COUNT = 120  # callers of a route
 BUSY = 1.6  # times the usual load
@@ -41,7 +41,7 @@
     }  # fmt: skip
 
 
-class Watched(Play):
+class Watched(DaySimulation):
     """Compares all gateways at each choice."""
 
     asked = apart = alike = 0  # choices; of them where gateways differ; of these, knowing of the same set
@@ -77,7 +77,7 @@
     return pick(berths, caller, service, homes, tried, now)
 
 
-def cold(played: Played) -> list[tuple[float, bool]]:
+def cold(played: DayResult) -> list[tuple[float, bool]]:
     """Of all that ran since ``SINCE``: when, and whether it was cold."""
     seen: dict[tuple[str, str], float] = {}
     found = []
@@ -86,7 +86,7 @@
             known = arrival.at - seen.get((arrival.server, arrival.path), -1e9) < STATE
             seen[arrival.server, arrival.path] = arrival.at
             found.append((arrival.at - played.deployment.lead, not known))
-    return [(at, new) for at, new in found if SINCE < at < played.end - played.deployment.lead]
+    return [(at, new) for at, new in found if SINCE < at < played.traffic_end - played.deployment.lead]
 
 
 def rates(found: list[tuple[float, bool]], seeds: int, until: float) -> str:
@@ -99,7 +99,7 @@
 
 
 def main() -> None:
-    deployment, seeds = read(sys.argv[1]), int(sys.argv[2]) if len(sys.argv) > 2 else 2
+    deployment, seeds = read_deployment(sys.argv[1]), int(sys.argv[2]) if len(sys.argv) > 2 else 2
     names = sys.argv[3].split(",") if len(sys.argv) > 3 else list(days(deployment, 0))
     table = Table("day", "routes", "cold", "cold a s", *HEADS, "other at another gateway", box=None)
     for name in names:
@@ -110,7 +110,9 @@
             sums, found = Sums(), list[tuple[float, bool]]()
             Watched.asked = Watched.apart = Watched.alike = 0
             with patch.object(AffinitySelector, "pick", compared):
-                for played in callers_day(busy, Callers(COUNT, way=way), days, name, seeds, sums, Watched):
+                for played in callers_day(
+                    busy, CallerSettings(COUNT, way=way), days, name, seeds, sums, Watched
+                ):
                     found += cold(played)
             share = f"{sum(new for _, new in found) / len(found):.1%}"
             a_second = rates(found, seeds, busy.length) if busy is not deployment else ""
--- a/benchmarks/travel_system.py
+++ b/benchmarks/travel_system.py
@@ -21,8 +21,8 @@
 
 from benchmarks.system_days import HEADS, SINCE, STATE, Sums, callers_day
 from latchspoke.dataplane.session_affinity import SessionAffinity
-from latchspoke.lab.system.day import Played
-from latchspoke.lab.system.records import Callers, Day, Deployment, Trouble, read
+from latchspoke.lab.system.day import DayResult
+from latchspoke.lab.system.scenario import CallerSettings, Day, Deployment, Trouble, read_deployment
 from latchspoke.transport.netstring import encode_frame
 
 COUNT, PER_S = 60, 75.0  # callers of a route; requests a second at most
@@ -53,14 +53,16 @@
         self.kept: dict[bool, list[int]] = {True: [0, 0], False: [0, 0]}
         self.waits: dict[bool, list[float]] = {True: [], False: []}
 
-    def add(self, played: Played) -> None:
+    def add(self, played: DayResult) -> None:
         record = played.record
-        leaves = {leaving.server: leaving.said for leaving in record.leavings}
-        runs = sorted((a for a in record.arrivals if a.ran and a.ident in record.tries), key=lambda a: a.at)
+        leaves = {leaving.server: leaving.started_at for leaving in record.drains}
+        runs = sorted(
+            (a for a in record.arrivals if a.ran and a.ident in record.attempts), key=lambda a: a.at
+        )
         alive = {a.server: a.at for a in runs}  # at least so long
         last: dict[str, tuple[str, frozenset[str], str, float]] = {}  # try, servers, gateway, when
         for run in runs:
-            attempt = record.tries[run.ident]
+            attempt = record.attempts[run.ident]
             ident, servers, gateway, when = last.get(run.path, ("", frozenset[str](), "", -math.inf))
             if ident == run.ident:  # tried again at another server by its gateway: it may be at either
                 last[run.path] = ident, servers | {run.server}, gateway, when
@@ -94,7 +96,7 @@
 
 
 def main() -> None:
-    deployment, seeds = read(sys.argv[1]), int(sys.argv[2]) if len(sys.argv) > 2 else 2
+    deployment, seeds = read_deployment(sys.argv[1]), int(sys.argv[2]) if len(sys.argv) > 2 else 2
     names = sys.argv[3].split(",") if len(sys.argv) > 3 else list(days(deployment, 0))
     shares = [float(x) for x in sys.argv[4].split(",")] if len(sys.argv) > 4 else SHARES
     heads = "first kept", "first wait ms: median, 95th, 99th", "later kept", "later wait ms", *HEADS
@@ -106,11 +108,11 @@
             for way in WAYS:
                 sums, seen, tries = Sums(), Seen(), 0
                 letters.clear()
-                callers = Callers(COUNT, share, way)
+                callers = CallerSettings(COUNT, share, way)
                 with patch.object(SessionAffinity, "send", counted):
                     for played in callers_day(deployment, callers, days, name, seeds, sums):
                         seen.add(played)
-                        tries += sum(bool(t.exchange) for t in played.record.tries.values())
+                        tries += sum(bool(t.exchange) for t in played.record.attempts.values())
                 refused = sum(n for c, n in sums.stats.items() if c.startswith("travel.refused_"))
                 stats = [str(sums.stats[f"travel.{c}"]) for c in ("looks", "moves", "misses")]
                 cells = *seen.cells(), *sums.cells(), ", ".join([*stats, str(refused)])
--- a/latchspoke/lab/system/__main__.py
+++ b/latchspoke/lab/system/__main__.py
@@ -18,38 +18,38 @@
 
 from latchspoke.lab.system import hunt as hunting
 from latchspoke.lab.system import report
-from latchspoke.lab.system.day import play
-from latchspoke.lab.system.guards import GUARDS, without
-from latchspoke.lab.system.records import (
+from latchspoke.lab.system.day import run_day
+from latchspoke.lab.system.guards import GUARDS, without_guard
+from latchspoke.lab.system.rules import judge
+from latchspoke.lab.system.scenario import (
     Day,
     Deployment,
-    RecordError,
+    ScenarioError,
     draw_day,
     draw_deployment,
     draw_losses,
     draw_stutter,
-    read,
     read_day,
+    read_deployment,
 )
-from latchspoke.lab.system.rules import judge
 
 app = cyclopts.App(name="system", help=__doc__)
 console = Console(highlight=False, soft_wrap=True)
 
 
-def deployment_of(text: str) -> Deployment:
-    return draw_deployment(int(text)) if text.isdigit() else read(text)
+def load_deployment(text: str) -> Deployment:
+    return draw_deployment(int(text)) if text.isdigit() else read_deployment(text)
 
 
-def day_of(deployment: Deployment, seed: int, day: str, quiet: bool, more: int) -> Day:
+def load_day(deployment: Deployment, seed: int, day: str, quiet: bool, more: int) -> Day:
     if day:
         return read_day(day)
     return Day(seed) if quiet else draw_day(deployment, seed, more)
 
 
-def known(guard: str) -> str:
+def checked_guard(guard: str) -> str:
     if guard and guard not in GUARDS:
-        raise RecordError(f"--without: there is no {guard}; there are {', '.join(sorted(GUARDS))}")
+        raise ScenarioError(f"--without: there is no {guard}; there are {', '.join(sorted(GUARDS))}")
     return guard
 
 
@@ -65,29 +65,32 @@
 
     --without takes a guard of the programs out; --out writes a report with pictures.
     """
-    place = deployment_of(deployment)
-    chosen = day_of(place, seed, day, quiet, more)
-    with Progress(console=Console(stderr=True), disable=json, transient=True) as bar, without(known(guard)):
-        task = bar.add_task(place.name, total=1.0)
-        played = play(place, chosen, lambda share: bar.update(task, completed=share))
-    findings = judge(played)
-    outcome = hunting.sum_up(played, findings)
+    loaded = load_deployment(deployment)
+    loaded_day = load_day(loaded, seed, day, quiet, more)
+    with (
+        Progress(console=Console(stderr=True), disable=json, transient=True) as bar,
+        without_guard(checked_guard(guard)),
+    ):
+        task = bar.add_task(loaded.name, total=1.0)
+        result = run_day(loaded, loaded_day, lambda share: bar.update(task, completed=share))
+    findings = judge(result)
+    outcome = hunting.summarize(result, findings)
     if out:
-        report.write(Path(out), played, findings, outcome)
+        report.write(Path(out), result, findings, outcome)
     if json:
         print(msgspec.json.encode(outcome).decode())
     else:
-        for trouble in chosen.troubles:
+        for trouble in loaded_day.troubles:
             console.print(f"  {trouble}")
         for finding in findings:
             console.print(str(finding), style="red")
-        console.print(told(outcome))
+        console.print(format_outcome(outcome))
         if out:
             console.print(f"{out}/report.html")
     return int(bool(findings))
 
 
-def told(outcome: hunting.Outcome) -> str:
+def format_outcome(outcome: hunting.Outcome) -> str:
     refused = ", ".join(f"{name}: {count}" for name, count in outcome.refusals.items())
     return (
         f"{outcome.deployment} seed {outcome.day.seed}: worth {outcome.worth:.3f},"
@@ -110,21 +113,21 @@
     With --drawn each day is one of a deployment of its own, drawn by the day's seed. --more gives each day so
     many further troubles.
     """
-    known(guard)
+    checked_guard(guard)
     seeds = range(seed, seed + days)
     if losses or stutter:
-        place, theme = deployment_of(deployment), draw_stutter if stutter else draw_losses
-        pairs = [(place, theme(place, n)) for n in seeds]
+        loaded, draw_themed = load_deployment(deployment), draw_stutter if stutter else draw_losses
+        pairs = [(loaded, draw_themed(loaded, n)) for n in seeds]
     elif drawn:
-        pairs = [(place, draw_day(place, n, more)) for n in seeds for place in [draw_deployment(n)]]
+        pairs = [(loaded, draw_day(loaded, n, more)) for n in seeds for loaded in [draw_deployment(n)]]
     else:
-        pairs = hunting.days(deployment_of(deployment), seeds, more)
+        pairs = hunting.draw_days(load_deployment(deployment), seeds, more)
     began, bad, spent, worth = time.monotonic(), [], 0.0, 0.0
     for outcome in hunting.hunt(pairs, guard, processes):
         spent, worth = spent + outcome.seconds, worth + outcome.worth
         if outcome.findings:
             bad.append(outcome)
-            console.print(told(outcome))
+            console.print(format_outcome(outcome))
             for finding in outcome.findings[:3]:
                 console.print(f"    {finding}", style="red")
     console.print(
@@ -135,13 +138,13 @@
     if not bad:
         return 0
     first = min(bad, key=lambda outcome: outcome.day.seed)
-    place = next(p for p, day in pairs if day.seed == first.day.seed)
-    tell_shortest(place, first.day, first.findings[0].rule, guard)
+    loaded = next(p for p, day in pairs if day.seed == first.day.seed)
+    print_shortest(loaded, first.day, first.findings[0].rule, guard)
     return 1
 
 
-def tell_shortest(place: Deployment, day: Day, rule: str, guard: str) -> None:
-    shortest = hunting.shorten(place, day, rule, guard)
+def print_shortest(loaded: Deployment, day: Day, rule: str, guard: str) -> None:
+    shortest = hunting.shorten(loaded, day, rule, guard)
     console.print(f"seed {day.seed} breaks {rule} with these alone; as a file for --day:")
     console.print(f"seed = {shortest.seed}\nload = {shortest.load}\ntroubles = [")
     for trouble in shortest.troubles:
@@ -161,20 +164,20 @@
 
     --who ID tells the story of one request, server or machine in place of the findings'.
     """
-    place = deployment_of(deployment)
-    chosen = day_of(place, seed, day, False, more)
-    with without(known(guard)):
-        played = play(place, chosen)
-    findings = judge(played)
+    loaded = load_deployment(deployment)
+    loaded_day = load_day(loaded, seed, day, False, more)
+    with without_guard(checked_guard(guard)):
+        result = run_day(loaded, loaded_day)
+    findings = judge(result)
     for finding in findings[:5]:
         console.print(str(finding), style="red")
-        for line in report.story(played, who or finding.who, finding.at, window):
+        for line in report.story_lines(result, who or finding.who, finding.at, window):
             console.print(f"    {line}")
     if who and not findings:
-        for line in report.story(played, who, 0.0, 1e9):
+        for line in report.story_lines(result, who, 0.0, 1e9):
             console.print(f"    {line}")
     if findings:
-        tell_shortest(place, chosen, findings[0].rule, guard)
+        print_shortest(loaded, loaded_day, findings[0].rule, guard)
     else:
         console.print("no rule is broken")
     return int(bool(findings))
@@ -190,24 +193,24 @@
     """
     from latchspoke.lab.system import size as sizing
 
-    place = deployment_of(deployment)
-    for many in [int(text) for text in gateways.split(",") if text] or [0]:
-        found = sizing.measure(sizing.resized(place, many) if many else place, seed, seconds)
+    loaded = load_deployment(deployment)
+    for count in [int(text) for text in gateways.split(",") if text] or [0]:
+        measured = sizing.measure(sizing.with_gateways(loaded, count) if count else loaded, seed, seconds)
         if json:
-            print(msgspec.json.encode(msgspec.to_builtins(found)).decode(), flush=True)
+            print(msgspec.json.encode(msgspec.to_builtins(measured)).decode(), flush=True)
             continue
         console.print(
-            f"{found.gateways} gateways, {found.cores} control machines, {found.servers} servers,"
-            f" {found.per_s:.0f} requests/s, served {found.served:.3f}"
+            f"{measured.gateways} gateways, {measured.cores} control machines, {measured.servers} servers,"
+            f" {measured.per_s:.0f} requests/s, served {measured.served:.3f}"
         )
-        for kind, messages, octets, between, formula in sizing.rows(found):
-            beside = "" if formula is None else f"   by the formula {formula:10.0f}"
-            told = f"{octets:11.0f} bytes/s, {between:9.0f} between regions"
-            console.print(f"  {kind:20} {messages:9.1f} messages/s {told}{beside}")
+        for kind, messages, byte_count, cross_region, formula in sizing.rows(measured):
+            formula_text = "" if formula is None else f"   by the formula {formula:10.0f}"
+            traffic_text = f"{byte_count:11.0f} bytes/s, {cross_region:9.0f} between regions"
+            console.print(f"  {kind:20} {messages:9.1f} messages/s {traffic_text}{formula_text}")
         for kind in ("edge", "core"):
             console.print(
-                f"  own messages at one {kind}: {found.mean[kind]:.0f} bytes/s out and in,"
-                f" at most {found.worst[kind]:.0f}"
+                f"  own messages at one {kind}: {measured.mean[kind]:.0f} bytes/s out and in,"
+                f" at most {measured.worst[kind]:.0f}"
             )
     return 0
 
@@ -216,7 +219,7 @@
     words = sys.argv[1:] if argv is None else argv
     try:
         return int(app(words, result_action="return_value") or 0)
-    except RecordError as e:
+    except ScenarioError as e:
         print(f"latchspoke lab system: {e}", file=sys.stderr)
         return 2
 
--- a/latchspoke/lab/system/callers.py
+++ b/latchspoke/lab/system/callers.py
@@ -14,191 +14,219 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from latchspoke.lab.system.clients import Client, Crowd, Errand, Line
-from latchspoke.lab.system.record import Doc, Exchange, Record, Try, Wish
-from latchspoke.lab.system.records import Callers, Deployment, Kind
+from latchspoke.lab.system.clients import Client, ClientConnection, ClientPopulation, PendingRequest
+from latchspoke.lab.system.day_record import Attempt, ClientRequest, DayRecord, Doc, Exchange
+from latchspoke.lab.system.scenario import CallerSettings, Deployment, RequestKind
 from latchspoke.lab.virtual import Address
 
-ASK = "/exchange/"  # where servers say what became of a try
-TRIES = 12  # of one exchange at most
-MOVES, LEAVES = 0.5, 0.2  # chance that a traveller goes elsewhere, between requests and in the midst of one
-PATIENCE = (0.01, 0.4)  # s until it leaves in the midst
+EXCHANGE_STATE_PATH = "/exchange/"  # where servers say what became of a try
+MAX_ATTEMPTS = 12  # of one exchange at most
+MOVE_CHANCE, ABANDON_CHANCE = (
+    0.5,
+    0.2,
+)  # chance that a traveller goes elsewhere, between requests and in the midst of one
+ABANDON_DELAY_S = (0.01, 0.4)  # s until it leaves in the midst
 DONE, UNKNOWN = "done", "unknown"  # how an exchange ended for its caller
 
 
-def affinity_of(callers: Callers) -> Doc | None:
+def affinity_settings(callers: CallerSettings) -> Doc | None:
     """What the routes ask for."""
     if callers.way == "today":
         return None
-    kept: Doc = {"callerFrom": ["path:2"], "exchangeS": 0 if callers.way == "kept" else callers.exchange_s}
+    settings: Doc = {
+        "callerFrom": ["path:2"],
+        "exchangeS": 0 if callers.way == "kept" else callers.exchange_s,
+    }
     if callers.way in ("travels", "strict"):
-        kept["travels"] = {"lookUpS": callers.look_s, "exchangeFrom": "header:X-Exchange"}
+        settings["travels"] = {"lookUpS": callers.look_s, "exchangeFrom": "header:X-Exchange"}
         if callers.way == "strict":
-            kept["travels"] |= {"whenLost": "refuse"} | ({"askPath": ASK} if callers.ask else {})
-    return kept
+            settings["travels"] |= {"whenLost": "refuse"} | (
+                {"askPath": EXCHANGE_STATE_PATH} if callers.ask else {}
+            )
+    return settings
 
 
 @dataclass(eq=False)
-class Phone(Client):
+class CallerClient(Client):
     """One caller in one zone; it stays with a gateway while that is told of and answers."""
 
-    guide: Client | None = None  # who looks gateways up for it
-    at: Address | None = None
+    resolver: Client | None = None  # who looks gateways up for it
+    gateway: Address | None = None
 
-    def located(self, then: Callable[[], None]) -> None:
-        assert self.guide is not None
-        guide = self.guide
+    def with_addresses(self, callback: Callable[[], None]) -> None:
+        assert self.resolver is not None
+        resolver = self.resolver
 
-        def told() -> None:
-            self.addresses = guide.addresses
-            then()
+        def resolved() -> None:
+            self.addresses = resolver.addresses
+            callback()
 
-        guide.located(told)
+        resolver.with_addresses(resolved)
 
-    def pick(self) -> Address | None:
+    def choose_gateway(self) -> Address | None:
         now = self.now
-        good = [a for a in self.addresses if now - self.failed.get(a, -1e9) > 3.0] or self.addresses
-        if self.at not in good:
-            self.at = self.crowd.draw.choice(good) if good else None
-        return self.at
+        healthy = [a for a in self.addresses if now - self.failed_at.get(a, -1e9) > 3.0] or self.addresses
+        if self.gateway not in healthy:
+            self.gateway = self.population.rng.choice(healthy) if healthy else None
+        return self.gateway
 
 
 @dataclass(eq=False)
-class Member:
+class Caller:
     """A caller of one kind of request."""
 
     number: int
-    kind: Kind
+    kind: RequestKind
     tenant: str
     zone: str
     travels: bool
-    phones: dict[str, Phone] = field(default_factory=dict)
+    clients: dict[str, CallerClient] = field(default_factory=dict)
     busy: bool = False
-    serial: int = 0
+    exchange_count: int = 0
 
 
-class Journey(Errand):
+class PendingExchange(PendingRequest):
     """One exchange of a caller's, over its tries, wherever they are made."""
 
-    def __init__(self, crowd: Travellers, member: Member, wish: Wish, host: str, path: str, key: str) -> None:
-        body = crowd.draw.randbytes(member.kind.body) if member.kind.body else b""
-        super().__init__(crowd.phone(member), member.kind, wish, host, path, key, body)
-        self.travellers, self.member = crowd, member
-        member.serial += 1
-        member.busy = True
+    def __init__(
+        self,
+        population: CallerPopulation,
+        caller: Caller,
+        request: ClientRequest,
+        host: str,
+        path: str,
+        key: str,
+    ) -> None:
+        body = population.rng.randbytes(caller.kind.body) if caller.kind.body else b""
+        super().__init__(population.client_of(caller), caller.kind, request, host, path, key, body)
+        self.population, self.caller = population, caller
+        caller.exchange_count += 1
+        caller.busy = True
         # Only where gateways hold the record is it safe to ask again for what may not be repeated.
-        self.guarded = crowd.callers.way == "strict" and not member.kind.repeatable
-        self.left = TRIES
-        self.exchange = Exchange(f"{path[1:].replace('/', '-')}-{member.serial}", member.kind.repeatable)
-        crowd.record.exchanges[self.exchange.ident] = self.exchange
-        self.more = f"X-Exchange: {self.exchange.ident}\r\n"
-
-    def send(self, line: Line) -> None:
-        super().send(line)
-        attempt, draw = self.now_on, self.travellers.draw
-        if attempt is None or line.at_work is not self:
+        self.recorded = population.settings.way == "strict" and not caller.kind.repeatable
+        self.retries_left = MAX_ATTEMPTS
+        self.exchange = Exchange(
+            f"{path[1:].replace('/', '-')}-{caller.exchange_count}", caller.kind.repeatable
+        )
+        population.record.exchanges[self.exchange.ident] = self.exchange
+        self.extra_headers = f"X-Exchange: {self.exchange.ident}\r\n"
+
+    def send(self, connection: ClientConnection) -> None:
+        super().send(connection)
+        attempt, rng = self.current_attempt, self.population.rng
+        if attempt is None or connection.current_request is not self:
             return
         attempt.exchange = self.exchange.ident
-        self.exchange.tries.append(attempt.ident)
-        if self.member.travels and draw.random() < LEAVES:
-            self.client.loop.world.after(draw.uniform(*PATIENCE), self.leave, attempt, line)
+        self.exchange.attempts.append(attempt.ident)
+        if self.caller.travels and rng.random() < ABANDON_CHANCE:
+            self.client.loop.scheduler.after(rng.uniform(*ABANDON_DELAY_S), self.abandon, attempt, connection)
 
-    def leave(self, attempt: Try, line: Line) -> None:
+    def abandon(self, attempt: Attempt, connection: ClientConnection) -> None:
         """It is on the move, and its connection with it."""
-        if self.now_on is attempt and line.at_work is self and not self.over:
-            line.at_work = None
-            line.drop()
-            self.again(self.guarded or self.kind.repeatable, 0.02)
+        if self.current_attempt is attempt and connection.current_request is self and not self.finished:
+            connection.current_request = None
+            connection.close()
+            self.retry(self.recorded or self.kind.repeatable, 0.02)
 
-    def again(self, may: bool, pause: float) -> None:
-        attempt = self.now_on
+    def retry(self, allowed: bool, pause: float) -> None:
+        attempt = self.current_attempt
         status = attempt.status if attempt is not None else 0
-        if self.guarded and status in (-1, 502, 504):
-            may, pause = True, max(pause, 0.1)
-        if self.member.travels and self.travellers.draw.random() < MOVES:
-            self.travellers.move(self.member)
-            self.client = self.travellers.phone(self.member)
-        super().again(may, pause)
-
-    def answered(self, status: int, headers: dict[bytes, bytes], body: bytes, line: Line | None) -> None:
+        if self.recorded and status in (-1, 502, 504):
+            allowed, pause = True, max(pause, 0.1)
+        if self.caller.travels and self.population.rng.random() < MOVE_CHANCE:
+            self.population.move(self.caller)
+            self.client = self.population.client_of(self.caller)
+        super().retry(allowed, pause)
+
+    def response_received(
+        self, status: int, headers: dict[bytes, bytes], body: bytes, connection: ClientConnection | None
+    ) -> None:
         if status == 409:
             state = headers.get(b"x-exchange-state", b"").decode()
             name = headers.get(b"x-exchange", b"").decode()
-            if state == UNKNOWN and name in self.travellers.record.exchanges:
-                self.travellers.record.exchanges[name].unknown += 1
+            if state == UNKNOWN and name in self.population.record.exchanges:
+                self.population.record.exchanges[name].unknown_answers += 1
             if name == self.exchange.ident:
-                self.exchange.ended = DONE if state == "run" else UNKNOWN
+                self.exchange.outcome = DONE if state == "run" else UNKNOWN
                 status = 200 if state == "run" else 400  # the end of it, either way
-                super().answered(status, headers, body, line)
-                if self.now_on is not None:
-                    self.now_on.status = 409
+                super().response_received(status, headers, body, connection)
+                if self.current_attempt is not None:
+                    self.current_attempt.status = 409
                 return
         if 200 <= status < 300:
-            self.exchange.ended = DONE
-        super().answered(status, headers, body, line)
+            self.exchange.outcome = DONE
+        super().response_received(status, headers, body, connection)
 
     def finish(self) -> None:
-        self.member.busy = False
+        self.caller.busy = False
         super().finish()
 
 
-class Travellers(Crowd):
+class CallerPopulation(ClientPopulation):
     """All clients, where each request is a caller's."""
 
     def __init__(self, deployment: Deployment, *others: Any) -> None:
         super().__init__(deployment, *others)
         assert deployment.callers is not None
-        self.callers = deployment.callers
+        self.settings = deployment.callers
         zones, tenants = list(deployment.zones), self.plan.shares
-        self.members: dict[tuple[str, str], list[Member]] = defaultdict(list)
-        draw = random.Random(f"callers:{deployment.name}")
+        self.callers_by_zone: dict[tuple[str, str], list[Caller]] = defaultdict(list)
+        rng = random.Random(f"callers:{deployment.name}")
         for kind in deployment.kinds:
-            for number in range(self.callers.count):
-                (tenant,) = draw.choices(list(tenants), list(tenants.values()))
+            for number in range(self.settings.count):
+                (tenant,) = rng.choices(list(tenants), list(tenants.values()))
                 # Each zone has its part of them.
                 travels = number // len(zones) * len(zones) < round(
-                    self.callers.count * self.callers.travelling
+                    self.settings.count * self.settings.travelling
                 )
-                member = Member(number, kind, tenant, zones[number % len(zones)], travels)
-                self.members[member.zone, kind.name].append(member)
+                caller = Caller(number, kind, tenant, zones[number % len(zones)], travels)
+                self.callers_by_zone[caller.zone, kind.name].append(caller)
 
-    def phone(self, member: Member) -> Phone:
+    def client_of(self, caller: Caller) -> CallerClient:
         """The caller where it is now."""
-        found = member.phones.get(member.zone)
-        if found is None:
-            those = self.clients[member.zone]
-            guide = those[member.number % len(those)]
-            found = member.phones[member.zone] = Phone(
-                self, member.zone, guide.host, guide.loop, 1.0, False, guide=guide
+        client = caller.clients.get(caller.zone)
+        if client is None:
+            zone_clients = self.clients[caller.zone]
+            resolver = zone_clients[caller.number % len(zone_clients)]
+            client = caller.clients[caller.zone] = CallerClient(
+                self, caller.zone, resolver.host, resolver.loop, 1.0, False, resolver=resolver
             )
-        return found
+        return client
 
-    def move(self, member: Member) -> None:
-        member.zone = self.draw.choice([z for z in self.deployment.zones if z != member.zone])
+    def move(self, caller: Caller) -> None:
+        caller.zone = self.rng.choice([z for z in self.deployment.zones if z != caller.zone])
 
-    def wishes(self, zone: str, kind: Kind) -> None:
-        draw = self.draw
-        free = [member for member in self.members[zone, kind.name] if not member.busy]
-        if not free:
+    def start_request(self, zone: str, kind: RequestKind) -> None:
+        rng = self.rng
+        idle_callers = [caller for caller in self.callers_by_zone[zone, kind.name] if not caller.busy]
+        if not idle_callers:
             return
-        member = draw.choice(free)
-        if member.travels and draw.random() < MOVES:
-            self.move(member)
-        wish = Wish(kind.name, member.zone, member.tenant, self.network.world.now, kind.worth)
-        self.record.wishes.append(wish)
-        host, _, key = self.plan.address(draw, kind, member.tenant)
-        Journey(self, member, wish, host, f"/{kind.name}/{member.number:x}", key).begin()
+        caller = rng.choice(idle_callers)
+        if caller.travels and rng.random() < MOVE_CHANCE:
+            self.move(caller)
+        request = ClientRequest(kind.name, caller.zone, caller.tenant, self.network.scheduler.now, kind.worth)
+        self.record.requests.append(request)
+        host, _, key = self.plan.address(rng, kind, caller.tenant)
+        PendingExchange(self, caller, request, host, f"/{kind.name}/{caller.number:x}", key).start()
 
 
-def strayed(record: Record) -> tuple[list[str], list[str]]:
+def find_exchange_errors(record: DayRecord) -> tuple[list[str], list[str]]:
     """Exchanges that may not be repeated: those run more often than once for each time that their caller was
     told that nobody knows, and those told as done that never ran."""
-    ran: dict[str, int] = defaultdict(int)
+    run_counts: dict[str, int] = defaultdict(int)
     for arrival in record.arrivals:
-        attempt = record.tries.get(arrival.ident)
+        attempt = record.attempts.get(arrival.ident)
         if arrival.ran and attempt is not None and attempt.exchange:
-            ran[attempt.exchange] += 1
-    once = [e for e in record.exchanges.values() if not e.repeatable]
-    doubled = [f"{e.ident} ran {ran[e.ident]} times" for e in once if ran[e.ident] > 1 + e.unknown]
-    lost = [f"{e.ident} never ran" for e in record.exchanges.values() if e.ended == DONE and not ran[e.ident]]
-    return doubled, lost
+            run_counts[attempt.exchange] += 1
+    non_repeatable = [e for e in record.exchanges.values() if not e.repeatable]
+    repeated = [
+        f"{e.ident} ran {run_counts[e.ident]} times"
+        for e in non_repeatable
+        if run_counts[e.ident] > 1 + e.unknown_answers
+    ]
+    never_run = [
+        f"{e.ident} never ran"
+        for e in record.exchanges.values()
+        if e.outcome == DONE and not run_counts[e.ident]
+    ]
+    return repeated, never_run
--- a/latchspoke/lab/system/clients.py
+++ b/latchspoke/lab/system/clients.py
@@ -12,25 +12,31 @@
 
 import httptools
 
-from latchspoke.lab.system.calls import Reply, ask
-from latchspoke.lab.system.network import Dial, End, Network, ProcessLoop, loop_of
-from latchspoke.lab.system.record import Record, Try, Wish
-from latchspoke.lab.system.records import Deployment, Kind
+from latchspoke.lab.system.day_record import Attempt, ClientRequest, DayRecord
+from latchspoke.lab.system.http_endpoints import Reply, start_call
+from latchspoke.lab.system.network import (
+    Network,
+    PendingConnection,
+    ProcessLoop,
+    StreamTransport,
+    new_process_loop,
+)
+from latchspoke.lab.system.scenario import Deployment, RequestKind
 from latchspoke.lab.virtual import Address
 
-HELD = 8.0  # s that a connection is kept idle
-UP = 1.0  # s for a new connection to come up
-FINAL = frozenset((400, 401, 404, 413, 431))
-PROMISED = frozenset((429, 503, 408, 421))
+IDLE_CONNECTION_S = 8.0  # s that a connection is kept idle
+CONNECT_TIMEOUT_S = 1.0  # s for a new connection to come up
+FINAL_STATUSES = frozenset((400, 401, 404, 413, 431))
+NOT_EXECUTED_STATUSES = frozenset((429, 503, 408, 421))
 
 
-class Line(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection."""
 
     def __init__(self, client: Client, gateway: Address) -> None:
         self.client, self.gateway = client, gateway
-        self.end: End | None = None
-        self.at_work: Errand | None = None
+        self.transport: StreamTransport | None = None
+        self.current_request: PendingRequest | None = None
         self.keep, self.idle_at = True, 0.0
         self.reset()
 
@@ -38,25 +44,29 @@
         self.parser = httptools.HttpResponseParser(self)
         self.headers: dict[bytes, bytes] = {}
         self.parts: list[bytes] = []
-        self.whole = False
+        self.complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, End)
-        self.end = transport
+        assert isinstance(transport, StreamTransport)
+        self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if self.at_work is None:
-            if data and not self.whole:
-                self.client.crowd.record.odd.append((self.client.now, self.gateway[0], repr(data[:60])))
-            self.drop()
+        if self.current_request is None:
+            if data and not self.complete:
+                self.client.population.record.unexpected_data.append(
+                    (self.client.now, self.gateway[0], repr(data[:60]))
+                )
+            self.close()
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.client.crowd.record.odd.append((self.client.now, self.gateway[0], repr(data[:60])))
+            self.client.population.record.unexpected_data.append(
+                (self.client.now, self.gateway[0], repr(data[:60]))
+            )
             self.finish(-1)
             return
-        if self.whole:
+        if self.complete:
             self.finish(self.parser.get_status_code())
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -66,26 +76,32 @@
         self.parts.append(part)
 
     def on_message_complete(self) -> None:
-        if self.whole:
-            self.client.crowd.record.odd.append((self.client.now, self.gateway[0], "a second answer"))
-        self.whole = self.parser.get_status_code() >= 200
+        if self.complete:
+            self.client.population.record.unexpected_data.append(
+                (self.client.now, self.gateway[0], "a second answer")
+            )
+        self.complete = self.parser.get_status_code() >= 200
 
     def finish(self, status: int) -> None:
-        errand, self.at_work = self.at_work, None
-        if errand is None:
+        request, self.current_request = self.current_request, None
+        if request is None:
             return
-        keep = self.whole and self.headers.get(b"connection", b"").lower() != b"close"
+        keep = self.complete and self.headers.get(b"connection", b"").lower() != b"close"
         if not keep:
-            self.drop()
-        errand.answered(status, self.headers, b"".join(self.parts), self if keep else None)
+            self.close()
+        request.response_received(status, self.headers, b"".join(self.parts), self if keep else None)
 
-    def drop(self) -> None:
-        self.client.idle = [line for line in self.client.idle if line is not self]
-        if self.end is not None:
-            self.end.close()
+    def close(self) -> None:
+        self.client.idle_connections = [
+            connection for connection in self.client.idle_connections if connection is not self
+        ]
+        if self.transport is not None:
+            self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.client.idle = [line for line in self.client.idle if line is not self]
+        self.client.idle_connections = [
+            connection for connection in self.client.idle_connections if connection is not self
+        ]
         self.finish(-1)
 
 
@@ -93,316 +109,372 @@
 class Client:
     """Somebody with one locator answer and some connections."""
 
-    crowd: Crowd
+    population: ClientPopulation
     zone: str
     host: str
     loop: ProcessLoop
-    hold: float  # times the locator's time that an answer is held
+    ttl_factor: float  # times the locator's time that an answer is held
     impatient: bool
     addresses: list[Address] = field(default_factory=list)
-    until: float = -math.inf
-    asking: bool = False
+    addresses_until: float = -math.inf
+    resolving: bool = False
     waiting: list[Callable[[], None]] = field(default_factory=list)
-    idle: list[Line] = field(default_factory=list)
-    failed: dict[Address, float] = field(default_factory=dict)
+    idle_connections: list[ClientConnection] = field(default_factory=list)
+    failed_at: dict[Address, float] = field(default_factory=dict)
 
     @property
     def now(self) -> float:
-        return self.loop.world.now
+        return self.loop.scheduler.now
 
-    def located(self, then: Callable[[], None]) -> None:
+    def with_addresses(self, callback: Callable[[], None]) -> None:
         """Call once there is an answer of the locator's, an old one if there is no new one."""
-        if self.now < self.until:
-            then()
+        if self.now < self.addresses_until:
+            callback()
             return
-        self.waiting.append(then)
-        if not self.asking:
-            self.asking = True
-            self.look(self.crowd.locators(self.zone)[:3])
+        self.waiting.append(callback)
+        if not self.resolving:
+            self.resolving = True
+            self.resolve(self.population.locators(self.zone)[:3])
 
-    def look(self, left: list[Address]) -> None:
+    def resolve(self, left: list[Address]) -> None:
         if not left:
-            self.found(None, 0.5)
+            self.resolved(None, 0.5)
             return
-        host, region = self.crowd.names[0], self.crowd.deployment.zones[self.zone]
+        host, region = self.population.hosts[0], self.population.deployment.zones[self.zone]
         target = f"/resolution?name={host}&region={region}&zone={self.zone}"
 
         def done(reply: Reply) -> None:
             status, _, body = reply
             if status == 200:
-                told = json.loads(body)
+                answer = json.loads(body)
                 addresses = [
-                    (a.rpartition(":")[0], int(a.rpartition(":")[2])) for a in told.get("addresses", ())
+                    (a.rpartition(":")[0], int(a.rpartition(":")[2])) for a in answer.get("addresses", ())
                 ]
                 if addresses:
-                    ttl = min(float(told.get("ttlS", 1.0)), self.crowd.deployment.bound("ttl_max_s"))
-                    self.found(addresses, ttl * self.hold)
+                    ttl = min(float(answer.get("ttlS", 1.0)), self.population.deployment.bound("ttl_max_s"))
+                    self.resolved(addresses, ttl * self.ttl_factor)
                     return
-            self.look(left[1:])
+            self.resolve(left[1:])
 
-        ask(self.loop.network, self.loop, left[0], "GET", target, None, 1.0, done)
+        start_call(self.loop.network, self.loop, left[0], "GET", target, None, 1.0, done)
 
-    def found(self, addresses: list[Address] | None, held: float) -> None:
-        self.asking = False
-        self.until = self.now + held
+    def resolved(self, addresses: list[Address] | None, ttl_s: float) -> None:
+        self.resolving = False
+        self.addresses_until = self.now + ttl_s
         if addresses is not None:
             self.addresses = addresses
-            for line in [line for line in self.idle if line.gateway not in addresses]:
-                line.drop()
+            for connection in [
+                connection for connection in self.idle_connections if connection.gateway not in addresses
+            ]:
+                connection.close()
         waiting, self.waiting = self.waiting, []
-        for then in waiting:
-            then()
+        for callback in waiting:
+            callback()
 
-    def pick(self) -> Address | None:
+    def choose_gateway(self) -> Address | None:
         """By chance, past those that have failed lately."""
-        draw, now = self.crowd.draw, self.now
-        good = [a for a in self.addresses if now - self.failed.get(a, -math.inf) > 3.0]
-        return draw.choice(good or self.addresses) if self.addresses else None
+        rng, now = self.population.rng, self.now
+        healthy = [a for a in self.addresses if now - self.failed_at.get(a, -math.inf) > 3.0]
+        return rng.choice(healthy or self.addresses) if self.addresses else None
 
 
-class Errand:
+class PendingRequest:
     """One wish of a client's, over its tries."""
 
     def __init__(
-        self, client: Client, kind: Kind, wish: Wish, host: str, path: str, key: str, body: bytes
+        self,
+        client: Client,
+        kind: RequestKind,
+        request: ClientRequest,
+        host: str,
+        path: str,
+        key: str,
+        body: bytes,
     ) -> None:
-        self.client, self.kind, self.wish = client, kind, wish
+        self.client, self.kind, self.request = client, kind, request
         self.host, self.path, self.key, self.body = host, path, key, body
-        self.deadline = wish.at + kind.deadline_ms / 1000
-        self.left = kind.retries + (3 if client.impatient else 0)
-        self.line: Line | None = None
-        self.dial: Dial | None = None
-        self.now_on: Try | None = None
-        self.over = False
+        self.deadline = request.at + kind.deadline_ms / 1000
+        self.retries_left = kind.retries + (3 if client.impatient else 0)
+        self.connection: ClientConnection | None = None
+        self.pending: PendingConnection | None = None
+        self.current_attempt: Attempt | None = None
+        self.finished = False
         self.refused_at = -1.0
-        self.more = ""  # headers
+        self.extra_headers = ""  # headers
 
-    def begin(self) -> None:
-        self.client.loop.world.at(self.deadline, self.late)
-        self.client.located(self.go)
+    def start(self) -> None:
+        self.client.loop.scheduler.at(self.deadline, self.deadline_expired)
+        self.client.with_addresses(self.start_attempt)
 
-    def go(self) -> None:
+    def start_attempt(self) -> None:
         client = self.client
-        if self.over:
+        if self.finished:
             return
-        if not self.kind.fresh and not self.wish.tries:
-            while client.idle:
-                line = client.idle.pop()
-                if client.now - line.idle_at < HELD and line.end is not None and not line.end.is_closing():
-                    self.send(line)
+        if not self.kind.fresh and not self.request.attempts:
+            while client.idle_connections:
+                connection = client.idle_connections.pop()
+                if (
+                    client.now - connection.idle_at < IDLE_CONNECTION_S
+                    and connection.transport is not None
+                    and not connection.transport.is_closing()
+                ):
+                    self.send(connection)
                     return
-                line.drop()
-        address = client.pick()
+                connection.close()
+        address = client.choose_gateway()
         if address is None:
-            client.until = -math.inf
-            client.loop.world.after(0.3, client.located, self.go)
+            client.addresses_until = -math.inf
+            client.loop.scheduler.after(0.3, client.with_addresses, self.start_attempt)
             return
-        line = Line(client, address)
-        dial = self.dial = client.loop.network.connect(
-            client.loop, address, lambda: line, lambda end: self.up(line), lambda error: self.down(address)
+        connection = ClientConnection(client, address)
+        pending = self.pending = client.loop.network.connect(
+            client.loop,
+            address,
+            lambda: connection,
+            lambda transport: self.connected(connection),
+            lambda error: self.connect_failed(address),
         )
-        client.loop.world.after(UP, self.overdue, dial, address)
+        client.loop.scheduler.after(CONNECT_TIMEOUT_S, self.connect_timed_out, pending, address)
 
-    def up(self, line: Line) -> None:
-        if self.over:
-            line.drop()
+    def connected(self, connection: ClientConnection) -> None:
+        if self.finished:
+            connection.close()
         else:
-            self.send(line)
+            self.send(connection)
 
-    def overdue(self, dial: Dial, address: Address) -> None:
-        if not dial.over:
-            dial.stop()
-            self.down(address)
+    def connect_timed_out(self, pending: PendingConnection, address: Address) -> None:
+        if not pending.finished:
+            pending.cancel()
+            self.connect_failed(address)
 
-    def down(self, address: Address) -> None:
+    def connect_failed(self, address: Address) -> None:
         """No connection: nothing was read, so it may be tried again whatever it is."""
-        self.client.failed[address] = self.client.now
-        if not self.over:
-            self.wish.tries += 1
-            self.again(True, 0.02)
+        self.client.failed_at[address] = self.client.now
+        if not self.finished:
+            self.request.attempts += 1
+            self.retry(True, 0.02)
 
-    def send(self, line: Line) -> None:
+    def send(self, connection: ClientConnection) -> None:
         client, now = self.client, self.client.now
-        left = int((self.deadline - now) * 1000)
-        if left <= 0 or line.end is None:
+        remaining_ms = int((self.deadline - now) * 1000)
+        if remaining_ms <= 0 or connection.transport is None:
             self.finish()
             return
-        crowd = client.crowd
-        self.line, line.at_work = line, self
-        line.reset()
-        self.wish.tries += 1
-        ident = crowd.ident()
-        self.now_on = attempt = Try(
-            ident, self.wish, self.host, self.path, self.kind.method, self.body, self.key, self.wish.tenant,
-            self.kind.repeatable, now, self.deadline, client.host, line.gateway[0],
-        )  # fmt: skip
-        crowd.record.tries[ident] = attempt
-        line.end.write(compose(attempt, left, self.more))
+        population = client.population
+        self.connection, connection.current_request = connection, self
+        connection.reset()
+        self.request.attempts += 1
+        ident = population.new_ident()
+        self.current_attempt = attempt = Attempt(
+            ident,
+            self.request,
+            self.host,
+            self.path,
+            self.kind.method,
+            self.body,
+            self.key,
+            self.request.tenant,
+            self.kind.repeatable,
+            now,
+            self.deadline,
+            client.host,
+            connection.gateway[0],
+        )
+        population.record.attempts[ident] = attempt
+        connection.transport.write(encode_request(attempt, remaining_ms, self.extra_headers))
         if self.kind.repeatable:
-            client.loop.world.after(min(1.0, (self.deadline - now) / 3), self.unread, attempt, line)
+            client.loop.scheduler.after(
+                min(1.0, (self.deadline - now) / 3), self.retry_if_held_back, attempt, connection
+            )
 
-    def unread(self, attempt: Try, line: Line) -> None:
+    def retry_if_held_back(self, attempt: Attempt, connection: ClientConnection) -> None:
         """Held up on the way: a client gives such a try up."""
-        if self.now_on is attempt and line.at_work is self and line.end is not None and line.end.held:
-            line.at_work = None
-            line.drop()
-            self.again(True, 0.0)
-
-    def answered(self, status: int, headers: dict[bytes, bytes], body: bytes, line: Line | None) -> None:
-        attempt, client = self.now_on, self.client
+        if (
+            self.current_attempt is attempt
+            and connection.current_request is self
+            and connection.transport is not None
+            and connection.transport.held_back
+        ):
+            connection.current_request = None
+            connection.close()
+            self.retry(True, 0.0)
+
+    def response_received(
+        self, status: int, headers: dict[bytes, bytes], body: bytes, connection: ClientConnection | None
+    ) -> None:
+        attempt, client = self.current_attempt, self.client
         assert attempt is not None
-        note(attempt, status, headers, body, client.now)
-        if line is not None:
-            line.idle_at = client.now
-            client.idle.append(line)
-        elif status < 0 and self.line is not None:
-            client.failed[self.line.gateway] = client.now
-        self.line = None
-        if self.over:
+        record_response(attempt, status, headers, body, client.now)
+        if connection is not None:
+            connection.idle_at = client.now
+            client.idle_connections.append(connection)
+        elif status < 0 and self.connection is not None:
+            client.failed_at[self.connection.gateway] = client.now
+        self.connection = None
+        if self.finished:
             return
-        self.wish.status = status
+        self.request.status = status
         if 200 <= status < 300:
-            took = client.now - self.wish.at
+            latency_s = client.now - self.request.at
             kind = self.kind
-            self.wish.served = took
-            early = self.refused_at >= 0 and self.refused_at <= kind.aim_ms / 4000
-            worth = self.wish.worth
-            self.wish.earned = worth if took <= kind.aim_ms / 1000 else worth * kind.late
-            if early and took > kind.aim_ms / 1000:
-                self.wish.earned = worth * (1 + kind.late) / 2
+            self.request.served = latency_s
+            refused_early = self.refused_at >= 0 and self.refused_at <= kind.aim_ms / 4000
+            worth = self.request.worth
+            self.request.earned = worth if latency_s <= kind.aim_ms / 1000 else worth * kind.late
+            if refused_early and latency_s > kind.aim_ms / 1000:
+                self.request.earned = worth * (1 + kind.late) / 2
             self.finish()
             return
-        if status in PROMISED and self.refused_at < 0:
-            self.refused_at = client.now - self.wish.at
-        pause = attempt.pause if attempt.pause is not None and not client.impatient else 0.02
-        left = max(self.deadline - client.now, 0.0)
-        may = status not in FINAL and (self.kind.repeatable or status in PROMISED)
-        self.again(may, min(pause, left / 3))
-
-    def again(self, may: bool, pause: float) -> None:
+        if status in NOT_EXECUTED_STATUSES and self.refused_at < 0:
+            self.refused_at = client.now - self.request.at
+        pause = attempt.retry_after_s if attempt.retry_after_s is not None and not client.impatient else 0.02
+        remaining_s = max(self.deadline - client.now, 0.0)
+        allowed = status not in FINAL_STATUSES and (self.kind.repeatable or status in NOT_EXECUTED_STATUSES)
+        self.retry(allowed, min(pause, remaining_s / 3))
+
+    def retry(self, allowed: bool, pause: float) -> None:
         client = self.client
-        if not may or self.left <= 0 or client.now + pause >= self.deadline - 0.01:
+        if not allowed or self.retries_left <= 0 or client.now + pause >= self.deadline - 0.01:
             self.finish()
             return
-        self.left -= 1
-        client.loop.world.after(pause, client.located, self.go)
+        self.retries_left -= 1
+        client.loop.scheduler.after(pause, client.with_addresses, self.start_attempt)
 
-    def late(self) -> None:
-        if self.over:
+    def deadline_expired(self) -> None:
+        if self.finished:
             return
-        if self.dial is not None:
-            self.dial.stop()
-        if self.line is not None:
-            self.line.at_work = None
-            self.line.drop()
+        if self.pending is not None:
+            self.pending.cancel()
+        if self.connection is not None:
+            self.connection.current_request = None
+            self.connection.close()
         self.finish()
 
     def finish(self) -> None:
-        self.over = True
-        self.wish.ended = self.client.now
+        self.finished = True
+        self.request.ended = self.client.now
 
 
-def compose(attempt: Try, left: int, more: str = "") -> bytes:
+def encode_request(attempt: Attempt, remaining_ms: int, extra_headers: str = "") -> bytes:
     key = f"Authorization: Token {attempt.key}\r\n" if attempt.key else ""
     size = f"Content-Length: {len(attempt.body)}\r\n" if attempt.body else ""
     head = (
         f"{attempt.method} {attempt.path} HTTP/1.1\r\nHost: {attempt.host}\r\n"
-        f"X-Attempt-Id: {attempt.ident}\r\nX-Deadline-Remaining: {left}\r\n{key}{size}{more}\r\n"
+        f"X-Attempt-Id: {attempt.ident}\r\nX-Deadline-Remaining: {remaining_ms}\r\n"
+        f"{key}{size}{extra_headers}\r\n"
     )
     return head.encode() + attempt.body
 
 
-def note(attempt: Try, status: int, headers: dict[bytes, bytes], body: bytes, now: float) -> None:
+def record_response(
+    attempt: Attempt, status: int, headers: dict[bytes, bytes], body: bytes, now: float
+) -> None:
     attempt.status, attempt.ended, attempt.answer = status, now, body
     attempt.seal = headers.get(b"x-server-seal", b"").decode("latin-1")
-    attempt.told = headers.get(b"x-attempt-id", b"").decode("latin-1")
+    attempt.echoed_ident = headers.get(b"x-attempt-id", b"").decode("latin-1")
     pause = headers.get(b"retry-after")
     if pause is not None:
-        attempt.pause = float(pause)
+        attempt.retry_after_s = float(pause)
 
 
-class Crowd:
+class ClientPopulation:
     """All clients, and the traffic that they make."""
 
     def __init__(
-        self, deployment: Deployment, network: Network, record: Record, seed: int,
-        locators: Callable[[str], list[Address]], plan: Any,
-    ) -> None:  # fmt: skip
+        self,
+        deployment: Deployment,
+        network: Network,
+        record: DayRecord,
+        seed: int,
+        locators: Callable[[str], list[Address]],
+        plan: Any,
+    ) -> None:
         self.deployment, self.network, self.record = deployment, network, record
-        self.draw = random.Random(f"clients:{seed}")
+        self.rng = random.Random(f"clients:{seed}")
         self.locators, self.plan = locators, plan
-        self.names: list[str] = plan.hosts
-        self.rush: dict[str, float] = {}
+        self.hosts: list[str] = plan.hosts
+        self.load_factors: dict[str, float] = {}
         self.clients: dict[str, list[Client]] = {}
-        self.serial = 0
+        self.attempt_count = 0
         self.until = 0.0
         self.load = 1.0
         for zone, region in deployment.zones.items():
             host = f"client:{zone}"
             network.host(host, zone, region)
-            loop = loop_of(network, network.hosts[host], host)
+            loop = new_process_loop(network, network.hosts[host], host)
             self.clients[zone] = [
-                Client(self, zone, host, loop, 3.0 if self.draw.random() < 0.2 else 1.0,
-                       self.draw.random() < deployment.impatient)
+                Client(self, zone, host, loop, 3.0 if self.rng.random() < 0.2 else 1.0,
+                       self.rng.random() < deployment.impatient)
                 for _ in range(deployment.clients)
             ]  # fmt: skip
 
-    def ident(self) -> str:
-        self.serial += 1
-        return f"{self.draw.getrandbits(40):010x}{self.serial:06x}"
+    def new_ident(self) -> str:
+        self.attempt_count += 1
+        return f"{self.rng.getrandbits(40):010x}{self.attempt_count:06x}"
 
-    def begin(self, until: float) -> None:
+    def start(self, until: float) -> None:
         self.until = until
         zones = list(self.deployment.zones)
         for number, zone in enumerate(zones):
             for kind in self.deployment.kinds:
                 phase = number / len(zones)
-                self.network.world.after(0.01 * number, self.next, zone, kind, phase)
+                self.network.scheduler.after(0.01 * number, self.schedule_next, zone, kind, phase)
 
-    def next(self, zone: str, kind: Kind, phase: float) -> None:
-        world, draw = self.network.world, self.draw
-        if world.now >= self.until:
+    def schedule_next(self, zone: str, kind: RequestKind, phase: float) -> None:
+        scheduler, rng = self.network.scheduler, self.rng
+        if scheduler.now >= self.until:
             return
-        wave = 1 + 0.2 * math.sin(2 * math.pi * (world.now / 11.0 + phase))
-        extra = sum((x - 1) * self.plan.share(name) for name, x in self.rush.items())
-        rate = kind.per_s / len(self.deployment.zones) * wave * self.load * (1 + extra)
-        world.after(draw.expovariate(rate), self.next, zone, kind, phase)
-        self.wishes(zone, kind)
+        load_wave = 1 + 0.2 * math.sin(2 * math.pi * (scheduler.now / 11.0 + phase))
+        extra_load = sum((x - 1) * self.plan.share(name) for name, x in self.load_factors.items())
+        rate = kind.per_s / len(self.deployment.zones) * load_wave * self.load * (1 + extra_load)
+        scheduler.after(rng.expovariate(rate), self.schedule_next, zone, kind, phase)
+        self.start_request(zone, kind)
 
-    def wishes(self, zone: str, kind: Kind) -> None:
+    def start_request(self, zone: str, kind: RequestKind) -> None:
         """Somebody there wants something."""
-        world, draw = self.network.world, self.draw
-        client = draw.choice(self.clients[zone])
-        tenant = self.plan.tenant(draw, self.rush, kind)
-        wish = Wish(kind.name, zone, tenant, world.now, kind.worth)
-        self.record.wishes.append(wish)
-        host, path, key = self.plan.address(draw, kind, tenant)
-        body = draw.randbytes(kind.body) if kind.body else b""
-        Errand(client, kind, wish, host, path, key, body).begin()
+        scheduler, rng = self.network.scheduler, self.rng
+        client = rng.choice(self.clients[zone])
+        tenant = self.plan.tenant(rng, self.load_factors, kind)
+        request = ClientRequest(kind.name, zone, tenant, scheduler.now, kind.worth)
+        self.record.requests.append(request)
+        host, path, key = self.plan.address(rng, kind, tenant)
+        body = rng.randbytes(kind.body) if kind.body else b""
+        PendingRequest(client, kind, request, host, path, key, body).start()
 
     def probe(self, gateway: Address, host: str, path: str, key: str, tenant: str) -> None:
         """A question straight to a gateway, which shows what configuration is in force there."""
         client = self.clients[next(iter(self.deployment.zones))][0]
-        world = self.network.world
-        ident = self.ident()
-        attempt = Try(
-            ident, None, host, path, "GET", b"", key, tenant, True, world.now, world.now + 2.0, client.host,
+        scheduler = self.network.scheduler
+        ident = self.new_ident()
+        attempt = Attempt(
+            ident,
+            None,
+            host,
+            path,
+            "GET",
+            b"",
+            key,
+            tenant,
+            True,
+            scheduler.now,
+            scheduler.now + 2.0,
+            client.host,
             gateway[0],
-        )  # fmt: skip
+        )
 
         def done(reply: Reply) -> None:
             status, headers, body = reply
             if status:
-                note(attempt, status, headers, body, world.now)
+                record_response(attempt, status, headers, body, scheduler.now)
             elif attempt.ended < 0:
                 attempt.status = -1
 
-        from latchspoke.lab.system.calls import Exchange
+        from latchspoke.lab.system.http_endpoints import HttpCall
 
-        def up(end: End) -> None:
-            attempt.sent = world.now
-            self.record.tries[ident] = attempt
+        def connected(transport: StreamTransport) -> None:
+            attempt.sent = scheduler.now
+            self.record.attempts[ident] = attempt
 
-        exchange = Exchange(compose(attempt, 2000), done)
-        dial = self.network.connect(client.loop, gateway, lambda: exchange, up, lambda error: None)
-        world.after(2.0, dial.stop)
+        http_call = HttpCall(encode_request(attempt, 2000), done)
+        pending = self.network.connect(client.loop, gateway, lambda: http_call, connected, lambda error: None)
+        scheduler.after(2.0, pending.cancel)
--- a/latchspoke/lab/system/day.py
+++ b/latchspoke/lab/system/day.py
@@ -12,35 +12,35 @@
 from pathlib import Path
 from typing import Any
 
-from latchspoke.lab.system.callers import Travellers
-from latchspoke.lab.system.clients import Crowd
-from latchspoke.lab.system.machines import FRONT, START, Fleet, Machine, programs
-from latchspoke.lab.system.network import Network, World
-from latchspoke.lab.system.operators import Operator, Plan
-from latchspoke.lab.system.record import Doc, Order, Record, Touch
-from latchspoke.lab.system.records import ENDS, Day, Deployment, Trouble
-from latchspoke.lab.system.servers import Life, Mischief, ServerFleet
+from latchspoke.lab.system.callers import CallerPopulation
+from latchspoke.lab.system.clients import ClientPopulation
+from latchspoke.lab.system.day_record import Command, DayRecord, Doc, Reachability
+from latchspoke.lab.system.machines import FRONT_PORT, START_DELAY_S, Fleet, Machine, patched_programs
+from latchspoke.lab.system.network import Network, VirtualScheduler
+from latchspoke.lab.system.operators import ConfigurationPlan, Operator
+from latchspoke.lab.system.scenario import FINAL_FAULTS, Day, Deployment, Trouble
+from latchspoke.lab.system.servers import ServerFault, ServerFleet, ServerInstance
 from latchspoke.rollouts import plan as rollouts
 
-AFTER = 9.0  # s after the end of traffic: slow answers, and the read-back
+SETTLE_S = 9.0  # s after the end of traffic: slow answers, and the read-back
 
 
 @dataclass
-class Played:
+class DayResult:
     """A day that has been played."""
 
     deployment: Deployment
     day: Day
-    record: Record
-    touch: Touch
+    record: DayRecord
+    reachability: Reachability
     seconds: float  # of processor time
     events: int
-    faults: list[tuple[float, str, str]] = field(default_factory=list)
+    uncaught_errors: list[tuple[float, str, str]] = field(default_factory=list)
     stats: dict[str, int] = field(default_factory=dict)
-    end: float = 0.0  # of traffic
+    traffic_end: float = 0.0  # of traffic
     keys: dict[str, str] = field(default_factory=dict)  # key -> tenant
     edges: dict[str, str] = field(default_factory=dict)  # ip -> name
-    lives: dict[str, tuple[str, str, int, int]] = field(
+    instances: dict[str, tuple[str, str, int, int]] = field(
         default_factory=dict
     )  # service, zone, slots, most at once
     regions: dict[str, str] = field(default_factory=dict)  # ip -> region
@@ -49,226 +49,246 @@
 Progress = Callable[[float], None]
 
 
-def play(deployment: Deployment, day: Day, progress: Progress | None = None) -> Played:
+def run_day(deployment: Deployment, day: Day, progress: Progress | None = None) -> DayResult:
     """One seed gives one result."""
     with tempfile.TemporaryDirectory(prefix="latchspoke-day-") as home:
-        return Play(deployment, day, Path(home)).run(progress)
+        return DaySimulation(deployment, day, Path(home)).run(progress)
 
 
-class Play:
+class DaySimulation:
     """The parts of a day, and its troubles by name: ``do_*``."""
 
     def __init__(self, deployment: Deployment, day: Day, home: Path) -> None:
         self.deployment, self.day = deployment, day
         ways = deployment.ways
-        self.world = World()
+        self.scheduler = VirtualScheduler()
         self.network = Network(
-            self.world, day.seed, ways.zone_ms, ways.cross_ms, ways.region_ms, ways.client_ms
+            self.scheduler, day.seed, ways.zone_ms, ways.cross_ms, ways.region_ms, ways.client_ms
         )
-        self.record, self.touch = Record(), Touch(deployment.bound("contactS"))
-        self.fleet = Fleet(deployment, self.network, self.record, self.touch, day.seed, home)
-        self.touch.cores = tuple(machine.ip for machine in self.fleet.cores)
-        self.plan = Plan(deployment, day.seed)
+        self.record, self.reachability = DayRecord(), Reachability(deployment.bound("contactS"))
+        self.fleet = Fleet(deployment, self.network, self.record, self.reachability, day.seed, home)
+        self.reachability.core_ips = tuple(machine.ip for machine in self.fleet.cores)
+        self.plan = ConfigurationPlan(deployment, day.seed)
         self.server_fleet = ServerFleet(deployment, self.network, self.record, day.seed, self.fleet.control)
         self.server_fleet.kinds = {kind.name: kind for kind in deployment.kinds}
-        draw = random.Random(f"locators:{day.seed}")
-        crowd = Crowd if deployment.callers is None else Travellers
-        self.crowd = crowd(
-            deployment, self.network, self.record, day.seed, lambda zone: self.fleet.locators(zone, draw),
+        rng = random.Random(f"locators:{day.seed}")
+        population = ClientPopulation if deployment.callers is None else CallerPopulation
+        self.population = population(
+            deployment, self.network, self.record, day.seed, lambda zone: self.fleet.locators(zone, rng),
             self.plan,
         )  # fmt: skip
-        self.crowd.load = day.load
+        self.population.load = day.load
         self.operator = Operator(
             deployment, self.network, self.record, self.plan, day.seed, self.fleet.control
         )
-        self.draw = random.Random(f"troubles:{day.seed}")
-        self.after_ack: list[Callable[[Order], None]] = []
-        self.replacing_until = 0.0  # s; a control machine that was replaced counts as lost till then
-        self.operator.on_ack.append(self.acked)
+        self.rng = random.Random(f"troubles:{day.seed}")
+        self.after_next_ack: list[Callable[[Command], None]] = []
+        self.replacement_until = 0.0  # s; a control machine that was replaced counts as lost till then
+        self.operator.on_ack.append(self.command_acked)
         self.stats: dict[str, int] = {}
-        self.end = deployment.lead + deployment.length
+        self.traffic_end = deployment.lead + deployment.length
         for trouble in day.troubles:
-            if trouble.kind in ENDS:  # long enough to see whether it recovers
+            if trouble.kind in FINAL_FAULTS:  # long enough to see whether it recovers
                 back = deployment.lead + trouble.at + 1.1 * trouble.lasts + 1.0
-                self.end = max(self.end, back + deployment.bound("recoveryS") + 4.0)
-
-    def run(self, progress: Progress | None) -> Played:
-        d, world = self.deployment, self.world
-        world.at(0.0, self.fleet.start_all)
-        world.at(0.0, self.server_fleet.start_all)
-        world.at(0.0, self.fleet.watch)
-        world.at(0.5, self.operator.spawn, self.operator.begin())
-        world.at(d.lead, self.crowd.begin, self.end)
+                self.traffic_end = max(self.traffic_end, back + deployment.bound("recoveryS") + 4.0)
+
+    def run(self, progress: Progress | None) -> DayResult:
+        d, scheduler = self.deployment, self.scheduler
+        scheduler.at(0.0, self.fleet.start_all)
+        scheduler.at(0.0, self.server_fleet.start_all)
+        scheduler.at(0.0, self.fleet.watch_reachability)
+        scheduler.at(0.5, self.operator.spawn, self.operator.submit_initial())
+        scheduler.at(d.lead, self.population.start, self.traffic_end)
         for trouble in self.day.troubles:
-            world.at(d.lead + trouble.at, self.do, trouble)
-        world.at(self.end, self.finish)
+            scheduler.at(d.lead + trouble.at, self.inject, trouble)
+        scheduler.at(self.traffic_end, self.finish)
         began = time.process_time()
         gc.collect()
         gc.freeze()
-        with programs(self.fleet), warnings.catch_warnings():
+        with patched_programs(self.fleet), warnings.catch_warnings():
             warnings.simplefilter("ignore", RuntimeWarning)  # of what a killed process had not begun
-            while world.now < self.end + AFTER:
-                world.run(min(world.now + 1.0, self.end + AFTER))
+            while scheduler.now < self.traffic_end + SETTLE_S:
+                scheduler.run(min(scheduler.now + 1.0, self.traffic_end + SETTLE_S))
                 if progress is not None:
-                    progress(world.now / (self.end + AFTER))
+                    progress(scheduler.now / (self.traffic_end + SETTLE_S))
             for machine in self.fleet.edges:
-                self.keep_stats(machine)
+                self.add_stats(machine)
         gc.unfreeze()
-        return Played(
-            d, self.day, self.record, self.touch, time.process_time() - began, world.serial, world.faults,
-            dict(sorted(self.stats.items())), self.end, self.plan.held,
+        return DayResult(
+            d,
+            self.day,
+            self.record,
+            self.reachability,
+            time.process_time() - began,
+            scheduler.event_count,
+            scheduler.uncaught_errors,
+            dict(sorted(self.stats.items())),
+            self.traffic_end,
+            self.plan.key_owners,
             {m.ip: m.name for m in self.fleet.edges},
             {
-                i: (s.service.name, s.zone, s.service.slots, s.most)
-                for i, s in self.server_fleet.lives.items()
+                i: (s.service.name, s.zone, s.service.slots, s.max_in_flight)
+                for i, s in self.server_fleet.instances.items()
             },
             {ip: host.region for ip, host in self.network.hosts.items()},
-        )  # fmt: skip
+        )
 
     def finish(self) -> None:
-        if self.world.now < self.end - 0.001:  # a closing fault has put it off
-            self.world.at(self.end, self.finish)
+        if self.scheduler.now < self.traffic_end - 0.001:  # a closing fault has put it off
+            self.scheduler.at(self.traffic_end, self.finish)
             return
-        self.operator.until = self.end
+        self.operator.until = self.traffic_end
         for machine in self.fleet.machines:
-            machine.refuses = machine.full = False
+            machine.disk_refuses = machine.disk_full = False
         self.operator.spawn(self.operator.read_back())
 
-    def keep_stats(self, machine: Machine) -> None:
+    def add_stats(self, machine: Machine) -> None:
         if machine.running:
             for name, value in machine.node.stats.items():
                 self.stats[name] = self.stats.get(name, 0) + value
 
-    def acked(self, order: Order) -> None:
-        waiting, self.after_ack = self.after_ack, []
+    def command_acked(self, command: Command) -> None:
+        waiting, self.after_next_ack = self.after_next_ack, []
         for call in waiting:
-            call(order)
-        if order.what in ("replace", "modify") and order.doc is not None and self.world.now > 3.0:
-            self.probe_soon(order.doc)
+            call(command)
+        if command.what in ("replace", "modify") and command.doc is not None and self.scheduler.now > 3.0:
+            self.schedule_probes(command.doc)
 
-    def probe_soon(self, doc: Doc) -> None:
+    def schedule_probes(self, doc: Doc) -> None:
         """Ask each gateway on the newest route, on one that is gone, and on one that never was."""
         names = {r["name"]: item["host"] for item in doc["listenerList"] for r in item["ruleSet"]}
         extra = [n for n in names if n.startswith("extra")][-1:]
         paths = [(names[n], f"/{n}/probe") for n in extra] + [(self.plan.hosts[0], "/never/probe")]
         if self.plan.extra and f"extra{self.plan.extra}" not in names:
             paths.append((self.plan.hosts[0], f"/extra{self.plan.extra}/probe"))
-        tenant = self.draw.choice(doc["tenants"][: max(len(doc["tenants"]) // 2, 1)])  # the large ones
+        tenant = self.rng.choice(doc["tenants"][: max(len(doc["tenants"]) // 2, 1)])  # the large ones
         for delay in (0.6, 2.0, 3.4):
             for machine in self.fleet.edges:
                 if machine.running and machine.node.ready:
                     for host, path in paths:
-                        at = self.world.now + delay + self.draw.uniform(0, 0.3)
-                        self.world.at(
-                            at, self.crowd.probe, (machine.ip, FRONT), host, path, tenant["apiKeys"][0],
+                        at = self.scheduler.now + delay + self.rng.uniform(0, 0.3)
+                        self.scheduler.at(
+                            at,
+                            self.population.probe,
+                            (machine.ip, FRONT_PORT),
+                            host,
+                            path,
+                            tenant["apiKeys"][0],
                             tenant["name"],
-                        )  # fmt: skip
+                        )
 
         kind = self.deployment.kinds[0]
-        for name, key in self.plan.old.items():
+        for name, key in self.plan.revoked_keys.items():
             for delay in (1.0, self.deployment.bound("revokeS") + 0.3, 7.0):
                 for machine in self.fleet.edges:
                     if machine.running:
-                        self.world.after(
-                            delay, self.crowd.probe, (machine.ip, FRONT), self.plan.host_of[kind.name],
-                            f"/{kind.name}/probe", key, name,
-                        )  # fmt: skip
+                        self.scheduler.after(
+                            delay,
+                            self.population.probe,
+                            (machine.ip, FRONT_PORT),
+                            self.plan.host_of[kind.name],
+                            f"/{kind.name}/probe",
+                            key,
+                            name,
+                        )
 
     # Troubles.
 
-    def do(self, trouble: Trouble) -> None:
-        self.record.acted.append((self.world.now, str(trouble)))
+    def inject(self, trouble: Trouble) -> None:
+        self.record.injected_troubles.append((self.scheduler.now, str(trouble)))
         getattr(self, f"do_{trouble.kind}")(trouble)
 
-    def every(self, count: int, gap: float, call: Callable[[], Any]) -> None:
+    def repeat(self, count: int, gap: float, call: Callable[[], Any]) -> None:
         for number in range(count):
-            self.world.after(number * gap, call)
+            self.scheduler.after(number * gap, call)
 
-    def change(self, make: Callable[[Doc], Doc], valid: bool = True) -> None:
+    def submit_change(self, make: Callable[[Doc], Doc], valid: bool = True) -> None:
         self.operator.spawn(self.operator.change(make, valid))
 
     def do_change(self, t: Trouble) -> None:
-        self.change(lambda doc: self.plan.changed(doc, t.how))
+        self.submit_change(lambda doc: self.plan.changed(doc, t.how))
 
     def do_rollout(self, t: Trouble) -> None:
         """A roll-out of the kind ``where`` to the other service that may do it; ``x``: s a step at least."""
         kind = next(k for k in self.deployment.kinds if k.name == t.where)
         plan = rollouts.Plan(kind.name, kind.service, kind.also, (10.0, 50.0, 100.0), t.x, t.lasts)
-        self.operator.spawn(self.operator.rollout(plan, self.fleet.doors))
+        self.operator.spawn(self.operator.rollout(plan, self.fleet.readiness_addresses))
 
     def do_race(self, t: Trouble) -> None:
-        self.every(t.count, 1.2, lambda: self.operator.spawn(self.operator.race()))
+        self.repeat(t.count, 1.2, lambda: self.operator.spawn(self.operator.race()))
 
     def do_storm(self, t: Trouble) -> None:
-        self.every(max(int(t.lasts / t.x), 1), t.x, lambda: self.do_change(t))
+        self.repeat(max(int(t.lasts / t.x), 1), t.x, lambda: self.do_change(t))
 
     def do_many_routes(self, t: Trouble) -> None:
         def make(doc: Doc) -> Doc:
-            new = self.plan.on(doc)
+            new = self.plan.successor_of(doc)
             self.plan.add(new, t.count)
             return new
 
-        self.change(make)
+        self.submit_change(make)
 
     def do_revoke(self, t: Trouble) -> None:
-        self.every(t.count, t.x, lambda: self.change(self.plan.rekeyed))
+        self.repeat(t.count, t.x, lambda: self.submit_change(self.plan.with_new_key))
 
     def do_invalid(self, t: Trouble) -> None:
-        self.every(t.count, 0.5, lambda: self.change(self.plan.spoilt, False))
+        self.repeat(t.count, 0.5, lambda: self.submit_change(self.plan.invalid_version, False))
 
     def do_lost_acks(self, t: Trouble) -> None:
         """The operator doesn't get a share ``x`` of the answers to orders, and sends these again."""
-        self.operator.lose_answers(t.x, self.world.now + t.lasts)
+        self.operator.lose_answers(t.x, self.scheduler.now + t.lasts)
 
     def do_evacuate(self, t: Trouble) -> None:
         self.operator.spawn(self.operator.evacuate(t.where, t.lasts))
         if t.how == "cold":
-            self.world.after(max(t.lasts - 0.5, 0.0), self.do_cold, t)
+            self.scheduler.after(max(t.lasts - 0.5, 0.0), self.do_cold, t)
 
-    def some(self, trouble: Trouble) -> list[Life]:
-        lives = self.server_fleet.of(trouble.where)
-        most = max(len(lives) // 3, 1) if lives else 0
-        return self.draw.sample(lives, min(trouble.count, most))
+    def choose_instances(self, trouble: Trouble) -> list[ServerInstance]:
+        instances = self.server_fleet.serving(trouble.where)
+        most = max(len(instances) // 3, 1) if instances else 0
+        return self.rng.sample(instances, min(trouble.count, most))
 
     def do_crash(self, t: Trouble) -> None:
-        for life in self.some(t):
+        for instance in self.choose_instances(t):
             if t.how == "gone":
-                life.stop()
+                instance.stop()
             elif t.how == "silent":
-                life.stop(power=True)
-                self.world.after(t.lasts, self.server_fleet.start, life.service, life.zone)
+                instance.stop(power=True)
+                self.scheduler.after(t.lasts, self.server_fleet.start, instance.service, instance.zone)
             else:
-                life.restart(t.lasts)
+                instance.restart(t.lasts)
 
     def do_release(self, t: Trouble) -> None:
-        for number, life in enumerate(self.some(t)):
-            self.world.after(number * t.x, self.replace, life)
+        for number, instance in enumerate(self.choose_instances(t)):
+            self.scheduler.after(number * t.x, self.replace_instance, instance)
 
-    def replace(self, life: Life) -> None:
+    def replace_instance(self, instance: ServerInstance) -> None:
         """The new one first, then the old one leaves."""
-        if life.state == "available":
-            self.server_fleet.start(life.service, life.zone)
-            self.world.after(1.0, life.leave)
+        if instance.state == "available":
+            self.server_fleet.start(instance.service, instance.zone)
+            self.scheduler.after(1.0, instance.begin_drain)
 
     def do_rolling(self, t: Trouble) -> None:
         """All servers in turn, each ``x`` s after the one before: in order, same address, new life."""
-        for number, life in enumerate(self.server_fleet.of(t.where)):
-            self.world.after(number * t.x, self.roll, life, t.lasts)
+        for number, instance in enumerate(self.server_fleet.serving(t.where)):
+            self.scheduler.after(number * t.x, self.restart_in_place, instance, t.lasts)
 
-    def roll(self, life: Life, lasts: float) -> None:
-        life.again = lasts
-        life.leave()
+    def restart_in_place(self, instance: ServerInstance, lasts: float) -> None:
+        instance.restart_after_s = lasts
+        instance.begin_drain()
 
     def do_shrink(self, t: Trouble) -> None:
-        for life in self.some(t):
-            life.leave()
+        for instance in self.choose_instances(t):
+            instance.begin_drain()
 
     def do_cold(self, t: Trouble) -> None:
-        for life in self.server_fleet.of("", t.where):
-            life.cold_until = self.world.now + life.service.cold_s
+        for instance in self.server_fleet.serving("", t.where):
+            instance.cold_until = self.scheduler.now + instance.service.cold_s
 
     def do_lost_answers(self, t: Trouble) -> None:
-        self.server_fleet.mischiefs.append(Mischief(t.kind, t.how, t.x, self.world.now + t.lasts, t.where))
+        self.server_fleet.faults.append(
+            ServerFault(t.kind, t.how, t.x, self.scheduler.now + t.lasts, t.where)
+        )
 
     do_garbage = do_lost_answers
     do_idle_race = do_lost_answers
@@ -276,90 +296,90 @@
 
     def do_grey(self, t: Trouble) -> None:
         """Some servers fail many requests, or all, and say that they are well."""
-        among = frozenset(life.ident for life in self.some(t))
-        self.server_fleet.mischiefs.append(
-            Mischief(t.kind, t.how, t.x, self.world.now + t.lasts, t.where, among)
+        among = frozenset(instance.ident for instance in self.choose_instances(t))
+        self.server_fleet.faults.append(
+            ServerFault(t.kind, t.how, t.x, self.scheduler.now + t.lasts, t.where, among)
         )
 
     do_lying = do_grey
 
     def do_flap(self, t: Trouble) -> None:
-        for life in self.some(t):
-            self.flap(life.ip, t.x, self.world.now + t.lasts)
+        for instance in self.choose_instances(t):
+            self.flap(instance.ip, t.x, self.scheduler.now + t.lasts)
 
     def flap(self, ip: str, gap: float, until: float) -> None:
         """Whoever serves at this address goes down for half of the gap, again and again."""
-        if self.world.now < until:
-            for life in [life for life in self.server_fleet.of("") if life.ip == ip]:
-                life.restart(gap / 2)
-            self.world.after(gap, self.flap, ip, gap, until)
+        if self.scheduler.now < until:
+            for instance in [instance for instance in self.server_fleet.serving("") if instance.ip == ip]:
+                instance.restart(gap / 2)
+            self.scheduler.after(gap, self.flap, ip, gap, until)
 
     def do_scale_out(self, t: Trouble) -> None:
         service = next(s for s in self.deployment.services if s.name == t.where)
         zones = sorted(service.servers)
         for number in range(t.count):
-            self.world.after(number * t.x, self.server_fleet.start, service, self.draw.choice(zones))
+            self.scheduler.after(number * t.x, self.server_fleet.start, service, self.rng.choice(zones))
 
     def do_rush(self, t: Trouble) -> None:
-        name = self.draw.choice(list(self.plan.shares))
-        self.crowd.rush[name] = t.x
-        self.world.after(t.lasts, self.crowd.rush.pop, name, None)
+        name = self.rng.choice(list(self.plan.shares))
+        self.population.load_factors[name] = t.x
+        self.scheduler.after(t.lasts, self.population.load_factors.pop, name, None)
 
-    def pick(self, trouble: Trouble) -> list[Machine]:
+    def choose_machines(self, trouble: Trouble) -> list[Machine]:
         """The machines that it befalls; of the core never more than are to be borne."""
         fleet = self.fleet
         if trouble.where and (named := [m for m in fleet.machines if m.name == trouble.where]):
             return named
         if trouble.how == "leader":
-            return [m for m in fleet.cores if m.leads][:1] or fleet.cores[:1]
-        kind = trouble.how if trouble.how in ("edge", "core") else self.draw.choice(("edge", "core"))
+            return [m for m in fleet.cores if m.is_leader][:1] or fleet.cores[:1]
+        kind = trouble.how if trouble.how in ("edge", "core") else self.rng.choice(("edge", "core"))
         pool = [m for m in fleet.machines if m.kind == kind and m.running]
         most = (
             max(len(pool) // 3, 1)
             if kind == "edge"
             else min(self.deployment.tolerate_machines, len(pool) // 2)
         )
-        return self.draw.sample(pool, min(trouble.count, most, len(pool)))
+        return self.rng.sample(pool, min(trouble.count, most, len(pool)))
 
     def do_kill(self, t: Trouble) -> None:
-        for machine in self.pick(t):
+        for machine in self.choose_machines(t):
             self.fleet.kill(machine, t.lasts)
 
     def do_herd(self, t: Trouble) -> None:
         machines = [m for m in self.fleet.machines if t.how in ("all", m.kind)]
-        for machine in self.draw.sample(machines, max(int(len(machines) * t.x), 1)):
-            self.fleet.kill(machine, t.lasts * self.draw.uniform(0.8, 1.2))
+        for machine in self.rng.sample(machines, max(int(len(machines) * t.x), 1)):
+            self.fleet.kill(machine, t.lasts * self.rng.uniform(0.8, 1.2))
 
-    def power(self, machines: list[Machine], lasts: float, wipe: bool = False) -> None:
+    def power_cycle(self, machines: list[Machine], lasts: float, wipe: bool = False) -> None:
         for machine in machines:
             self.fleet.power_off(machine)
             if wipe:
                 self.fleet.wipe(machine)
-            self.world.after(lasts * self.draw.uniform(0.9, 1.1), self.fleet.power_on, machine)
+            self.scheduler.after(lasts * self.rng.uniform(0.9, 1.1), self.fleet.power_on, machine)
 
     def do_power(self, t: Trouble) -> None:
-        self.power(self.pick(t), t.lasts)
+        self.power_cycle(self.choose_machines(t), t.lasts)
 
     def do_zone_power(self, t: Trouble) -> None:
-        self.power([m for m in self.fleet.machines if m.host.zone == t.where], t.lasts)
-        for life in self.server_fleet.of("", t.where):
-            life.stop(power=True)
-            self.world.after(t.lasts + 0.5, self.server_fleet.start, life.service, life.zone)
+        self.power_cycle([m for m in self.fleet.machines if m.host.zone == t.where], t.lasts)
+        for instance in self.server_fleet.serving("", t.where):
+            instance.stop(power=True)
+            self.scheduler.after(t.lasts + 0.5, self.server_fleet.start, instance.service, instance.zone)
 
     def do_after_ack(self, t: Trouble) -> None:
         """Who acknowledges the next order is hit right after it."""
 
-        def hit(order: Order) -> None:
-            machine = self.fleet.of(order.by)
+        def hit(command: Command) -> None:
+            machine = self.fleet.by_ip(command.answered_by)
             if machine is None:
                 return
             if t.how == "kill":
                 self.fleet.kill(machine, t.lasts)
             else:
-                self.power([machine], t.lasts, t.how == "wipe" and bool(self.may_lose([machine])))
+                self.power_cycle([machine], t.lasts, t.how == "wipe" and bool(self.may_lose_disks([machine])))
 
-        self.after_ack.append(hit)
-        self.change(lambda doc: self.plan.changed(doc, "timeout"))
+        self.after_next_ack.append(hit)
+        self.submit_change(lambda doc: self.plan.changed(doc, "timeout"))
 
     def do_replace(self, t: Trouble) -> None:
         """``count`` control machines in turn, each as soon as the loss before it counts no more."""
@@ -371,50 +391,50 @@
         old = self.pick_replaced(t)
         if t.how == "planned":
             self.fleet.successor(old)
-            self.world.after(t.x, self.end_for_good, old)
+            self.scheduler.after(t.x, self.terminate_for_good, old)
         else:
-            self.fleet.note(old, t.x)
+            self.fleet.record_disruption(old, t.x)
             self.fleet.retire(old)
-            self.world.after(t.x, self.fleet.successor, old)
+            self.scheduler.after(t.x, self.fleet.successor, old)
         # A machine that comes counts for nothing until it has started and had ``catchUpS``.
-        again = t.x + START["core"] * 1.3 + self.deployment.bound("catchUpS")
-        self.replacing_until = self.world.now + again
-        self.world.after(again, self.replace_next, t, left - 1)
+        again = t.x + START_DELAY_S["core"] * 1.3 + self.deployment.bound("catchUpS")
+        self.replacement_until = self.scheduler.now + again
+        self.scheduler.after(again, self.replace_next, t, left - 1)
 
-    def end_for_good(self, machine: Machine) -> None:
+    def terminate_for_good(self, machine: Machine) -> None:
         """SIGTERM; what has ended isn't started again, and the machine goes with the end of its grace."""
         machine.kept_down += 1
         self.fleet.terminate(machine)
-        self.world.after(self.deployment.bound("graceS"), self.fleet.retire, machine)
+        self.scheduler.after(self.deployment.bound("graceS"), self.fleet.retire, machine)
 
     def pick_replaced(self, t: Trouble) -> Machine:
         cores = [m for m in self.fleet.cores if m.running] or self.fleet.cores
         if t.how == "leader":
-            return next((m for m in cores if m.leads), cores[0])
-        return cores[0] if t.how == "oldest" else self.draw.choice(cores)
+            return next((m for m in cores if m.is_leader), cores[0])
+        return cores[0] if t.how == "oldest" else self.rng.choice(cores)
 
     def do_at_save(self, t: Trouble) -> None:
         """The leader loses power right before, or right after, its next sync."""
-        for machine in [m for m in self.fleet.cores if m.leads][:1]:
-            machine.armed, machine.down = t.how, t.lasts
-        self.change(lambda doc: self.plan.changed(doc, "timeout"))
+        for machine in [m for m in self.fleet.cores if m.is_leader][:1]:
+            machine.power_loss_at_save, machine.power_off_s = t.how, t.lasts
+        self.submit_change(lambda doc: self.plan.changed(doc, "timeout"))
 
     def do_disk_refuses(self, t: Trouble) -> None:
-        for machine in self.pick(t):
-            machine.refuses = True
-            self.fleet.note(machine, t.lasts)
-            self.world.after(t.lasts, setattr, machine, "refuses", False)
+        for machine in self.choose_machines(t):
+            machine.disk_refuses = True
+            self.fleet.record_disruption(machine, t.lasts)
+            self.scheduler.after(t.lasts, setattr, machine, "disk_refuses", False)
 
     def do_disk_full(self, t: Trouble) -> None:
-        for machine in self.pick(t):
-            machine.full = True
-            self.fleet.note(machine, t.lasts)
-            self.world.after(t.lasts, setattr, machine, "full", False)
+        for machine in self.choose_machines(t):
+            machine.disk_full = True
+            self.fleet.record_disruption(machine, t.lasts)
+            self.scheduler.after(t.lasts, setattr, machine, "disk_full", False)
 
     def do_disk_hangs(self, t: Trouble) -> None:
-        for machine in self.pick(t):
-            machine.hangs_until = self.world.now + t.lasts
-            self.fleet.note(machine, t.lasts)
+        for machine in self.choose_machines(t):
+            machine.disk_hangs_until = self.scheduler.now + t.lasts
+            self.fleet.record_disruption(machine, t.lasts)
 
     def do_roll_term(self, t: Trouble) -> None:
         """A share of them, ``count`` at a time; of the core one after the other."""
@@ -422,84 +442,86 @@
         at_once = t.count if t.how == "edge" else 1
         gap = t.lasts + (0.5 if t.how == "edge" else 3.0)
         most = min(max(int(len(pool) * t.x), 1), len(pool))
-        for number, machine in enumerate(self.draw.sample(pool, most)):
-            self.world.after(number // at_once * gap, self.fleet.terminate, machine)
+        for number, machine in enumerate(self.rng.sample(pool, most)):
+            self.scheduler.after(number // at_once * gap, self.fleet.terminate, machine)
 
     def do_term(self, t: Trouble) -> None:
         pool = [m for m in self.fleet.machines if m.kind == t.how and m.running]
-        for number, machine in enumerate(self.draw.sample(pool, min(t.count, len(pool)))):
-            self.world.after(number * (t.x + 3.0), self.fleet.terminate, machine)
+        for number, machine in enumerate(self.rng.sample(pool, min(t.count, len(pool)))):
+            self.scheduler.after(number * (t.x + 3.0), self.fleet.terminate, machine)
 
     def do_freeze(self, t: Trouble) -> None:
-        for machine in self.pick(t):
+        for machine in self.choose_machines(t):
             if machine.loop is not None:
-                self.fleet.note(machine, t.lasts)
-                machine.loop.busy = max(machine.loop.busy, self.world.now) + t.lasts
+                self.fleet.record_disruption(machine, t.lasts)
+                machine.loop.busy_until = max(machine.loop.busy_until, self.scheduler.now) + t.lasts
 
     def do_slow(self, t: Trouble) -> None:
-        for machine in self.pick(t):
-            self.fleet.note(machine, t.lasts)
-            self.pace(machine, t.x)
-            self.world.after(t.lasts, self.pace, machine, 1.0)
+        for machine in self.choose_machines(t):
+            self.fleet.record_disruption(machine, t.lasts)
+            self.set_slowdown(machine, t.x)
+            self.scheduler.after(t.lasts, self.set_slowdown, machine, 1.0)
 
-    def pace(self, machine: Machine, slowed: float) -> None:
-        machine.slowed = slowed
+    def set_slowdown(self, machine: Machine, slowdown: float) -> None:
+        machine.slowdown = slowdown
         if machine.loop is not None:
-            machine.loop.cost = self.deployment.cost_ms / 1000 * slowed
+            machine.loop.cost_per_event_s = self.deployment.cost_ms / 1000 * slowdown
 
     def do_clock(self, t: Trouble) -> None:
-        for machine in self.draw.sample(self.fleet.machines, min(t.count, len(self.fleet.machines))):
-            self.fleet.note(machine, t.lasts)
-            machine.skew += t.x
-            self.world.after(t.lasts, self.step_back, machine, t.x)
+        for machine in self.rng.sample(self.fleet.machines, min(t.count, len(self.fleet.machines))):
+            self.fleet.record_disruption(machine, t.lasts)
+            machine.clock_skew_s += t.x
+            self.scheduler.after(t.lasts, self.reset_clock, machine, t.x)
 
-    def step_back(self, machine: Machine, step: float) -> None:
-        machine.skew -= step
+    def reset_clock(self, machine: Machine, step: float) -> None:
+        machine.clock_skew_s -= step
 
     def do_seeds(self, t: Trouble) -> None:
         cores = [m.ip for m in self.fleet.cores]
-        self.fleet.seeds = self.draw.sample(cores, min(3, len(cores)))
+        self.fleet.seeds = self.rng.sample(cores, min(3, len(cores)))
         for machine in self.fleet.machines:
-            self.world.after(self.draw.uniform(0, 0.5), self.fleet.reload, machine)
+            self.scheduler.after(self.rng.uniform(0, 0.5), self.fleet.reload, machine)
 
-    def cut(self, pairs: list[tuple[str, str]], lasts: float) -> None:
+    def cut_links(self, pairs: list[tuple[str, str]], lasts: float) -> None:
         self.network.cut(pairs)
-        self.touch.cuts.append((self.world.now, self.world.now + lasts + 1.0))
-        self.world.after(lasts, self.network.mend, pairs)
+        self.reachability.link_cuts.append((self.scheduler.now, self.scheduler.now + lasts + 1.0))
+        self.scheduler.after(lasts, self.network.heal, pairs)
 
-    def outside(self, inner: set[str], one_way: bool = False) -> list[tuple[str, str]]:
+    def pairs_to_others(self, inner: set[str], one_way: bool = False) -> list[tuple[str, str]]:
         """From these machines to all other machines, and back. Clients and servers still reach them."""
         others = [m.ip for m in self.fleet.machines if m.ip not in inner]
         pairs = [(a, b) for a in sorted(inner) for b in others]
         return pairs if one_way else pairs + [(b, a) for a, b in pairs]
 
     def do_cut(self, t: Trouble) -> None:
-        place = ""
+        chosen = ""
         if t.how in ("zone", "region"):
-            able = self.deployment.tolerate_zones if t.how == "zone" else self.deployment.tolerate_regions
-            if not able:
+            tolerated = (
+                self.deployment.tolerate_zones if t.how == "zone" else self.deployment.tolerate_regions
+            )
+            if not tolerated:
                 return
             hosts = self.fleet.machines
-            place = self.draw.choice(
+            chosen = self.rng.choice(
                 sorted({m.host.zone if t.how == "zone" else m.host.region for m in hosts})
             )
-            inner = {m.ip for m in hosts if place in (m.host.zone, m.host.region)}
+            inner = {m.ip for m in hosts if chosen in (m.host.zone, m.host.region)}
         else:
-            inner = {m.ip for m in self.pick(t)}
-        self.begin_cut(inner, t, False)
+            inner = {m.ip for m in self.choose_machines(t)}
+        self.cut_off(inner, t, False)
 
-    def begin_cut(self, inner: set[str], t: Trouble, one_way: bool) -> None:
-        if self.draw.random() < 0.5 and not one_way and t.how not in ("zone", "region"):
+    def cut_off(self, inner: set[str], t: Trouble, one_way: bool) -> None:
+        if self.rng.random() < 0.5 and not one_way and t.how not in ("zone", "region"):
             # Each of them alone.
             for ip in sorted(inner):
-                self.cut(self.outside({ip}), t.lasts)
+                self.cut_links(self.pairs_to_others({ip}), t.lasts)
         else:
-            self.cut(self.outside(inner, one_way), t.lasts)
-        now = self.world.now
+            self.cut_links(self.pairs_to_others(inner, one_way), t.lasts)
+        now = self.scheduler.now
         if any(m.ip in inner for m in self.fleet.cores):
-            self.touch.core += [now, now + t.lasts]
+            self.reachability.core_disruptions += [now, now + t.lasts]
         for ip in inner:
-            self.touch.trouble(ip, now, now + t.lasts + 0.5)
+            self.reachability.add_disruption(ip, now, now + t.lasts + 0.5)
 
     def do_core_cut(self, t: Trouble) -> None:
         """Among control machines only: gateways and servers reach all of them, and are in no trouble."""
@@ -507,21 +529,21 @@
         most = (len(cores) - 1) // 2
         named = [m for m in cores if m.name == t.where]
         if t.how == "link" and len(cores) > 1:
-            one, other = named + self.draw.sample([m for m in cores if m not in named], 2 - len(named))
-            self.cut([(one.ip, other.ip), (other.ip, one.ip)], t.lasts)
+            one, other = named + self.rng.sample([m for m in cores if m not in named], 2 - len(named))
+            self.cut_links([(one.ip, other.ip), (other.ip, one.ip)], t.lasts)
         elif t.how == "split":
             # No side has a majority.
-            self.cut(self.among_cores(self.draw.sample(cores, len(cores) // 2)), t.lasts)
+            self.cut_links(self.among_cores(self.rng.sample(cores, len(cores) // 2)), t.lasts)
         elif t.how == "halves":
-            self.cut(self.among_cores(named or self.draw.sample(cores, most)), t.lasts)
+            self.cut_links(self.among_cores(named or self.rng.sample(cores, most)), t.lasts)
         else:
-            off = [m for m in cores if m.leads][:1] if t.how == "leader" else []
-            for machine in named or off or self.draw.sample(cores, min(t.count, most)):
+            off = [m for m in cores if m.is_leader][:1] if t.how == "leader" else []
+            for machine in named or off or self.rng.sample(cores, min(t.count, most)):
                 pairs = self.among_cores([machine])
                 half = len(pairs) // 2
-                self.cut({"mute": pairs[:half], "deaf": pairs[half:]}.get(t.how, pairs), t.lasts)
-        now = self.world.now
-        self.touch.core += [now, now + t.lasts]
+                self.cut_links({"mute": pairs[:half], "deaf": pairs[half:]}.get(t.how, pairs), t.lasts)
+        now = self.scheduler.now
+        self.reachability.core_disruptions += [now, now + t.lasts]
 
     def among_cores(self, inner: list[Machine]) -> list[tuple[str, str]]:
         """From these to the other control machines; then all of these pairs the other way."""
@@ -529,58 +551,62 @@
         return pairs + [(b, a) for a, b in pairs]
 
     def do_one_way(self, t: Trouble) -> None:
-        self.begin_cut({m.ip for m in self.pick(t)}, t, True)
+        self.cut_off({m.ip for m in self.choose_machines(t)}, t, True)
 
     def do_loss(self, t: Trouble) -> None:
         self.network.loss += t.x
-        self.touch.cuts.append((self.world.now, self.world.now + t.lasts))
-        self.world.after(t.lasts, self.less_loss, t.x)
+        self.reachability.link_cuts.append((self.scheduler.now, self.scheduler.now + t.lasts))
+        self.scheduler.after(t.lasts, self.reduce_loss, t.x)
         for machine in self.fleet.machines:
-            self.touch.trouble(machine.ip, self.world.now, self.world.now + t.lasts)
+            self.reachability.add_disruption(machine.ip, self.scheduler.now, self.scheduler.now + t.lasts)
 
-    def less_loss(self, x: float) -> None:
+    def reduce_loss(self, x: float) -> None:
         self.network.loss -= x
 
-    def may_lose(self, machines: list[Machine]) -> list[Machine]:
+    def may_lose_disks(self, machines: list[Machine]) -> list[Machine]:
         """Of these as many as may lose their disks now: who was hit lately counts as lost already."""
-        now, least = self.world.now, self.deployment.bound("catchUpS")
-        gone = [m for m in self.fleet.cores if not self.touch.calm(m.ip, now - least, now)]
-        missing = now < self.replacing_until  # one that is no machine of the fleet any more
-        able = self.deployment.tolerate_machines - missing - len([m for m in gone if m not in machines])
-        return [m for m in machines if m in gone or len(gone) < self.deployment.tolerate_machines][
-            : max(able, 0)
+        now, least = self.scheduler.now, self.deployment.bound("catchUpS")
+        lost = [m for m in self.fleet.cores if not self.reachability.undisturbed(m.ip, now - least, now)]
+        replacing = now < self.replacement_until  # one that is no machine of the fleet any more
+        tolerated = (
+            self.deployment.tolerate_machines - replacing - len([m for m in lost if m not in machines])
+        )
+        return [m for m in machines if m in lost or len(lost) < self.deployment.tolerate_machines][
+            : max(tolerated, 0)
         ]
 
     # The end of a day.
 
-    def close_with(self, t: Trouble, hit: Callable[[], None]) -> None:
+    def inject_final_fault(self, t: Trouble, hit: Callable[[], None]) -> None:
         """Right after a configuration was acknowledged."""
 
-        def now_hit(order: Order) -> None:
+        def hit_after_ack(command: Command) -> None:
             hit()
-            back = self.world.now + t.lasts * 1.1 + 1.0
-            self.record.closing = (self.world.now, back)
-            self.end = self.crowd.until = max(self.end, back + self.deployment.bound("recoveryS") + 4.0)
+            back = self.scheduler.now + t.lasts * 1.1 + 1.0
+            self.record.final_fault = (self.scheduler.now, back)
+            self.traffic_end = self.population.until = max(
+                self.traffic_end, back + self.deployment.bound("recoveryS") + 4.0
+            )
 
-        self.after_ack.append(now_hit)
-        self.change(lambda doc: self.plan.changed(doc, "timeout"))
+        self.after_next_ack.append(hit_after_ack)
+        self.submit_change(lambda doc: self.plan.changed(doc, "timeout"))
 
     def do_end_power(self, t: Trouble) -> None:
-        self.close_with(t, lambda: self.power(self.fleet.machines, t.lasts))
+        self.inject_final_fault(t, lambda: self.power_cycle(self.fleet.machines, t.lasts))
 
     def do_end_kill(self, t: Trouble) -> None:
         def hit() -> None:
             for machine in self.fleet.machines:
-                self.fleet.kill(machine, t.lasts * self.draw.uniform(0.8, 1.2))
+                self.fleet.kill(machine, t.lasts * self.rng.uniform(0.8, 1.2))
 
-        self.close_with(t, hit)
+        self.inject_final_fault(t, hit)
 
     def do_end_wipe(self, t: Trouble) -> None:
         def hit() -> None:
             cores = self.fleet.cores
-            lost = self.may_lose(self.draw.sample(cores, len(cores) - 1))
-            self.power(lost, t.lasts, wipe=True)
+            lost = self.may_lose_disks(self.rng.sample(cores, len(cores) - 1))
+            self.power_cycle(lost, t.lasts, wipe=True)
             if t.how == "others":
-                self.power([m for m in cores if m not in lost], t.lasts)
+                self.power_cycle([m for m in cores if m not in lost], t.lasts)
 
-        self.close_with(t, hit)
+        self.inject_final_fault(t, hit)
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -22,8 +22,8 @@
 from latchspoke.dataplane import node as dataplane
 from latchspoke.dataplane.core import DataPlaneCore
 from latchspoke.distribution.published_state import Lease
-from latchspoke.lab.system.machines import Fleet, SimLedger
-from latchspoke.lab.system.records import Callers, Trouble
+from latchspoke.lab.system.machines import Fleet, SimulatedLedger
+from latchspoke.lab.system.scenario import CallerSettings, Trouble
 from latchspoke.session_records.decision import ExchangeState
 
 Patches = Callable[[], list[Any]]
@@ -39,27 +39,27 @@
     load: float = 1.0
     cores: int = 0  # so many control machines; 0: as the deployment has
     seed: int = 1
-    callers: Callers | None = None
+    callers: CallerSettings | None = None
 
 
-def on(target: Any, name: str, new: Any) -> Any:
+def patched(target: Any, name: str, new: Any) -> Any:
     return mock.patch.object(target, name, new)
 
 
-def around(target: Any, name: str, make: Callable[[Any], Any]) -> Any:
+def wrapped(target: Any, name: str, make: Callable[[Any], Any]) -> Any:
     return mock.patch.object(target, name, make(getattr(target, name)))
 
 
 def no_relays() -> Any:
     """Gateways forward nothing between control machines, which would cover what else is taken out."""
-    return on(relay.Relay, "handle_message", lambda self, wire, message: None)
+    return patched(relay.Relay, "handle_message", lambda self, wire, message: None)
 
 
-def t(at: float, kind: str, **fields: Any) -> Trouble:
+def trouble(at: float, kind: str, **fields: Any) -> Trouble:
     return Trouble(at, kind, **fields)
 
 
-def all_repeatable(old: Any) -> Any:
+def treat_all_as_repeatable(old: Any) -> Any:
     def compiled(doc: Any) -> Any:
         table = old(doc)
         for route in table.routes.values():
@@ -69,7 +69,7 @@
     return compiled
 
 
-def without_extras(old: Any) -> Any:
+def drop_extra_routes(old: Any) -> Any:
     def compiled(doc: Any) -> Any:
         kept = [
             item | {"ruleSet": [r for r in item["ruleSet"] if not r["name"].startswith("extra")]}
@@ -80,7 +80,7 @@
     return compiled
 
 
-def only_first(old: Any) -> Any:
+def apply_only_first(old: Any) -> Any:
     def take(self: Any, now: float) -> None:
         if self.downstream.table is None:
             old(self, now)
@@ -88,7 +88,7 @@
     return take
 
 
-def goes_back(old: Any) -> Any:
+def revert_after_a_second(old: Any) -> Any:
     def take(self: Any, now: float) -> None:
         before = self.downstream.table
         old(self, now)
@@ -98,7 +98,7 @@
     return take
 
 
-def ready_only(old: Any) -> Any:
+def ignore_draining(old: Any) -> Any:
     def take(self: Any, entry: Any, now: float) -> None:
         if not int(entry.state):
             old(self, entry, now)
@@ -106,7 +106,7 @@
     return take
 
 
-def any_base(old: Any) -> Any:
+def ignore_base(old: Any) -> Any:
     def configure(self: Any, index: int, command: Any) -> Any:
         return old(
             self,
@@ -117,11 +117,11 @@
     return configure
 
 
-def read_nothing_wrong(old: Any) -> Any:
+def ignore_problems(old: Any) -> Any:
     return lambda body, current, version: (old(body, current, version)[0], [])
 
 
-def first_only(old: Any) -> Any:
+def accept_only_first(old: Any) -> Any:
     async def configure(self: Any, body: Any) -> Any:
         if self.replica.state.version:
             return 503, {"errorText": "not now"}
@@ -130,7 +130,7 @@
     return configure
 
 
-def old_document(old: Any) -> Any:
+def omit_first_tenant(old: Any) -> Any:
     async def read(self: Any) -> Any:
         status, doc = await old(self)
         return status, (doc | {"tenants": doc["tenants"][1:]} if status == 200 else doc)
@@ -138,7 +138,7 @@
     return read
 
 
-def spoilt(old: Any) -> Any:
+def corrupt_body(old: Any) -> Any:
     def write(self: Any, answer: Any) -> None:
         old(
             self, upstream.Response(answer.status, answer.headers, answer.body[:-1] + b"?", answer.attempt_id)
@@ -147,7 +147,7 @@
     return write
 
 
-def raises(old: Any) -> Any:
+def raise_in_sweep(old: Any) -> Any:
     def sweep(self: Any, now: float) -> None:
         if self.downstream.request_ids.__reduce__()[1][0] > 40:
             raise RuntimeError("a fault put in")
@@ -156,15 +156,15 @@
     return sweep
 
 
-def stays_down(old: Any) -> Any:
+def never_restart(old: Any) -> Any:
     def release(self: Any, machine: Any) -> None:
-        if self.record.closing is None:
+        if self.record.final_fault is None:
             old(self, machine)
 
     return release
 
 
-def says_saved(old: Any) -> Any:
+def ignore_save_errors(old: Any) -> Any:
     def save(self: Any, output: Any) -> None:
         with contextlib.suppress(LedgerError):
             old(self, output)
@@ -172,26 +172,26 @@
     return save
 
 
-def elsewhere(old: Any) -> Any:
+def route_elsewhere(old: Any) -> Any:
     def service(self: Any, draw: float) -> str:
         return "orders" if self.name == "reading" else str(old(self, draw))
 
     return service
 
 
-async def one_copy(self: Any, entry: Any) -> bool:
+async def replicate_to_one(self: Any, entry: Any) -> bool:
     """A second machine is enough, though it may be cut off together with this one."""
     self.replication_number += 1
     number, future = self.replication_number, self.loop.create_future()
-    told = self.peers.broadcast({"k": "roster", "e": [entry.to_message(self.clock.now())], "n": number})
-    self.pending_replications[number] = controlplane.PendingReplication(set(told), 1, future)
+    sent_to = self.peers.broadcast({"k": "roster", "e": [entry.to_message(self.clock.now())], "n": number})
+    self.pending_replications[number] = controlplane.PendingReplication(set(sent_to), 1, future)
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(future, controlplane.REPLICATION_TIMEOUT_S)
         return True
     return False
 
 
-def first_source(self: Any, now: float) -> Any:
+def choose_by_name(self: Any, now: float) -> Any:
     """As before failures were kept by address, and whoever lies beside one that failed came later."""
     if self.source is not None and self.source.address in self.failed_at:
         self.failed_at["", self.source.name] = self.failed_at.pop(self.source.address)
@@ -204,30 +204,30 @@
     return min(self.sources(), key=order, default=None)
 
 
-def nowhere(old: Any) -> Any:
+def route_nowhere(old: Any) -> Any:
     def service(self: Any, draw: float) -> str:
         return "nowhere" if self.name.startswith("extra") else str(old(self, draw))
 
     return service
 
 
-def refuses(self: Any, failure: object) -> None:
+def answer_503(self: Any, failure: object) -> None:
     self.write_empty_response(503, 0.1)
 
 
-def leaves_failures(old: Any) -> Any:
+def keep_failures(old: Any) -> Any:
     """A failure stays on its client's connection, whatever request is under way there by then."""
 
     def ended(self: Any, forward: Any, code: Any, now: float, answer: Any = None, report: Any = None) -> None:
-        bearer = getattr(forward.flow.client, "connection", None)
-        if bearer is not None and answer is not None and code is Code.ERROR:
-            bearer.left = answer
+        connection = getattr(forward.flow.client, "connection", None)
+        if connection is not None and answer is not None and code is Code.ERROR:
+            connection.left = answer
         old(self, forward, code, now, answer, report)
 
     return ended
 
 
-def hands_on_what_is_left(old: Any) -> Any:
+def deliver_kept_failure(old: Any) -> Any:
     def failed(self: Any, failure: object) -> None:
         left = getattr(self.connection, "left", None)
         if left is None:
@@ -240,131 +240,185 @@
     return failed
 
 
-CHANGES = (t(1.0, "storm", how="move", lasts=4.0, x=0.8),)
-LOSSES = (t(0.5, "lost_answers", how="", x=0.5, lasts=12.0),)
+CHANGES = (trouble(1.0, "storm", how="move", lasts=4.0, x=0.8),)
+LOSSES = (trouble(0.5, "lost_answers", how="", x=0.5, lasts=12.0),)
 GUARDS: dict[str, Guard] = {
     "lease": Guard(
-        "CONFIG keys", (t(1.0, "cut", how="edge", count=1, lasts=11.0), t(1.5, "revoke", count=4, x=0.4)),
+        "CONFIG keys",
+        (trouble(1.0, "cut", how="edge", count=1, lasts=11.0), trouble(1.5, "revoke", count=4, x=0.4)),
         lambda: [
-            on(Lease, "expires_at", property(lambda self: math.inf if self.proven_at > 0 else -math.inf))
+            patched(Lease, "expires_at", property(lambda self: math.inf if self.proven_at > 0 else -math.inf))
         ],
     ),
     "cold-allowance": Guard(
-        "FAILBACK", (t(3.0, "cold", where="hill"), t(6.0, "cold", where="quay")),
-        lambda: [on(balancer.Balancer, "is_cold", lambda self, upstream, now: False)], 3.0,
+        "FAILBACK",
+        (trouble(3.0, "cold", where="hill"), trouble(6.0, "cold", where="quay")),
+        lambda: [patched(balancer.Balancer, "is_cold", lambda self, upstream, now: False)],
+        3.0,
+    ),
+    "further-tries": Guard(
+        "BUDGET", LOSSES, lambda: [patched(budget.RetryBudget, "withdraw", lambda self: True)]
     ),
-    "further-tries": Guard("BUDGET", LOSSES, lambda: [on(budget.RetryBudget, "withdraw", lambda self: True)]),
     "quota": Guard(
-        "QUOTA", (t(1.0, "rush", x=6.0, lasts=9.0),),
-        lambda: [on(quota.Account, "admission_probability", lambda self, now, *more: 1.0),
-                 on(quota.Account, "fits", lambda self, units, now, *more: True)],
+        "QUOTA",
+        (trouble(1.0, "rush", x=6.0, lasts=9.0),),
+        lambda: [
+            patched(quota.Account, "admission_probability", lambda self, now, *more: 1.0),
+            patched(quota.Account, "fits", lambda self, units, now, *more: True),
+        ],
     ),
     "drain": Guard(
-        "DRAIN", (t(1.0, "shrink", count=2, where="meters"), t(1.5, "shrink", count=2, where="orders")),
-        lambda: [around(dataplane.Node, "apply_server", ready_only)],
+        "DRAIN",
+        (trouble(1.0, "shrink", count=2, where="meters"), trouble(1.5, "shrink", count=2, where="orders")),
+        lambda: [wrapped(dataplane.Node, "apply_server", ignore_draining)],
     ),
     "majority-copies": Guard(
         "DRAIN",
-        (t(1.0, "core_cut", how="halves", lasts=11.0),
-         *(t(at, "shrink", count=2, where=where)
-           for at, where in ((5.2, "meters"), (5.3, "orders"), (6.0, "meters"), (6.1, "orders")))),
-        lambda: [on(controlplane.Node, "replicate", one_copy),
-                 on(controlplane.Node, "broadcast_to_gateways", lambda self, entry, now: None), no_relays()],
-        cores=5, seed=4,
+        (
+            trouble(1.0, "core_cut", how="halves", lasts=11.0),
+            *(
+                trouble(at, "shrink", count=2, where=where)
+                for at, where in ((5.2, "meters"), (5.3, "orders"), (6.0, "meters"), (6.1, "orders"))
+            ),
+        ),
+        lambda: [
+            patched(controlplane.Node, "replicate", replicate_to_one),
+            patched(controlplane.Node, "broadcast_to_gateways", lambda self, entry, now: None),
+            no_relays(),
+        ],
+        cores=5,
+        seed=4,
     ),
     "evacuation": Guard(
-        "EVAC", (t(1.0, "evacuate", where="hill", lasts=10.0),),
-        lambda: [on(balancer.Balancer, "set_evacuated_zones", lambda self, zones, now: None)],
+        "EVAC",
+        (trouble(1.0, "evacuate", where="hill", lasts=10.0),),
+        lambda: [patched(balancer.Balancer, "set_evacuated_zones", lambda self, zones, now: None)],
+    ),
+    "once-only": Guard(
+        "TWICE", LOSSES, lambda: [wrapped(dataplane, "compile_table", treat_all_as_repeatable)]
     ),
-    "once-only": Guard("TWICE", LOSSES, lambda: [around(dataplane, "compile_table", all_repeatable)]),
     "fate": Guard(
         "EXCHANGE",
         LOSSES,
-        lambda: [on(session_affinity, "parse_exchange_state", lambda text: ExchangeState.NOT_RUN)],
-        callers=Callers(20, 0.3),
+        lambda: [patched(session_affinity, "parse_exchange_state", lambda text: ExchangeState.NOT_RUN)],
+        callers=CallerSettings(20, 0.3),
     ),
-    "promise": Guard(
-        "REFUSED", LOSSES, lambda: [on(exchange.ClientExchange, "failed", refuses)]
+    "promise": Guard("REFUSED", LOSSES, lambda: [patched(exchange.ClientExchange, "failed", answer_503)]),
+    "whole-answer": Guard(
+        "MIXED", (), lambda: [wrapped(exchange.ClientExchange, "write_response", corrupt_body)]
     ),
-    "whole-answer": Guard("MIXED", (), lambda: [around(exchange.ClientExchange, "write_response", spoilt)]),
     "own-failure": Guard(
         "MIXED",
-        tuple(t(0.5, kind, lasts=9.0, count=4, x=x, how=how, where=where)
-              for where in ("meters", "orders")
-              for kind, x, how in (("grey", 0.5, "sick"), ("lost_answers", 0.3, ""))),
-        lambda: [around(DataPlaneCore, "attempt_ended", leaves_failures),
-                 around(exchange.ClientExchange, "failed", hands_on_what_is_left)],
+        tuple(
+            trouble(0.5, kind, lasts=9.0, count=4, x=x, how=how, where=where)
+            for where in ("meters", "orders")
+            for kind, x, how in (("grey", 0.5, "sick"), ("lost_answers", 0.3, ""))
+        ),
+        lambda: [
+            wrapped(DataPlaneCore, "attempt_ended", keep_failures),
+            wrapped(exchange.ClientExchange, "failed", deliver_kept_failure),
+        ],
     ),
-    "homes": Guard("HOME", (), lambda: [on(dispatch, "allowed_regions", lambda route, tenant: None)]),
-    "route": Guard("ROUTE", (), lambda: [around(Route, "service", elsewhere)]),
+    "homes": Guard("HOME", (), lambda: [patched(dispatch, "allowed_regions", lambda route, tenant: None)]),
+    "route": Guard("ROUTE", (), lambda: [wrapped(Route, "service", route_elsewhere)]),
     "hidden-key": Guard(
-        "UNASKED", (),
-        lambda: [on(downstream, "REPLACED_HEADERS", downstream.REPLACED_HEADERS - {b"authorization"})],
+        "UNASKED",
+        (),
+        lambda: [patched(downstream, "REPLACED_HEADERS", downstream.REPLACED_HEADERS - {b"authorization"})],
     ),
     "new-versions": Guard(
-        "CONFIG", CHANGES, lambda: [around(dataplane.Node, "apply_configuration", only_first)]
+        "CONFIG", CHANGES, lambda: [wrapped(dataplane.Node, "apply_configuration", apply_only_first)]
     ),
     "never-back": Guard(
-        "CONFIG back", (t(1.0, "change", how="move"),),
-        lambda: [around(dataplane.Node, "apply_configuration", goes_back)],
+        "CONFIG back",
+        (trouble(1.0, "change", how="move"),),
+        lambda: [wrapped(dataplane.Node, "apply_configuration", revert_after_a_second)],
     ),
     "second-source": Guard(
         "CONFIG",
-        (t(1.0, "core_cut", how="halves", lasts=11.0), t(1.5, "change", how="move"),
-         *(t(at, "many_routes", count=2) for at in (1.2, 2.2, 3.2, 4.2, 5.2, 6.2))),
-        lambda: [on(subscription.Subscription, "choose_source", first_source),
-                 on(dataplane, "FIRST_PROOF_DIVISOR", 2.5), on(subscription, "MIN_CHECK_INTERVAL_S", 0.8),
-                 on(downstream.Downstream, "deny", downstream.Downstream.reject_request), no_relays()],
-        cores=5, seed=4,
+        (
+            trouble(1.0, "core_cut", how="halves", lasts=11.0),
+            trouble(1.5, "change", how="move"),
+            *(trouble(at, "many_routes", count=2) for at in (1.2, 2.2, 3.2, 4.2, 5.2, 6.2)),
+        ),
+        lambda: [
+            patched(subscription.Subscription, "choose_source", choose_by_name),
+            patched(dataplane, "FIRST_PROOF_DIVISOR", 2.5),
+            patched(subscription, "MIN_CHECK_INTERVAL_S", 0.8),
+            patched(downstream.Downstream, "deny", downstream.Downstream.reject_request),
+            no_relays(),
+        ],
+        cores=5,
+        seed=4,
     ),
     "check": Guard(
-        "CONFIG orders", (t(1.0, "invalid", count=3),),
-        lambda: [around(controlplane, "parse_configuration", read_nothing_wrong)],
+        "CONFIG orders",
+        (trouble(1.0, "invalid", count=3),),
+        lambda: [wrapped(controlplane, "parse_configuration", ignore_problems)],
     ),
     "base": Guard(
         "CONFIG orders",
-        (t(1.0, "race", count=3),),
-        lambda: [around(ConfigState, "change_configuration", any_base)],
+        (trouble(1.0, "race", count=3),),
+        lambda: [wrapped(ConfigState, "change_configuration", ignore_base)],
     ),
     "read-back": Guard(
-        "CONFIG read", (), lambda: [around(controlplane.Node, "handle_configuration_read", old_document)]
+        "CONFIG read",
+        (),
+        lambda: [wrapped(controlplane.Node, "handle_configuration_read", omit_first_tenant)],
     ),
     "added-routes": Guard(
         "DENIED",
-        (t(1.0, "change", how="idle"), t(2.0, "many_routes", count=30), t(3.0, "change", how="timeout")),
-        lambda: [around(dataplane, "compile_table", without_extras)],
+        (
+            trouble(1.0, "change", how="idle"),
+            trouble(2.0, "many_routes", count=30),
+            trouble(3.0, "change", how="timeout"),
+        ),
+        lambda: [wrapped(dataplane, "compile_table", drop_extra_routes)],
     ),
     "added-served": Guard(
         "CONFIG added",
-        (t(1.0, "many_routes", count=30), *(t(at, "change", how="timeout") for at in (2.0, 4.0, 6.0, 8.0))),
-        lambda: [around(Route, "service", nowhere)],
+        (
+            trouble(1.0, "many_routes", count=30),
+            *(trouble(at, "change", how="timeout") for at in (2.0, 4.0, 6.0, 8.0)),
+        ),
+        lambda: [wrapped(Route, "service", route_nowhere)],
     ),
     "sync": Guard(
-        "LOST", (t(3.0, "end_power", lasts=1.0),), lambda: [on(SimLedger, "save", lambda self, output: None)]
+        "LOST",
+        (trouble(3.0, "end_power", lasts=1.0),),
+        lambda: [patched(SimulatedLedger, "save", lambda self, output: None)],
     ),
     "full-disk": Guard(
         "LOST",
-        (*(t(0.5, "disk_full", where=f"core-{name}", lasts=9.0) for name in ("quay-1", "quay-2", "hill-3")),
-         t(2.0, "change", how="timeout"), t(5.0, "end_power", lasts=1.0)),
-        lambda: [around(SimLedger, "save", says_saved)],
+        (
+            *(
+                trouble(0.5, "disk_full", where=f"core-{name}", lasts=9.0)
+                for name in ("quay-1", "quay-2", "hill-3")
+            ),
+            trouble(2.0, "change", how="timeout"),
+            trouble(5.0, "end_power", lasts=1.0),
+        ),
+        lambda: [wrapped(SimulatedLedger, "save", ignore_save_errors)],
     ),
     "grace": Guard(
-        "LOST", (t(2.0, "term", how="edge", count=2, x=1.0),),
-        lambda: [on(dataplane.Node, "stop", lambda self: self.shut_down())],
+        "LOST",
+        (trouble(2.0, "term", how="edge", count=2, x=1.0),),
+        lambda: [patched(dataplane.Node, "stop", lambda self: self.shut_down())],
     ),
     "restart": Guard(
-        "RECOVER", (t(3.0, "end_kill", lasts=1.0),), lambda: [around(Fleet, "release", stays_down)]
+        "RECOVER", (trouble(3.0, "end_kill", lasts=1.0),), lambda: [wrapped(Fleet, "release", never_restart)]
     ),
-    "fault": Guard("FAULT", (), lambda: [around(dataplane.Node, "sweep", raises)]),
+    "fault": Guard("FAULT", (), lambda: [wrapped(dataplane.Node, "sweep", raise_in_sweep)]),
     "orders": Guard(
-        "ACKS", (t(1.0, "change", how="timeout"),),
-        lambda: [around(controlplane.Node, "handle_configuration", first_only)],
+        "ACKS",
+        (trouble(1.0, "change", how="timeout"),),
+        lambda: [wrapped(controlplane.Node, "handle_configuration", accept_only_first)],
     ),
-}  # fmt: skip
+}
 
 
 @contextlib.contextmanager
-def without(name: str) -> Iterator[None]:
+def without_guard(name: str) -> Iterator[None]:
     """Meanwhile this guard is missing; '' takes none."""
     with contextlib.ExitStack() as stack:
         if name:
--- a/latchspoke/lab/system/calls.py
+++ b/latchspoke/lab/system/http_endpoints.py
@@ -9,61 +9,61 @@
 
 import httptools
 
-from latchspoke.lab.system.network import End, Network, ProcessLoop
+from latchspoke.lab.system.network import Network, ProcessLoop, StreamTransport
 from latchspoke.lab.virtual import Address
 
 Reply = tuple[int, dict[bytes, bytes], bytes]
-NOTHING: Reply = (0, {}, b"")
+NO_REPLY: Reply = (0, {}, b"")
 
 
-class Exchange(asyncio.Protocol):
+class HttpCall(asyncio.Protocol):
     """Sends once, reads one answer. ``done`` gets NOTHING if none came whole."""
 
     def __init__(self, data: bytes, done: Callable[[Reply], None]) -> None:
-        self.data, self.done, self.over = data, done, False
-        self.end: End | None = None
+        self.data, self.done, self.finished = data, done, False
+        self.transport: StreamTransport | None = None
         self.headers: dict[bytes, bytes] = {}
-        self.parts: list[bytes] = []
+        self.body_parts: list[bytes] = []
         self.parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, End)
-        self.end = transport
+        assert isinstance(transport, StreamTransport)
+        self.transport = transport
         transport.write(self.data)
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
+        if self.finished:
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.finish(NOTHING)
+            self.finish(NO_REPLY)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.lower()] = value
 
     def on_body(self, part: bytes) -> None:
-        self.parts.append(part)
+        self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
         if status >= 200:
-            self.finish((status, self.headers, b"".join(self.parts)))
+            self.finish((status, self.headers, b"".join(self.body_parts)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.finish(NOTHING)
+        self.finish(NO_REPLY)
 
     def finish(self, reply: Reply) -> None:
-        if not self.over:
-            self.over = True
-            if self.end is not None:
-                self.end.close()
+        if not self.finished:
+            self.finished = True
+            if self.transport is not None:
+                self.transport.close()
             self.done(reply)
 
 
-def ask(
+def start_call(
     network: Network, loop: ProcessLoop, address: Address, method: str, target: str, body: bytes | None,
-    limit: float, done: Callable[[Reply], None],
+    timeout_s: float, done: Callable[[Reply], None],
 ) -> None:  # fmt: skip
     """One call; NOTHING after ``limit`` (s)."""
     size = b"" if body is None else b"Content-Type: application/json\r\nContent-Length: %d\r\n" % len(body)
@@ -71,20 +71,20 @@
     data = b"%b %b HTTP/1.1\r\nHost: %b\r\n%b\r\n%b" % (
         method.encode(), target.encode(), host, size, body or b"",
     )  # fmt: skip
-    exchange = Exchange(data, done)
-    dial = network.connect(
-        loop, address, lambda: exchange, lambda end: None, lambda error: exchange.finish(NOTHING)
+    http_call = HttpCall(data, done)
+    pending = network.connect(
+        loop, address, lambda: http_call, lambda transport: None, lambda error: http_call.finish(NO_REPLY)
     )
 
-    def overdue() -> None:
-        dial.stop()
-        exchange.finish(NOTHING)
+    def timed_out() -> None:
+        pending.cancel()
+        http_call.finish(NO_REPLY)
 
-    network.world.after(limit, overdue)
+    network.scheduler.after(timeout_s, timed_out)
 
 
 async def call(
-    loop: ProcessLoop, address: Address, method: str, target: str, body: bytes | None, limit: float
+    loop: ProcessLoop, address: Address, method: str, target: str, body: bytes | None, timeout_s: float
 ) -> Reply:
     """``ask`` for coroutines on an outsider's loop."""
     future: asyncio.Future[Reply] = loop.create_future()
@@ -93,37 +93,37 @@
         if not future.done() and not loop.dead:
             future.set_result(reply)
 
-    ask(loop.network, loop, address, method, target, body, limit, done)
+    start_call(loop.network, loop, address, method, target, body, timeout_s, done)
     return await future
 
 
-class Taker(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """A server's connection; ``taken`` gets each whole request."""
 
     def __init__(self, owner: Any) -> None:
         self.owner = owner
-        self.end: End | None = None
+        self.transport: StreamTransport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
         self.headers: dict[bytes, bytes] = {}
-        self.parts: list[bytes] = []
+        self.body_parts: list[bytes] = []
         self.job: Any = None
-        self.rested_at = math.inf  # since when nothing is asked on it (s)
+        self.idle_since = math.inf  # since when nothing is asked on it (s)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, End)
-        self.end = transport
-        self.owner.connected(self)
+        assert isinstance(transport, StreamTransport)
+        self.transport = transport
+        self.owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            assert self.end is not None
-            self.end.abort()
+            assert self.transport is not None
+            self.transport.abort()
 
     def on_message_begin(self) -> None:
-        self.url, self.headers, self.parts = b"", {}, []
+        self.url, self.headers, self.body_parts = b"", {}, []
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -132,10 +132,12 @@
         self.headers[name.lower()] = value
 
     def on_body(self, part: bytes) -> None:
-        self.parts.append(part)
+        self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        self.owner.taken(self, self.parser.get_method().decode(), self.url.decode(), b"".join(self.parts))
+        self.owner.request_received(
+            self, self.parser.get_method().decode(), self.url.decode(), b"".join(self.body_parts)
+        )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.owner.left(self)
+        self.owner.connection_closed(self)
--- a/latchspoke/lab/system/network.py
+++ b/latchspoke/lab/system/network.py
@@ -22,14 +22,14 @@
 from latchspoke.lab.virtual import Address, Reading, Unpolled
 
 FIRST_PORT = 30_000
-AGAIN = (0.2, 0.5)  # s until bytes that a cut held up are sent again after it
-SYN = (1.0, 2.0, 4.0, 8.0)  # s between tries to open a connection that nobody answers
-HEAD = 40  # bytes of headers with each piece
-FULL = 0.5  # s of waiting at a link; a datagram that would wait longer is dropped
-LISTEN_MOST = 64 * 1024  # bytes that the kernel takes before a writer notices
+RETRANSMIT_DELAY_S = (0.2, 0.5)  # s until bytes that a cut held up are sent again after it
+SYN_RETRY_DELAYS_S = (1.0, 2.0, 4.0, 8.0)  # s between tries to open a connection that nobody answers
+HEADER_BYTES = 40  # bytes of headers with each piece
+MAX_LINK_BACKLOG_S = 0.5  # s of waiting at a link; a datagram that would wait longer is dropped
+SEND_BUFFER_BYTES = 64 * 1024  # bytes that the kernel takes before a writer notices
 
 
-class Due(Protocol):
+class Runnable(Protocol):
     """What the world calls: asyncio's handles, and ``Call``."""
 
     _cancelled: bool
@@ -37,68 +37,68 @@
     def _run(self) -> Any: ...
 
 
-class Call:
+class ScheduledCall:
     """Something due that belongs to no process."""
 
-    __slots__ = ("_cancelled", "_loop", "args", "call")
+    __slots__ = ("_cancelled", "_loop", "args", "callback")
 
-    def __init__(self, call: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        self.call, self.args, self._cancelled, self._loop = call, args, False, None
+    def __init__(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
+        self.callback, self.args, self._cancelled, self._loop = callback, args, False, None
 
     def cancel(self) -> None:
         self._cancelled = True
 
     def _run(self) -> None:
-        self.call(*self.args)
+        self.callback(*self.args)
 
 
-class World:
+class VirtualScheduler:
     """The time, and what is due."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.heap: list[tuple[float, int, Any]] = []
-        self.soon: deque[Any] = deque()
-        self.serial = 0
-        self.faults: list[tuple[float, str, str]] = []  # at, who, what a process raised
+        self.ready: deque[Any] = deque()
+        self.event_count = 0
+        self.uncaught_errors: list[tuple[float, str, str]] = []  # at, who, what a process raised
 
-    def push(self, when: float, due: Any) -> None:
-        self.serial += 1
-        heapq.heappush(self.heap, (when, self.serial, due))
+    def schedule(self, when: float, runnable: Any) -> None:
+        self.event_count += 1
+        heapq.heappush(self.heap, (when, self.event_count, runnable))
 
-    def at(self, when: float, call: Callable[..., Any], *args: Any) -> Call:
-        due = Call(call, args)
-        self.push(max(when, self.now), due)
-        return due
+    def at(self, when: float, callback: Callable[..., Any], *args: Any) -> ScheduledCall:
+        runnable = ScheduledCall(callback, args)
+        self.schedule(max(when, self.now), runnable)
+        return runnable
 
-    def after(self, delay: float, call: Callable[..., Any], *args: Any) -> Call:
-        return self.at(self.now + delay, call, *args)
+    def after(self, delay: float, callback: Callable[..., Any], *args: Any) -> ScheduledCall:
+        return self.at(self.now + delay, callback, *args)
 
     def run(self, until: float) -> None:
         """Play up to that time."""
-        heap, soon, enter = self.heap, self.soon, events._set_running_loop
+        heap, soon, enter = self.heap, self.ready, events._set_running_loop
         try:
             while True:
-                called = bool(soon)
+                own_call = bool(soon)
                 if soon:
-                    due = soon.popleft()
+                    runnable = soon.popleft()
                 elif heap and heap[0][0] <= until:
-                    when, _, due = heapq.heappop(heap)
+                    when, _, runnable = heapq.heappop(heap)
                     if when > self.now:
                         self.now = when
                 else:
                     break
-                if due._cancelled:
+                if runnable._cancelled:
                     continue
-                loop = due._loop
+                loop = runnable._loop
                 if loop is not None:
                     if loop.dead:
                         continue
-                    if loop.busy > self.now:
-                        loop.wait(due, called)
+                    if loop.busy_until > self.now:
+                        loop.defer(runnable, own_call)
                         continue
                 enter(loop)
-                due._run()
+                runnable._run()
         finally:
             enter(None)
         self.now = max(self.now, until)
@@ -107,96 +107,106 @@
 class Link:
     """One way of a machine's link: bytes wait for those before them."""
 
-    __slots__ = ("free_at", "rate")
+    __slots__ = ("idle_at", "rate")
 
     def __init__(self) -> None:
-        self.rate, self.free_at = 0.0, 0.0  # bytes a second, 0: not bounded; when all is through (s)
+        self.rate, self.idle_at = 0.0, 0.0  # bytes a second, 0: not bounded; when all is through (s)
 
-    def through(self, size: int, now: float) -> float:
+    def transmit_end(self, size: int, now: float) -> float:
         """When so many bytes that come now are through."""
         if not self.rate:
             return now
-        self.free_at = max(self.free_at, now) + (size + HEAD) / self.rate
-        return self.free_at
+        self.idle_at = max(self.idle_at, now) + (size + HEADER_BYTES) / self.rate
+        return self.idle_at
 
-    def waits(self, now: float) -> float:
+    def backlog_s(self, now: float) -> float:
         """Seconds that what comes now waits for what came before."""
-        return max(self.free_at - now, 0.0)
+        return max(self.idle_at - now, 0.0)
 
 
 class Host:
     """A machine on the network."""
 
-    __slots__ = ("into", "ip", "on", "out", "region", "zone")
+    __slots__ = ("egress", "ingress", "ip", "powered", "region", "zone")
 
     def __init__(self, ip: str, zone: str, region: str) -> None:
-        self.ip, self.zone, self.region, self.on = ip, zone, region, True
-        self.out, self.into = Link(), Link()
+        self.ip, self.zone, self.region, self.powered = ip, zone, region, True
+        self.egress, self.ingress = Link(), Link()
 
-    def bound(self, mbps: float) -> None:
+    def limit_rate(self, mbps: float) -> None:
         """Its link takes so many Mbit/s, each way."""
-        self.out.rate = self.into.rate = mbps * 125_000
+        self.egress.rate = self.ingress.rate = mbps * 125_000
 
 
 class Network:
     """Delays, cuts and who listens where."""
 
     def __init__(
-        self, world: World, seed: int, zone_ms: float, cross_ms: float, region_ms: float, client_ms: float
+        self,
+        scheduler: VirtualScheduler,
+        seed: int,
+        zone_ms: float,
+        cross_ms: float,
+        region_ms: float,
+        client_ms: float,
     ) -> None:
-        self.world, self.seed, self.draw = world, seed, random.Random(f"network:{seed}")
-        self.ways = {"in": zone_ms / 1000, "zone": cross_ms / 1000, "region": region_ms / 1000}
-        self.client = client_ms / 1000
+        self.scheduler, self.seed, self.rng = scheduler, seed, random.Random(f"network:{seed}")
+        self.latencies_s = {"in": zone_ms / 1000, "zone": cross_ms / 1000, "region": region_ms / 1000}
+        self.client_latency_s = client_ms / 1000
         self.hosts: dict[str, Host] = {}
         self.listeners: dict[Address, Listener] = {}
-        self.posts: dict[Address, Mail] = {}
+        self.datagram_sockets: dict[Address, DatagramSocket] = {}
         self.cuts: dict[tuple[str, str], int] = {}  # from, to: how many cuts
-        self.stalled: dict[End, None] = {}
+        self.stalled: dict[StreamTransport, None] = {}
         self.loss = 0.001
-        self.port = FIRST_PORT
-        self.known: dict[tuple[str, str], float] = {}
-        self.sent = 0
-        self.dropped = 0  # datagrams at full links
-        self.meter: Callable[[str, Address, Address, bytes], None] | None = None
+        self.next_port = FIRST_PORT
+        self.latency_cache: dict[tuple[str, str], float] = {}
+        self.messages_sent = 0
+        self.datagrams_dropped = 0  # datagrams at full links
+        self.traffic_meter: Callable[[str, Address, Address, bytes], None] | None = None
 
     def host(self, ip: str, zone: str, region: str) -> Host:
         host = self.hosts[ip] = Host(ip, zone, region)
         return host
 
-    def way(self, one: Host, other: Host) -> float:
+    def latency(self, source: Host, target: Host) -> float:
         """Seconds one way, without what chance adds."""
-        key = one.ip, other.ip
-        found = self.known.get(key)
+        key = source.ip, target.ip
+        found = self.latency_cache.get(key)
         if found is None:
-            kind = "in" if one.zone == other.zone else "zone" if one.region == other.region else "region"
-            found = self.ways[kind] + (self.client if "client" in (one.ip[:6], other.ip[:6]) else 0.0)
-            self.known[key] = found
+            kind = (
+                "in" if source.zone == target.zone else "zone" if source.region == target.region else "region"
+            )
+            found = self.latencies_s[kind] + (
+                self.client_latency_s if "client" in (source.ip[:6], target.ip[:6]) else 0.0
+            )
+            self.latency_cache[key] = found
         return found
 
-    def delay(self, one: Host, other: Host) -> float:
-        return self.way(one, other) * (1 + 0.1 * self.draw.random()) + 0.00002
+    def delay(self, source: Host, target: Host) -> float:
+        return self.latency(source, target) * (1 + 0.1 * self.rng.random()) + 0.00002
 
-    def blocked(self, one: Host, other: Host) -> bool:
-        return bool(self.cuts) and (one.ip, other.ip) in self.cuts
+    def blocked(self, source: Host, target: Host) -> bool:
+        return bool(self.cuts) and (source.ip, target.ip) in self.cuts
 
     def cut(self, pairs: list[tuple[str, str]]) -> None:
         """From now on nothing passes that way; nobody is told."""
         for pair in pairs:
             self.cuts[pair] = self.cuts.get(pair, 0) + 1
 
-    def mend(self, pairs: list[tuple[str, str]]) -> None:
+    def heal(self, pairs: list[tuple[str, str]]) -> None:
         for pair in pairs:
             self.cuts[pair] -= 1
             if not self.cuts[pair]:
                 del self.cuts[pair]
         for end in list(self.stalled):
-            self.world.after(self.draw.uniform(*AGAIN), end.again)
+            self.scheduler.after(self.rng.uniform(*RETRANSMIT_DELAY_S), end.retransmit)
 
     def connect(
         self, loop: ProcessLoop, address: Address, factory: Callable[[], Any],
-        done: Callable[[End], None], failed: Callable[[OSError], None],
-    ) -> Dial:  # fmt: skip
-        return Dial(self, loop, address, factory, done, failed)
+        done: Callable[[StreamTransport], None], failed: Callable[[OSError], None],
+    ) -> PendingConnection:  # fmt: skip
+        return PendingConnection(self, loop, address, factory, done, failed)
 
 
 class Listener(Unpolled):
@@ -217,115 +227,117 @@
             del self.loop.network.listeners[self.address]
 
 
-class Dial:
+class PendingConnection:
     """A connection that is being opened."""
 
     def __init__(
         self, network: Network, loop: ProcessLoop, address: Address, factory: Callable[[], Any],
-        done: Callable[[End], None], failed: Callable[[OSError], None],
+        done: Callable[[StreamTransport], None], failed: Callable[[OSError], None],
     ) -> None:  # fmt: skip
         self.network, self.loop, self.address, self.factory = network, loop, address, factory
-        self.done, self.failed, self.tries, self.over = done, failed, 0, False
-        network.port += 1
-        self.here = loop.host.ip, network.port
-        self.try_now()
+        self.done, self.failed, self.attempts, self.finished = done, failed, 0, False
+        network.next_port += 1
+        self.here = loop.host.ip, network.next_port
+        self.attempt()
 
-    def stop(self) -> None:
-        self.over = True
+    def cancel(self) -> None:
+        self.finished = True
 
-    def try_now(self) -> None:
-        network, world = self.network, self.network.world
-        if self.over or self.loop.dead:
+    def attempt(self) -> None:
+        network, scheduler = self.network, self.network.scheduler
+        if self.finished or self.loop.dead:
             return
         host = network.hosts.get(self.address[0])
         here = self.loop.host
-        if host is None or not host.on or network.blocked(here, host) or network.blocked(host, here):
-            if self.tries < len(SYN):
-                world.after(SYN[self.tries], self.try_now)
-                self.tries += 1
+        if host is None or not host.powered or network.blocked(here, host) or network.blocked(host, here):
+            if self.attempts < len(SYN_RETRY_DELAYS_S):
+                scheduler.after(SYN_RETRY_DELAYS_S[self.attempts], self.attempt)
+                self.attempts += 1
             return
         delay = network.delay(here, host)
-        world.after(delay, self.arrive, host, delay)
+        scheduler.after(delay, self.reach_listener, host, delay)
 
-    def arrive(self, host: Host, delay: float) -> None:
+    def reach_listener(self, host: Host, delay: float) -> None:
         network = self.network
-        if self.over or self.loop.dead or not host.on:
+        if self.finished or self.loop.dead or not host.powered:
             return
         listener = network.listeners.get(self.address)
-        back = network.world.after
+        after = network.scheduler.after
         if listener is None or listener.loop.dead:
-            back(delay, self.refuse)
+            after(delay, self.refused)
             return
-        far = End(network, listener.loop, self.address, self.here)
-        near = End(network, self.loop, self.here, self.address)
+        far = StreamTransport(network, listener.loop, self.address, self.here)
+        near = StreamTransport(network, self.loop, self.here, self.address)
         near.other, far.other = far, near
-        if listener.loop.busy > network.world.now:
-            listener.loop.wait(Call(far.accept, (listener.factory,)))
+        if listener.loop.busy_until > network.scheduler.now:
+            listener.loop.defer(ScheduledCall(far.accept, (listener.factory,)))
         else:
             far.accept(listener.factory)
-        back(delay, self.up, near)
+        after(delay, self.opened, near)
 
-    def refuse(self) -> None:
-        if not self.over and not self.loop.dead:
-            self.over = True
+    def refused(self) -> None:
+        if not self.finished and not self.loop.dead:
+            self.finished = True
             events._set_running_loop(self.loop)
             self.failed(ConnectionRefusedError(f"nobody listens at {self.address}"))
 
-    def up(self, near: End) -> None:
+    def opened(self, near: StreamTransport) -> None:
         if self.loop.dead:
-            near.vanish()
-        elif self.loop.busy > self.network.world.now:
-            self.loop.wait(Call(self.up, (near,)))
-        elif self.over:
+            near.process_exited()
+        elif self.loop.busy_until > self.network.scheduler.now:
+            self.loop.defer(ScheduledCall(self.opened, (near,)))
+        elif self.finished:
             near.gone = near.closing = True
             near.send("eof", b"")
         else:
-            self.over = True
+            self.finished = True
             events._set_running_loop(self.loop)
-            near.begin(self.factory)
+            near.start_protocol(self.factory)
             self.done(near)
 
 
-class Knobs(Unpolled):
+class SocketOptions(Unpolled):
     """The one option of a socket that matters here."""
 
-    def __init__(self, end: End) -> None:
+    def __init__(self, end: StreamTransport) -> None:
         self.end = end
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
         if (level, option) == (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT):
-            self.end.patience = value / 1000
+            self.end.user_timeout_s = value / 1000
 
 
-class End(Reading):
+class StreamTransport(Reading):
     """One end of a connection."""
 
     def __init__(self, network: Network, loop: ProcessLoop, here: Address, there: Address) -> None:
         super().__init__(here, there)
-        self._extra["socket"] = Knobs(self)  # type: ignore[attr-defined]
+        self._extra["socket"] = SocketOptions(self)  # type: ignore[attr-defined]
         self.network, self.loop = network, loop
         self.protocol: Any = None
-        self.other: End | None = None
+        self.other: StreamTransport | None = None
         self.silent = False
-        self.held: deque[tuple[str, bytes]] = deque()  # on the way, and stopped there
-        self.patience = 0.0
-        self.stuck_at = -1.0
-        self.burst, self.leaves_at = 0, 0.0  # bytes that wait for the own link, and until when (s)
+        self.held_back: deque[tuple[str, bytes]] = deque()  # on the way, and stopped there
+        self.user_timeout_s = 0.0
+        self.stalled_since = -1.0
+        self.burst, self.burst_sent_at = 0, 0.0  # bytes that wait for the own link, and until when (s)
         # Each end has its own luck: in which order a set of connections is closed must not matter.
-        self.luck = zlib.crc32(f"{here} {there} {network.seed}".encode())
-        loop.ends[self] = None
+        self.jitter_state = zlib.crc32(f"{here} {there} {network.seed}".encode())
+        loop.transports[self] = None
 
     def delay(self, other: Host) -> float:
-        self.luck = (self.luck * 1103515245 + 12345) & 0x7FFFFFFF
-        return self.network.way(self.loop.host, other) * (1 + self.luck / 0x7FFFFFFF / 10) + 0.00002
+        self.jitter_state = (self.jitter_state * 1103515245 + 12345) & 0x7FFFFFFF
+        return (
+            self.network.latency(self.loop.host, other) * (1 + self.jitter_state / 0x7FFFFFFF / 10) + 0.00002
+        )
 
     def accept(self, factory: Callable[[], Any]) -> None:
         if self.gone or self.loop.dead:
             return
         events._set_running_loop(self.loop)
-        self.begin(factory)
+        self.start_protocol(factory)
 
-    def begin(self, factory: Callable[[], Any]) -> None:
+    def start_protocol(self, factory: Callable[[], Any]) -> None:
         self.protocol = factory()
         self.protocol.connection_made(self)
         while self.unread and not self.paused:
@@ -337,99 +349,101 @@
         other, network = self.other, self.network
         if other is None or self.silent:
             return
-        world = network.world
-        network.sent += 1
-        if network.meter is not None and data:
-            network.meter("stream", self.here, self.there, data)
-        link = self.loop.host.out
-        leaves = link.through(len(data), world.now)
+        scheduler = network.scheduler
+        network.messages_sent += 1
+        if network.traffic_meter is not None and data:
+            network.traffic_meter("stream", self.here, self.there, data)
+        link = self.loop.host.egress
+        leaves_at = link.transmit_end(len(data), scheduler.now)
         if link.rate:
-            if self.leaves_at <= world.now:
+            if self.burst_sent_at <= scheduler.now:
                 self.burst = 0
-            self.burst, self.leaves_at = self.burst + len(data), leaves
-        at = max(leaves + self.delay(other.loop.host), self.arrives_at)
+            self.burst, self.burst_sent_at = self.burst + len(data), leaves_at
+        at = max(leaves_at + self.delay(other.loop.host), self.arrives_at)
         self.arrives_at = at
-        world.at(at, self.reach if other.loop.host.into.rate else self.arrive, kind, data)
+        scheduler.at(at, self.reach_ingress if other.loop.host.ingress.rate else self.arrive, kind, data)
 
-    def reach(self, kind: str, data: bytes) -> None:
+    def reach_ingress(self, kind: str, data: bytes) -> None:
         """At the other machine's link."""
         other = self.other
         if other is not None:
-            world = self.network.world
-            world.at(other.loop.host.into.through(len(data), world.now), self.arrive, kind, data)
+            scheduler = self.network.scheduler
+            scheduler.at(
+                other.loop.host.ingress.transmit_end(len(data), scheduler.now), self.arrive, kind, data
+            )
 
     def arrive(self, kind: str, data: bytes) -> None:
         other = self.other
         if self.silent or other is None:
             return
         network, here, there = self.network, self.loop.host, other.loop.host
-        if self.held or not there.on or (network.cuts and network.blocked(here, there)):
+        if self.held_back or not there.powered or (network.cuts and network.blocked(here, there)):
             if self.gone and kind == "reset":
-                self.held.clear()  # what was held up is lost with the one who sent it
-            self.held.append((kind, data))
-            self.stuck(there.on)
+                self.held_back.clear()  # what was held up is lost with the one who sent it
+            self.held_back.append((kind, data))
+            self.mark_stalled(there.powered)
         elif other.silent or (other.gone and kind == "data"):
-            network.world.after(other.delay(here), self.come, "reset", b"")
+            network.scheduler.after(other.delay(here), self.deliver, "reset", b"")
         else:
             if network.cuts and network.blocked(there, here):
-                self.stuck(True)  # it comes, and its acknowledgement does not
-            other.come(kind, data)
+                self.mark_stalled(True)  # it comes, and its acknowledgement does not
+            other.deliver(kind, data)
 
-    def stuck(self, on: bool) -> None:
+    def mark_stalled(self, on: bool) -> None:
         network = self.network
         network.stalled[self] = None
-        if self.stuck_at < 0:
-            self.stuck_at = network.world.now
-            if self.patience:
-                network.world.after(self.patience, self.lose_patience, self.stuck_at)
+        if self.stalled_since < 0:
+            self.stalled_since = network.scheduler.now
+            if self.user_timeout_s:
+                network.scheduler.after(self.user_timeout_s, self.user_timeout_expired, self.stalled_since)
         if not on:
-            network.world.after(0.5, self.again)
+            network.scheduler.after(0.5, self.retransmit)
 
-    def lose_patience(self, since: float) -> None:
-        if self.stuck_at == since and not self.gone and not self.loop.dead:
+    def user_timeout_expired(self, since: float) -> None:
+        if self.stalled_since == since and not self.gone and not self.loop.dead:
             events._set_running_loop(self.loop)
-            self.held.clear()
+            self.held_back.clear()
             self.network.stalled.pop(self, None)
-            self.end(TimeoutError("no acknowledgement"))
+            self.close_with(TimeoutError("no acknowledgement"))
 
-    def again(self) -> None:
+    def retransmit(self) -> None:
         """Send once more what was held up."""
         other, network = self.other, self.network
         if self.silent or other is None or self not in network.stalled:
             network.stalled.pop(self, None)
             return
-        if not other.loop.host.on:
-            network.world.after(0.5, self.again)
+        if not other.loop.host.powered:
+            network.scheduler.after(0.5, self.retransmit)
             return
         if network.blocked(self.loop.host, other.loop.host):
             return
         if not network.blocked(other.loop.host, self.loop.host):
             network.stalled.pop(self, None)
-            self.stuck_at = -1.0
-        held, self.held = self.held, deque()
-        for kind, data in held:
+            self.stalled_since = -1.0
+        held_back, self.held_back = self.held_back, deque()
+        for kind, data in held_back:
             self.arrive(kind, data)
 
     # What comes.
 
-    def come(self, kind: str, data: bytes) -> None:
+    def deliver(self, kind: str, data: bytes) -> None:
         if self.gone or self.loop.dead or self.silent:
             return
         if self.paused or self.protocol is None:
             self.unread.append((kind, data))
             return
-        loop, world = self.loop, self.network.world
-        if loop.busy > world.now:
-            loop.wait(Call(self.come, (kind, data)))
+        loop, scheduler = self.loop, self.network.scheduler
+        if loop.busy_until > scheduler.now:
+            loop.defer(ScheduledCall(self.deliver, (kind, data)))
             return
-        loop.busy = world.now + loop.cost
+        loop.busy_until = scheduler.now + loop.cost_per_event_s
         events._set_running_loop(loop)
         self.take(kind, data)
 
     def take(self, *piece: Any) -> None:
         kind, data = piece
         if kind == "reset":
-            self.end(ConnectionResetError("reset"))
+            self.close_with(ConnectionResetError("reset"))
         elif self.closing:
             return
         else:
@@ -456,90 +470,92 @@
     def close(self) -> None:
         if not self.closing:
             self.send("reset" if self.unread else "eof", b"")
-            self.end(None)
+            self.close_with(None)
 
     def abort(self) -> None:
         if not self.closing:
             self.send("reset", b"")
-            self.end(None)
+            self.close_with(None)
 
-    def end(self, error: Exception | None) -> None:
+    def close_with(self, error: Exception | None) -> None:
         if not self.gone:
-            first, self.closing, self.gone = not self.closing, True, True
-            self.loop.ends.pop(self, None)
-            if first and self.protocol is not None:
+            newly_closing, self.closing, self.gone = not self.closing, True, True
+            self.loop.transports.pop(self, None)
+            if newly_closing and self.protocol is not None:
                 self.loop.call_soon(self.protocol.connection_lost, error)
 
-    def vanish(self, reset: bool = False) -> None:
+    def process_exited(self, reset: bool = False) -> None:
         """Its process has ended: the machine closes the connection."""
         if not self.gone:
             self.closing = self.gone = True
             self.send("reset" if reset else "eof", b"")
 
-    def hush(self) -> None:
+    def lose_power(self) -> None:
         """Its machine has lost power: nobody is told."""
         self.closing = self.gone = self.silent = True
 
     def get_write_buffer_size(self) -> int:
-        waits = sum(len(data) for _, data in self.held) if self.held else 0
-        late = self.leaves_at - self.network.world.now
-        if late > 0:
-            waits += min(int(late * self.loop.host.out.rate), self.burst)
-        return max(waits - LISTEN_MOST, 0)
+        unsent_bytes = sum(len(data) for _, data in self.held_back) if self.held_back else 0
+        egress_delay_s = self.burst_sent_at - self.network.scheduler.now
+        if egress_delay_s > 0:
+            unsent_bytes += min(int(egress_delay_s * self.loop.host.egress.rate), self.burst)
+        return max(unsent_bytes - SEND_BUFFER_BYTES, 0)
 
     __hash__ = object.__hash__
 
 
-class Mail(asyncio.DatagramTransport):
+class DatagramSocket(asyncio.DatagramTransport):
     """A datagram socket."""
 
     def __init__(self, network: Network, loop: ProcessLoop, here: Address, protocol: Any) -> None:
         super().__init__({"sockname": here})
         self.network, self.loop, self.here, self.protocol = network, loop, here, protocol
-        network.posts[here] = self
+        network.datagram_sockets[here] = self
 
     def sendto(self, data: Any, addr: Any = None) -> None:
         network = self.network
         host = network.hosts.get(addr[0])
-        if self.loop.dead or host is None or network.draw.random() < network.loss:
+        if self.loop.dead or host is None or network.rng.random() < network.loss:
             return
-        if network.meter is not None:
-            network.meter("datagram", self.here, addr, bytes(data))
-        if host.on and not network.blocked(self.loop.host, host):
-            network.sent += 1
-            now, own = network.world.now, self.loop.host
-            if own.out.waits(now) > FULL:
-                network.dropped += 1
+        if network.traffic_meter is not None:
+            network.traffic_meter("datagram", self.here, addr, bytes(data))
+        if host.powered and not network.blocked(self.loop.host, host):
+            network.messages_sent += 1
+            now, own = network.scheduler.now, self.loop.host
+            if own.egress.backlog_s(now) > MAX_LINK_BACKLOG_S:
+                network.datagrams_dropped += 1
                 return
-            late = own.out.through(len(data), now) - now
-            network.world.after(late + network.delay(own, host), self.reach, host, addr, bytes(data))
+            egress_delay_s = own.egress.transmit_end(len(data), now) - now
+            network.scheduler.after(
+                egress_delay_s + network.delay(own, host), self.reach_ingress, host, addr, bytes(data)
+            )
 
-    def reach(self, host: Host, address: Address, data: bytes) -> None:
+    def reach_ingress(self, host: Host, address: Address, data: bytes) -> None:
         """At the other machine's link."""
-        network, now = self.network, self.network.world.now
-        if host.into.waits(now) > FULL:
-            network.dropped += 1
-        elif host.into.rate:
-            network.world.at(host.into.through(len(data), now), self.arrive, host, address, data)
+        network, now = self.network, self.network.scheduler.now
+        if host.ingress.backlog_s(now) > MAX_LINK_BACKLOG_S:
+            network.datagrams_dropped += 1
+        elif host.ingress.rate:
+            network.scheduler.at(host.ingress.transmit_end(len(data), now), self.arrive, host, address, data)
         else:
             self.arrive(host, address, data)
 
     def arrive(self, host: Host, address: Address, data: bytes) -> None:
-        post = self.network.posts.get(address)
-        if post is not None and host.on and not post.loop.dead:
-            if post.loop.busy > self.network.world.now:
-                post.loop.wait(Call(self.arrive, (host, address, data)))
+        receiver = self.network.datagram_sockets.get(address)
+        if receiver is not None and host.powered and not receiver.loop.dead:
+            if receiver.loop.busy_until > self.network.scheduler.now:
+                receiver.loop.defer(ScheduledCall(self.arrive, (host, address, data)))
                 return
-            post.loop.busy = self.network.world.now + post.loop.cost
-            events._set_running_loop(post.loop)
-            post.protocol.datagram_received(data, self.here)
+            receiver.loop.busy_until = self.network.scheduler.now + receiver.loop.cost_per_event_s
+            events._set_running_loop(receiver.loop)
+            receiver.protocol.datagram_received(data, self.here)
 
     def close(self) -> None:
-        if self.network.posts.get(self.here) is self:
-            del self.network.posts[self.here]
+        if self.network.datagram_sockets.get(self.here) is self:
+            del self.network.datagram_sockets[self.here]
 
 
-def loop_of(network: Network, host: Host, name: str) -> ProcessLoop:
+def new_process_loop(network: Network, host: Host, name: str) -> ProcessLoop:
     return ProcessLoop(network, host, name)  # type: ignore[abstract]  # of files and threads there are none
 
 
@@ -547,70 +563,72 @@
     """The event loop of one process on one machine."""
 
     def __init__(self, network: Network, host: Host, name: str) -> None:
-        self.network, self.world, self.host, self.name = network, network.world, host, name
+        self.network, self.scheduler, self.host, self.name = network, network.scheduler, host, name
         self.dead = False
-        self.busy = 0.0  # till then it does nothing else
-        self.cost = 0.0  # s that each piece of what comes takes it
-        self.ends: dict[End, None] = {}
-        self.waiting: deque[Due] = deque()  # what came while it was busy, in that order
-        self.called: deque[Due] = deque()  # what it has called for soon itself, which goes first
-        self.wakes = False
-
-    def wait(self, due: Due, called: bool = False) -> None:
+        self.busy_until = 0.0  # till then it does nothing else
+        self.cost_per_event_s = 0.0  # s that each piece of what comes takes it
+        self.transports: dict[StreamTransport, None] = {}
+        self.deferred: deque[Runnable] = deque()  # what came while it was busy, in that order
+        self.deferred_own_calls: deque[Runnable] = (
+            deque()
+        )  # what it has called for soon itself, which goes first
+        self.wake_scheduled = False
+
+    def defer(self, runnable: Runnable, own_call: bool = False) -> None:
         """Once this process is free; one look at the queue, however much waits."""
-        (self.called if called else self.waiting).append(due)
-        if not self.wakes:
-            self.wakes = True
-            self.world.at(self.busy, self.wake)
+        (self.deferred_own_calls if own_call else self.deferred).append(runnable)
+        if not self.wake_scheduled:
+            self.wake_scheduled = True
+            self.scheduler.at(self.busy_until, self.wake)
 
     def wake(self) -> None:
-        world, called, waiting = self.world, self.called, self.waiting
-        while (called or waiting) and self.busy <= world.now and not world.soon:
-            due = called.popleft() if called else waiting.popleft()
-            if due._cancelled or (self.dead and not isinstance(due, Call)):
+        scheduler, deferred_own_calls, deferred = self.scheduler, self.deferred_own_calls, self.deferred
+        while (deferred_own_calls or deferred) and self.busy_until <= scheduler.now and not scheduler.ready:
+            runnable = deferred_own_calls.popleft() if deferred_own_calls else deferred.popleft()
+            if runnable._cancelled or (self.dead and not isinstance(runnable, ScheduledCall)):
                 continue  # a call of the network's own looks itself whether the process lives
             events._set_running_loop(self)
-            due._run()
-        self.wakes = bool(called or waiting)
-        if self.wakes:
-            world.at(self.busy, self.wake)
+            runnable._run()
+        self.wake_scheduled = bool(deferred_own_calls or deferred)
+        if self.wake_scheduled:
+            scheduler.at(self.busy_until, self.wake)
 
-    def die(self, power: bool, draw: random.Random | None = None) -> None:
+    def kill(self, power: bool, rng: random.Random | None = None) -> None:
         """At once, as by SIGKILL; ``power``: the machine goes with it, and says nothing."""
         if self.dead:
             return
         self.dead = True
-        for end in list(self.ends):
+        for transport in list(self.transports):
             if power:
-                end.hush()
+                transport.lose_power()
             else:
-                end.vanish(draw is not None and draw.random() < 0.3)
-        self.ends.clear()
+                transport.process_exited(rng is not None and rng.random() < 0.3)
+        self.transports.clear()
         network = self.network
         for address in [a for a, item in network.listeners.items() if item.loop is self]:
             del network.listeners[address]
-        for address in [a for a, post in network.posts.items() if post.loop is self]:
-            del network.posts[address]
+        for address in [a for a, receiver in network.datagram_sockets.items() if receiver.loop is self]:
+            del network.datagram_sockets[address]
 
     # What asyncio needs.
 
     def time(self) -> float:
-        return self.world.now
+        return self.scheduler.now
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> asyncio.Handle:  # type: ignore[override]
         handle = asyncio.Handle(callback, args, self, context)
-        self.world.soon.append(handle)
+        self.scheduler.ready.append(handle)
         return handle
 
     call_soon_threadsafe = call_soon  # type: ignore[assignment]
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:  # type: ignore[override]
         handle = asyncio.TimerHandle(when, callback, args, self, context)
-        self.world.push(max(when, self.world.now), handle)
+        self.scheduler.schedule(max(when, self.scheduler.now), handle)
         return handle
 
     def call_later(self, delay: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:  # type: ignore[override]
-        return self.call_at(self.world.now + delay, callback, *args, context=context)
+        return self.call_at(self.scheduler.now + delay, callback, *args, context=context)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
         pass
@@ -633,7 +651,9 @@
     def call_exception_handler(self, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if not self.dead and error is not None:
-            self.world.faults.append((self.world.now, self.name, f"{context.get('message')}: {error!r}"))
+            self.scheduler.uncaught_errors.append(
+                (self.scheduler.now, self.name, f"{context.get('message')}: {error!r}")
+            )
 
     async def create_server(  # type: ignore[override]
         self, protocol_factory: Callable[[], Any], host: str, port: int, **kwargs: Any
@@ -645,33 +665,33 @@
 
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Callable[[], Any], host: str, port: int, **kwargs: Any
-    ) -> tuple[End, Any]:
-        future: asyncio.Future[End] = self.create_future()
+    ) -> tuple[StreamTransport, Any]:
+        future: asyncio.Future[StreamTransport] = self.create_future()
 
-        def done(end: End) -> None:
+        def done(transport: StreamTransport) -> None:
             if future.done():
-                end.abort()
+                transport.abort()
             else:
-                future.set_result(end)
+                future.set_result(transport)
 
         def failed(error: OSError) -> None:
             if not future.done():
                 future.set_exception(error)
 
-        dial = self.network.connect(self, (host, port), protocol_factory, done, failed)
+        pending = self.network.connect(self, (host, port), protocol_factory, done, failed)
         try:
-            end = await future
+            transport = await future
         except BaseException:
-            dial.stop()
+            pending.cancel()
             raise
-        return end, end.protocol
+        return transport, transport.protocol
 
     async def create_datagram_endpoint(  # type: ignore[override]
         self, protocol_factory: Callable[[], Any], local_addr: Address, **kwargs: Any
-    ) -> tuple[Mail, Any]:
-        if local_addr in self.network.posts:
+    ) -> tuple[DatagramSocket, Any]:
+        if local_addr in self.network.datagram_sockets:
             raise OSError(f"address in use: {local_addr}")
         protocol = protocol_factory()
-        mail = Mail(self.network, self, local_addr, protocol)
-        protocol.connection_made(mail)
-        return mail, protocol
+        datagram_socket = DatagramSocket(self.network, self, local_addr, protocol)
+        protocol.connection_made(datagram_socket)
+        return datagram_socket, protocol
--- a/latchspoke/lab/system/operators.py
+++ b/latchspoke/lab/system/operators.py
@@ -9,64 +9,66 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from latchspoke.lab.system.callers import affinity_of
-from latchspoke.lab.system.calls import call
-from latchspoke.lab.system.network import Network, loop_of
-from latchspoke.lab.system.record import Doc, Order, Record
-from latchspoke.lab.system.records import Deployment, Kind
+from latchspoke.lab.system.callers import affinity_settings
+from latchspoke.lab.system.day_record import Command, DayRecord, Doc
+from latchspoke.lab.system.http_endpoints import call
+from latchspoke.lab.system.network import Network, new_process_loop
+from latchspoke.lab.system.scenario import Deployment, RequestKind
 from latchspoke.lab.virtual import Address
 from latchspoke.rollouts import plan as rollouts
 from latchspoke.rollouts.engine import Answer, Look, Read, Rollout, Wait
-from latchspoke.rollouts.engine import Order as Move
+from latchspoke.rollouts.engine import Order as RolloutCommand
 from latchspoke.rollouts.evidence import gather
 
-STOP = frozenset((400, 409, 412, 413, 422))
-LIMIT = 1.0  # s for an answer
-PAUSE = (0.05, 0.8)  # s between tries
+FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
+ANSWER_TIMEOUT_S = 1.0  # s for an answer
+RETRY_PAUSE_S = (0.05, 0.8)  # s between tries
 
 
-class Plan:
+class ConfigurationPlan:
     """Names of a deployment, its first configuration, and the changes to it."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.deployment = deployment
-        self.draw = draw = random.Random(f"plan:{deployment.name}:{seed}")
+        self.rng = rng = random.Random(f"plan:{deployment.name}:{seed}")
         self.hosts = [f"h{n}.example" for n in range(2)]
         self.host_of = {kind.name: self.hosts[n % 2] for n, kind in enumerate(deployment.kinds)}
         count = deployment.tenants.count
         weights = [1.0 / (n + 1) for n in range(count)]
         self.shares = {f"t{n}": w / sum(weights) for n, w in enumerate(weights)}
-        self.keys = {name: [f"k{draw.getrandbits(60):015x}" for _ in "12"] for name in self.shares}
-        self.held = {key: name for name, keys in self.keys.items() for key in keys}
+        self.keys = {name: [f"k{rng.getrandbits(60):015x}" for _ in "12"] for name in self.shares}
+        self.key_owners = {key: name for name, keys in self.keys.items() for key in keys}
         self.moved: dict[str, str] = {}  # kind -> the service that it was moved to
-        self.old: dict[str, str] = {}  # tenant -> a key that was just taken away
+        self.revoked_keys: dict[str, str] = {}  # tenant -> a key that was just taken away
         self.number = 1
         self.extra = 0
         regions = sorted(set(deployment.zones.values()))
         self.homes = {
-            name: [draw.choice(regions)] if draw.random() < deployment.tenants.homed else []
+            name: [rng.choice(regions)] if rng.random() < deployment.tenants.homed else []
             for name in self.shares
         }
 
     def share(self, tenant: str) -> float:
         return self.shares.get(tenant, 0.0)
 
-    def tenant(self, draw: random.Random, rush: dict[str, float], kind: Kind) -> str:
+    def tenant(self, rng: random.Random, rush: dict[str, float], kind: RequestKind) -> str:
         names = list(self.shares)
-        return draw.choices(names, [self.shares[n] * rush.get(n, 1.0) for n in names])[0]
+        return rng.choices(names, [self.shares[n] * rush.get(n, 1.0) for n in names])[0]
 
-    def address(self, draw: random.Random, kind: Kind, tenant: str) -> tuple[str, str, str]:
+    def address(self, rng: random.Random, kind: RequestKind, tenant: str) -> tuple[str, str, str]:
         """Host, path and key of a request."""
-        path = f"/{kind.name}/{draw.getrandbits(20):x}"
-        old = self.old.get(tenant)
-        key = old if old is not None and draw.random() < 0.1 else draw.choice(self.keys[tenant])
+        path = f"/{kind.name}/{rng.getrandbits(20):x}"
+        revoked_keys = self.revoked_keys.get(tenant)
+        key = (
+            revoked_keys if revoked_keys is not None and rng.random() < 0.1 else rng.choice(self.keys[tenant])
+        )
         return self.host_of[kind.name], path, key
 
-    def version(self) -> int:
-        self.number += self.draw.randint(1, 3)
+    def next_version(self) -> int:
+        self.number += self.rng.randint(1, 3)
         return self.number
 
-    def first(self) -> Doc:
+    def initial(self) -> Doc:
         d = self.deployment
         listeners: list[Doc] = [{"host": host, "ruleSet": []} for host in self.hosts]
         for kind in d.kinds:
@@ -95,30 +97,30 @@
             "listenerList": listeners, "clusterList": clusters,
         }  # fmt: skip
 
-    def rule(self, kind: Kind) -> Doc:
-        rule = rule_of(kind)
-        kept = affinity_of(self.deployment.callers) if self.deployment.callers is not None else None
+    def rule(self, kind: RequestKind) -> Doc:
+        rule = rule_for(kind)
+        kept = affinity_settings(self.deployment.callers) if self.deployment.callers is not None else None
         if kept is not None:
             rule["actionSpec"]["affinity"] = kept
         return rule
 
-    def on(self, doc: Doc) -> Doc:
+    def successor_of(self, doc: Doc) -> Doc:
         """A copy with the next number, on top of it."""
         new = copy.deepcopy(doc)
-        new["baseVersion"], new["version"] = doc["version"], f"{self.version():08x}"
+        new["baseVersion"], new["version"] = doc["version"], f"{self.next_version():08x}"
         return new
 
     def changed(self, doc: Doc, how: str) -> Doc:
-        new, draw = self.on(doc), self.draw
+        new, rng = self.successor_of(doc), self.rng
         rules = [rule for item in new["listenerList"] for rule in item["ruleSet"]]
         movable = [r for r in rules if any(k.name == r["name"] and k.also for k in self.deployment.kinds)]
         match how:
             case "weights" | "move" if movable:
-                rule = draw.choice(movable)
+                rule = rng.choice(movable)
                 kind = next(k for k in self.deployment.kinds if k.name == rule["name"])
                 action = rule["actionSpec"]
                 action.pop("service", None)
-                part = draw.choice((10, 30, 50))
+                part = rng.choice((10, 30, 50))
                 action["weightedSplit"] = [
                     {"service": kind.service, "weight": 100 - part}, {"service": kind.also, "weight": part},
                 ]  # fmt: skip
@@ -129,17 +131,17 @@
                         kind.also if there == kind.service else kind.service
                     )
             case "timeout":
-                action = draw.choice(rules)["actionSpec"]
-                action["timeoutS"] = round(action["timeoutS"] * draw.uniform(0.8, 1.3), 2)
+                action = rng.choice(rules)["actionSpec"]
+                action["timeoutS"] = round(action["timeoutS"] * rng.uniform(0.8, 1.3), 2)
             case "quota":
-                tenant = draw.choice(new["tenants"])
-                tenant["ratePerS"] = round(tenant["ratePerS"] * draw.uniform(0.6, 1.5), 1)
+                tenant = rng.choice(new["tenants"])
+                tenant["ratePerS"] = round(tenant["ratePerS"] * rng.uniform(0.6, 1.5), 1)
             case _:
                 idle = [r for r in rules if r["name"].startswith("extra")]
-                if idle and draw.random() < 0.4:
-                    gone = draw.choice(idle)["name"]
+                if idle and rng.random() < 0.4:
+                    removed = rng.choice(idle)["name"]
                     for item in new["listenerList"]:
-                        item["ruleSet"] = [r for r in item["ruleSet"] if r["name"] != gone]
+                        item["ruleSet"] = [r for r in item["ruleSet"] if r["name"] != removed]
                 else:
                     self.add(new, 1)
         return new
@@ -147,34 +149,34 @@
     def add(self, doc: Doc, count: int) -> None:
         for _ in range(count):
             self.extra += 1
-            kind = self.draw.choice(self.deployment.kinds)
-            rule = rule_of(kind) | {"name": f"extra{self.extra}", "routeKind": "idempotent"}
+            kind = self.rng.choice(self.deployment.kinds)
+            rule = rule_for(kind) | {"name": f"extra{self.extra}", "routeKind": "idempotent"}
             rule["matchCriteria"] = {"pathPrefix": f"/extra{self.extra}/"}
-            self.draw.choice(doc["listenerList"])["ruleSet"].append(rule)
+            self.rng.choice(doc["listenerList"])["ruleSet"].append(rule)
 
-    def rekeyed(self, doc: Doc) -> Doc:
+    def with_new_key(self, doc: Doc) -> Doc:
         """One tenant gets a new key, and loses its oldest."""
-        new = self.on(doc)
-        tenant = self.draw.choice(new["tenants"])
-        fresh = f"k{self.draw.getrandbits(60):015x}"
-        self.held[fresh] = tenant["name"]
-        name, gone = tenant["name"], tenant["apiKeys"][0]
-        tenant["apiKeys"] = [*tenant["apiKeys"][1:], fresh]
+        new = self.successor_of(doc)
+        tenant = self.rng.choice(new["tenants"])
+        new_key = f"k{self.rng.getrandbits(60):015x}"
+        self.key_owners[new_key] = tenant["name"]
+        name, revoked = tenant["name"], tenant["apiKeys"][0]
+        tenant["apiKeys"] = [*tenant["apiKeys"][1:], new_key]
         # Most clients know beforehand, and use the new key once it is acknowledged.
         self.keys[name] = tenant["apiKeys"][:-1]
-        self.old[name] = gone
+        self.revoked_keys[name] = revoked
         return new
 
-    def known(self, doc: Doc) -> None:
+    def acknowledged(self, doc: Doc) -> None:
         """This one is acknowledged."""
         for tenant in doc["tenants"]:
-            if self.old.get(tenant["name"]) not in tenant["apiKeys"]:
+            if self.revoked_keys.get(tenant["name"]) not in tenant["apiKeys"]:
                 self.keys[tenant["name"]] = list(tenant["apiKeys"])
 
-    def spoilt(self, doc: Doc) -> Doc:
-        new, draw = self.on(doc), self.draw
-        rule = draw.choice([r for item in new["listenerList"] for r in item["ruleSet"]])
-        match draw.randrange(6):
+    def invalid_version(self, doc: Doc) -> Doc:
+        new, rng = self.successor_of(doc), self.rng
+        rule = rng.choice([r for item in new["listenerList"] for r in item["ruleSet"]])
+        match rng.randrange(6):
             case 0:
                 rule["actionSpec"]["maxAttempts"] = 0
             case 1:
@@ -194,7 +196,7 @@
         return new
 
 
-def rule_of(kind: Kind) -> Doc:
+def rule_for(kind: RequestKind) -> Doc:
     action = {
         "service": kind.service, "timeoutS": round(kind.deadline_ms / 1000 * 1.2, 3),
         "maxAttempts": kind.attempts, "homeRegions": list(kind.homes),
@@ -206,7 +208,7 @@
     }  # fmt: skip
 
 
-def patch_of(old: Doc, new: Doc) -> Doc:
+def patch_for(old: Doc, new: Doc) -> Doc:
     """The change as ``configuration.modify`` takes it, whole items by name."""
     upsert: dict[str, Any] = {}
     was = {r["name"]: r for item in old["listenerList"] for r in item["ruleSet"]}
@@ -229,19 +231,19 @@
     """Sends orders, and records what came of them."""
 
     def __init__(
-        self, deployment: Deployment, network: Network, record: Record, plan: Plan, seed: int,
+        self, deployment: Deployment, network: Network, record: DayRecord, plan: ConfigurationPlan, seed: int,
         control: Callable[[], list[Address]],
     ) -> None:  # fmt: skip
         self.deployment, self.network, self.record, self.plan = deployment, network, record, plan
-        self.control, self.world = control, network.world
-        self.draw = random.Random(f"operator:{seed}")
+        self.control, self.scheduler = control, network.scheduler
+        self.rng = random.Random(f"operator:{seed}")
         zone = next(iter(deployment.zones))
         network.host("client:operator", zone, deployment.zones[zone])
-        self.loop = loop_of(network, network.hosts["client:operator"], "operator")
-        self.doc: Doc = plan.first()  # the newest known to be taken
+        self.loop = new_process_loop(network, network.hosts["client:operator"], "operator")
+        self.doc: Doc = plan.initial()  # the newest known to be taken
         self.docs: dict[int, Doc] = {int(self.doc["version"], 16): self.doc}
         self.lock = asyncio.Lock()
-        self.on_ack: list[Callable[[Order], None]] = []
+        self.on_ack: list[Callable[[Command], None]] = []
         self.until = 1e9
         self.lost_share, self.lost_until = 0.0, 0.0
 
@@ -252,55 +254,59 @@
         """Until then (s of the day) this share of the answers to orders is lost on the way."""
         self.lost_share, self.lost_until = share, until
 
-    def loses_answer(self) -> bool:
+    def answer_is_lost(self) -> bool:
         """Whether the answer that has just come was lost."""
-        return self.world.now < self.lost_until and self.draw.random() < self.lost_share
+        return self.scheduler.now < self.lost_until and self.rng.random() < self.lost_share
 
-    async def send(self, order: Order, target: str, body: bytes | None, until: float) -> int:
+    async def send(self, command: Command, target: str, body: bytes | None, until: float) -> int:
         """Until there is a clear answer; its status, or 0."""
-        self.record.orders.append(order)
-        pause, odd = PAUSE[0], 0
-        limit = LIMIT + (len(body) / 100_000 if body else 0.0)
-        while self.world.now < until:
+        self.record.commands.append(command)
+        pause, client_errors = RETRY_PAUSE_S[0], 0
+        limit = ANSWER_TIMEOUT_S + (len(body) / 100_000 if body else 0.0)
+        while self.scheduler.now < until:
             addresses = self.control()
-            address = self.draw.choice(addresses)
+            address = self.rng.choice(addresses)
             status, _, _ = await call(self.loop, address, "POST", target, body, limit)
-            if status and self.loses_answer():
+            if status and self.answer_is_lost():
                 if status == 200:
-                    order.unheard = min(order.unheard, self.world.now)
+                    command.lost_ack_at = min(command.lost_ack_at, self.scheduler.now)
                 status = 0
             if 200 <= status < 300:
-                order.acked, order.by, order.status = self.world.now, address[0], status
-                for hear in self.on_ack:
-                    hear(order)
+                command.acked_at, command.answered_by, command.status = self.scheduler.now, address[0], status
+                for callback in self.on_ack:
+                    callback(command)
                 return status
-            odd += 400 <= status < 500 and status not in (408, 429)
-            if status in STOP or odd >= 3:
-                order.refused, order.by, order.status = self.world.now, address[0], status
+            client_errors += 400 <= status < 500 and status not in (408, 429)
+            if status in FINAL_STATUSES or client_errors >= 3:
+                command.refused_at, command.answered_by, command.status = (
+                    self.scheduler.now,
+                    address[0],
+                    status,
+                )
                 return status
-            await asyncio.sleep(pause * self.draw.uniform(0.8, 1.2))
-            pause = min(pause * 1.7, PAUSE[1])
-        order.over = self.world.now
+            await asyncio.sleep(pause * self.rng.uniform(0.8, 1.2))
+            pause = min(pause * 1.7, RETRY_PAUSE_S[1])
+        command.abandoned_at = self.scheduler.now
         return 0
 
-    async def begin(self) -> None:
+    async def submit_initial(self) -> None:
         """The first one, until it is taken."""
         async with self.lock:
-            await self.put(self.doc, None)
+            await self.submit(self.doc, None)
 
-    async def put(self, doc: Doc, old: Doc | None, valid: bool = True) -> int:
+    async def submit(self, doc: Doc, old: Doc | None, valid: bool = True) -> int:
         version, base = int(doc["version"], 16), int(doc["baseVersion"], 16)
         self.docs[version] = doc
-        if old is not None and valid and self.draw.random() < 0.5:
-            what, body = "modify", patch_of(old, doc)
+        if old is not None and valid and self.rng.random() < 0.5:
+            what, body = "modify", patch_for(old, doc)
         else:
             what, body = "replace", doc
-        order = Order(what, version, base, doc, "", self.world.now, valid)
+        command = Command(what, version, base, doc, "", self.scheduler.now, valid)
         target = f"/rpc?call=configuration.{what}"
-        status = await self.send(order, target, json.dumps(body).encode(), self.until)
+        status = await self.send(command, target, json.dumps(body).encode(), self.until)
         if status == 200 and valid and int(self.doc["version"], 16) < version:
             self.doc = doc
-            self.plan.known(doc)
+            self.plan.acknowledged(doc)
         return status
 
     async def change(self, make: Callable[[Doc], Doc], valid: bool = True) -> None:
@@ -308,37 +314,45 @@
         async with self.lock:
             for _ in range(3):
                 old = self.doc
-                status = await self.put(make(old), old, valid)
+                status = await self.submit(make(old), old, valid)
                 if status != 412 or not valid:
                     return
                 found = await self.read(3.0)
                 if found is not None and found["version"] != old["version"]:
                     self.doc = self.docs.get(int(found["version"], 16), found)
 
-    async def rollout(self, plan: rollouts.Plan, doors: Callable[[], list[Address]]) -> None:
+    async def rollout(self, plan: rollouts.Plan, readiness_addresses: Callable[[], list[Address]]) -> None:
         """A roll-out by its real state machine; what happens is told in the record."""
-        rollout = Rollout(plan, self.world.now)
+        rollout = Rollout(plan, self.scheduler.now)
         while rollout.end is None:
-            match rollout.next(self.world.now):
+            match rollout.next(self.scheduler.now):
                 case Wait(until):
-                    await asyncio.sleep(max(until - self.world.now, 0.01))
+                    await asyncio.sleep(max(until - self.scheduler.now, 0.01))
                 case Read():
                     found = await self.read(2.0)
                     if found is None:
-                        rollout.unread("nobody answers", self.world.now)
+                        rollout.unread("nobody answers", self.scheduler.now)
                     else:
-                        rollout.read(cast(Any, found), self.world.now)
-                case Move(_, patch):
+                        rollout.read(cast(Any, found), self.scheduler.now)
+                case RolloutCommand(_, patch):
                     answer = await self.put_rule(patch)
-                    rollout.answered(answer, self.world.now)
+                    rollout.answered(answer, self.scheduler.now)
                 case Look(since):
-                    views = await asyncio.gather(*(self.reach(door, since) for door in doors()))
-                    aim = next(k.aim_ms for k in self.deployment.kinds if k.name == plan.route) / 1000
-                    told = {str(n): view for n, view in enumerate(views)}
+                    views = await asyncio.gather(
+                        *(self.reach(address, since) for address in readiness_addresses())
+                    )
+                    target_latency_s = (
+                        next(k.aim_ms for k in self.deployment.kinds if k.name == plan.route) / 1000
+                    )
+                    views_by_gateway = {str(n): view for n, view in enumerate(views)}
                     found = await self.read(2.0)
-                    rollout.seen(gather(told, plan.route, aim), cast(Any, found), self.world.now)
+                    rollout.seen(
+                        gather(views_by_gateway, plan.route, target_latency_s),
+                        cast(Any, found),
+                        self.scheduler.now,
+                    )
             for event in rollout.take_events():
-                self.record.told.append((event.at, "operator", f"rollout-{event.code}", event.fields))
+                self.record.log_events.append((event.at, "operator", f"rollout-{event.code}", event.fields))
 
     async def put_rule(self, patch: Doc) -> Answer:
         """A change of one rule, on top of whatever version it names."""
@@ -346,49 +360,51 @@
             version, base = int(patch["version"], 16), int(patch["baseVersion"], 16)
             if base not in self.docs or version in self.docs:
                 return Answer.CONFLICT
-            whole = copy.deepcopy(self.docs[base])
+            document = copy.deepcopy(self.docs[base])
             (new,) = patch["upsert"]["listenerList"][0]["ruleSet"]
-            for listener in whole["listenerList"]:
+            for listener in document["listenerList"]:
                 rules = listener["ruleSet"]
                 listener["ruleSet"] = [new if rule["name"] == new["name"] else rule for rule in rules]
-            whole |= {"version": patch["version"], "baseVersion": patch["baseVersion"]}
-            self.docs[version], self.plan.number = whole, max(self.plan.number, version)
-            order = Order("modify", version, base, whole, "", self.world.now)
-            until = min(self.world.now + self.deployment.bound("ackS"), self.until)
+            document |= {"version": patch["version"], "baseVersion": patch["baseVersion"]}
+            self.docs[version], self.plan.number = document, max(self.plan.number, version)
+            command = Command("modify", version, base, document, "", self.scheduler.now)
+            until = min(self.scheduler.now + self.deployment.bound("ackS"), self.until)
             target = "/rpc?call=configuration.modify"
-            status = await self.send(order, target, json.dumps(patch).encode(), until)
+            status = await self.send(command, target, json.dumps(patch).encode(), until)
             if status == 200:
-                self.doc = whole
+                self.doc = document
                 return Answer.TAKEN
             return {412: Answer.CONFLICT, 0: Answer.UNCLEAR}.get(status, Answer.REFUSED)
 
-    async def reach(self, door: Address, since: float) -> Doc | None:
-        status, _, body = await call(self.loop, door, "GET", f"/reach?since={since:g}", None, LIMIT)
+    async def reach(self, address: Address, since: float) -> Doc | None:
+        status, _, body = await call(
+            self.loop, address, "GET", f"/reach?since={since:g}", None, ANSWER_TIMEOUT_S
+        )
         return json.loads(body) if status == 200 else None
 
     async def race(self) -> None:
         async with self.lock:
             old = self.doc
-            one, other = self.plan.changed(old, "timeout"), self.plan.changed(old, "idle")
-            await asyncio.gather(self.put(one, old), self.put(other, old))
+            first, second = self.plan.changed(old, "timeout"), self.plan.changed(old, "idle")
+            await asyncio.gather(self.submit(first, old), self.submit(second, old))
 
     async def evacuate(self, zone: str, lasts: float) -> None:
         async with self.lock:
-            order = Order("begin", 0, 0, None, zone, self.world.now)
-            until = self.world.now + self.deployment.bound("ackS")
-            await self.send(order, f"/rpc?call=evacuation.begin&of={zone}", None, until)
+            command = Command("begin", 0, 0, None, zone, self.scheduler.now)
+            until = self.scheduler.now + self.deployment.bound("ackS")
+            await self.send(command, f"/rpc?call=evacuation.begin&of={zone}", None, until)
         await asyncio.sleep(lasts)
         async with self.lock:
-            order = Order("finish", 0, 0, None, zone, self.world.now)
-            until = self.world.now + self.deployment.bound("ackS")
-            await self.send(order, f"/rpc?call=evacuation.finish&of={zone}", None, until)
+            command = Command("finish", 0, 0, None, zone, self.scheduler.now)
+            until = self.scheduler.now + self.deployment.bound("ackS")
+            await self.send(command, f"/rpc?call=evacuation.finish&of={zone}", None, until)
 
     async def read(self, lasts: float) -> Doc | None:
-        until = self.world.now + lasts
-        while self.world.now < until:
-            address = self.draw.choice(self.control())
+        until = self.scheduler.now + lasts
+        while self.scheduler.now < until:
+            address = self.rng.choice(self.control())
             status, _, body = await call(
-                self.loop, address, "POST", "/rpc?call=configuration.read", None, LIMIT
+                self.loop, address, "POST", "/rpc?call=configuration.read", None, ANSWER_TIMEOUT_S
             )
             if status == 200:
                 found: Doc = json.loads(body)
@@ -397,6 +413,6 @@
         return None
 
     async def read_back(self) -> None:
-        await asyncio.sleep(LIMIT + 0.5)
-        self.record.asked_back = self.world.now
+        await asyncio.sleep(ANSWER_TIMEOUT_S + 0.5)
+        self.record.read_back_started_at = self.scheduler.now
         self.record.read_back = await self.read(self.deployment.bound("contactS") + 2.0)
