--- a/latchspoke/lab/system/report.py
+++ b/latchspoke/lab/system/report.py
@@ -10,55 +10,59 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from latchspoke.lab.system.day import Played
+from latchspoke.lab.system.day import DayResult
 from latchspoke.lab.system.rules import Finding
 
 if TYPE_CHECKING:
     from latchspoke.lab.system.hunt import Outcome
 
 
-def story(played: Played, who: str, at: float, window: float) -> list[str]:
+def story_lines(result: DayResult, who: str, at: float, window: float) -> list[str]:
     """What was seen of it, or around the time, in order."""
-    record = played.record
-    lines: list[tuple[float, str]] = [(when, f"trouble: {what.strip()}") for when, what in record.acted]
-    attempt = record.tries.get(who)
+    record = result.record
+    lines: list[tuple[float, str]] = [
+        (when, f"trouble: {what.strip()}") for when, what in record.injected_troubles
+    ]
+    attempt = record.attempts.get(who)
     machines: set[str] = set()
     if attempt is not None:
         lines.append(
             (attempt.sent, f"sent to {attempt.gateway}: {attempt.method} {attempt.host}{attempt.path}")
         )
         lines.append((attempt.ended, f"answered {attempt.status}"))
-        machines.add(played.edges.get(attempt.gateway, ""))
+        machines.add(result.edges.get(attempt.gateway, ""))
     for arrival in record.arrivals:
         if who and who in (arrival.ident, arrival.server):
             ran = "runs" if arrival.ran else f"turned away with {arrival.status}"
             lines.append((arrival.at, f"{arrival.server} ({arrival.service}): {arrival.ident} {ran}"))
-            machines.add(played.edges.get(arrival.source, ""))
-    for order in record.orders:
-        name = f"{order.what} {order.version:08x} on {order.base:08x} {order.zone}"
-        lines.append((order.sent, f"operator sends {name}"))
-        if not math.isinf(order.acked):
-            lines.append((order.acked, f"acknowledged by {order.by}: {name}"))
-        if not math.isinf(order.refused):
-            lines.append((order.refused, f"refused with {order.status} by {order.by}: {name}"))
-    for when, machine, event, fields in record.told:
+            machines.add(result.edges.get(arrival.source, ""))
+    for command in record.commands:
+        name = f"{command.what} {command.version:08x} on {command.base:08x} {command.zone}"
+        lines.append((command.sent, f"operator sends {name}"))
+        if not math.isinf(command.acked_at):
+            lines.append((command.acked_at, f"acknowledged by {command.answered_by}: {name}"))
+        if not math.isinf(command.refused_at):
+            lines.append(
+                (command.refused_at, f"refused with {command.status} by {command.answered_by}: {name}")
+            )
+    for when, machine, event, fields in record.log_events:
         if not machines or machine in machines or machine == who or machine.startswith("core"):
-            told = " ".join(f"{k}={v}" for k, v in fields.items())
-            lines.append((when, f"{machine}: {event} {told}"))
+            field_text = " ".join(f"{k}={v}" for k, v in fields.items())
+            lines.append((when, f"{machine}: {event} {field_text}"))
     near = sorted((when, line) for when, line in lines if abs(when - at) <= window)
     return [f"{when:8.3f} {line}" for when, line in near]
 
 
-def write(folder: Path, played: Played, findings: list[Finding], outcome: Outcome) -> None:
+def write(folder: Path, result: DayResult, findings: list[Finding], outcome: Outcome) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     rows = "".join(f"<li><code>{html.escape(str(f))}</code></li>" for f in findings)
-    troubles = "".join(f"<li><code>{html.escape(str(t))}</code></li>" for t in played.day.troubles)
+    troubles = "".join(f"<li><code>{html.escape(str(t))}</code></li>" for t in result.day.troubles)
     pictures = "".join(
-        f"<h2>{title}</h2><img src='data:image/png;base64,{draw}'>" for title, draw in drawn(played)
+        f"<h2>{title}</h2><img src='data:image/png;base64,{plot}'>" for title, plot in plots(result)
     )
     page = (
         f"<!doctype html><meta charset='utf-8'><title>{html.escape(outcome.deployment)}</title>"
-        f"<h1>{html.escape(outcome.deployment)}, seed {played.day.seed}</h1>"
+        f"<h1>{html.escape(outcome.deployment)}, seed {result.day.seed}</h1>"
         f"<p>Worth {outcome.worth:.3f}, served {outcome.served:.3f} of {outcome.requests}.</p>"
         f"<h2>Rules broken</h2><ul>{rows or '<li>none</li>'}</ul>"
         f"<h2>Troubles</h2><ul>{troubles}</ul>{pictures}"
@@ -66,21 +70,21 @@
     (folder / "report.html").write_text(page)
 
 
-def drawn(played: Played) -> list[tuple[str, str]]:
+def plots(result: DayResult) -> list[tuple[str, str]]:
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     found = []
-    for title, draw in (
+    for title, plot in (
         ("Worth over time", worth), ("Who knew which version when", versions), ("Servers' load", load),
         ("Refusals by reason", refusals),
     ):  # fmt: skip
         figure, axes = pyplot.subplots(figsize=(10, 3.2))
-        draw(played, axes)
+        plot(result, axes)
         axes.set_xlabel("s")
-        for at, _ in played.record.acted:
+        for at, _ in result.record.injected_troubles:
             axes.axvline(at, color="0.8", linewidth=0.8, zorder=0)
         image = io.BytesIO()
         figure.savefig(image, format="png", bbox_inches="tight", dpi=90)
@@ -97,36 +101,36 @@
     return seconds, [sums[s] for s in seconds]
 
 
-def worth(played: Played, axes: Any) -> None:
-    wishes = played.record.wishes
-    axes.step(*by_second((w.at, w.worth) for w in wishes), label="owed")
-    axes.step(*by_second((w.at, w.earned) for w in wishes), label="earned")
+def worth(result: DayResult, axes: Any) -> None:
+    requests = result.record.requests
+    axes.step(*by_second((w.at, w.worth) for w in requests), label="owed")
+    axes.step(*by_second((w.at, w.earned) for w in requests), label="earned")
     axes.set_ylabel("worth a second")
     if axes.lines:
         axes.legend()
 
 
-def versions(played: Played, axes: Any) -> None:
+def versions(result: DayResult, axes: Any) -> None:
     known: dict[str, list[tuple[float, int]]] = defaultdict(list)
-    for at, machine, event, fields in played.record.told:
+    for at, machine, event, fields in result.record.log_events:
         if event == "orders":
             known[machine].append((at, int(fields["version"], 16)))
     for machine, steps in sorted(known.items()):
         axes.step(*zip(*steps, strict=True), where="post", label=machine, linewidth=1)
-    for order in played.record.orders:
-        if order.version and not math.isinf(order.acked):
-            axes.plot([order.acked], [order.version], "k.", markersize=5)
+    for command in result.record.commands:
+        if command.version and not math.isinf(command.acked_at):
+            axes.plot([command.acked_at], [command.version], "k.", markersize=5)
     axes.set_ylabel("version (dots: acknowledged)")
     if axes.lines:
         axes.legend(fontsize=5, ncol=2, loc="lower right")
 
 
-def load(played: Played, axes: Any) -> None:
+def load(result: DayResult, axes: Any) -> None:
     busy: dict[str, dict[int, float]] = defaultdict(lambda: defaultdict(float))
     slots: dict[str, int] = defaultdict(int)
-    for service, _, count, _ in played.lives.values():
+    for service, _, count, _ in result.instances.values():
         slots[service] += count
-    for arrival in played.record.arrivals:
+    for arrival in result.record.arrivals:
         if arrival.ran and not math.isinf(arrival.ended):
             busy[arrival.service][int(arrival.at)] += arrival.ended - arrival.at
     for service, seconds in sorted(busy.items()):
@@ -136,9 +140,9 @@
         axes.legend()
 
 
-def refusals(played: Played, axes: Any) -> None:
+def refusals(result: DayResult, axes: Any) -> None:
     reasons: dict[int, list[tuple[float, float]]] = defaultdict(list)
-    for attempt in played.record.tries.values():
+    for attempt in result.record.attempts.values():
         if attempt.status not in (0, 200):
             reasons[attempt.status].append((attempt.ended, 1.0))
     for status, times in sorted(reasons.items()):
--- a/latchspoke/lab/system/records.py
+++ b/latchspoke/lab/system/scenario.py
@@ -12,11 +12,11 @@
 Struct = msgspec.Struct
 
 
-class RecordError(ValueError):
+class ScenarioError(ValueError):
     """A record that can't be used; one line says where and why."""
 
 
-class Ways(Struct, forbid_unknown_fields=True):
+class Latencies(Struct, forbid_unknown_fields=True):
     """One way, in ms: within a zone, between zones, between regions, and beside it for clients."""
 
     zone_ms: float = 0.2
@@ -25,7 +25,7 @@
     client_ms: float = 2.0
 
 
-class Machines(Struct, forbid_unknown_fields=True):
+class MachineGroup(Struct, forbid_unknown_fields=True):
     """So many machines of a kind (edge, core) in a zone; ``link_mbps`` 0: their links are not bounded."""
 
     kind: str
@@ -48,7 +48,7 @@
     speeds: tuple[float, ...] = (0.8, 1.0, 1.2)
 
 
-class Kind(Struct, forbid_unknown_fields=True):
+class RequestKind(Struct, forbid_unknown_fields=True):
     """A kind of request, with its route."""
 
     name: str
@@ -71,13 +71,13 @@
     attempts: int = 2
 
 
-class Tenants(Struct, forbid_unknown_fields=True):
+class TenantSettings(Struct, forbid_unknown_fields=True):
     count: int = 6
     quota_x: float = 1.6  # of its usual traffic
     homed: float = 0.1  # of the tenants have a home region
 
 
-class Callers(Struct, forbid_unknown_fields=True):
+class CallerSettings(Struct, forbid_unknown_fields=True):
     """Clients with names of their own, so many of each kind (``callers.py``). Times in seconds."""
 
     count: int = 120
@@ -96,12 +96,12 @@
 
     name: str
     zones: dict[str, str]  # zone -> region
-    machines: list[Machines]
+    machines: list[MachineGroup]
     services: list[Service]
-    kinds: list[Kind]
+    kinds: list[RequestKind]
     bounds: dict[str, float | bool] = msgspec.field(default_factory=dict)
-    ways: Ways = msgspec.field(default_factory=Ways)
-    tenants: Tenants = msgspec.field(default_factory=Tenants)
+    ways: Latencies = msgspec.field(default_factory=Latencies)
+    tenants: TenantSettings = msgspec.field(default_factory=TenantSettings)
     cost_ms: float = 0.2  # of processor for each piece of what comes to a process
     lead: float = 10.0
     length: float = 30.0
@@ -112,7 +112,7 @@
     tolerate_zones: int = 1
     tolerate_regions: int = 0
     troubles: tuple[str, ...] = ()  # kinds that its days may have; none named: all
-    callers: Callers | None = None  # none: every request is somebody else's
+    callers: CallerSettings | None = None  # none: every request is somebody else's
 
     def bound(self, name: str) -> float:
         return float(self.bounds.get(name, BOUNDS[name]))
@@ -148,8 +148,8 @@
 
 
 # What a kind of trouble may draw: how, and (from, to) for lasts, count and x.
-Draws = tuple[tuple[str, ...], tuple[float, float], tuple[int, int], tuple[float, float]]
-KINDS: dict[str, Draws] = {
+DrawRanges = tuple[tuple[str, ...], tuple[float, float], tuple[int, int], tuple[float, float]]
+TROUBLE_RANGES: dict[str, DrawRanges] = {
     # the operator
     "change": (("weights", "timeout", "idle", "quota", "move"), (0, 0), (1, 1), (1, 1)),
     "race": (("",), (0, 0), (2, 4), (1, 1)),
@@ -199,7 +199,7 @@
     "end_kill": (("",), (0.5, 2), (1, 1), (1, 1)),
     "end_wipe": (("", "others"), (0.5, 2), (1, 1), (1, 1)),
 }
-CALM = (
+PLANNED_WORK = (
     "change",
     "race",
     "storm",
@@ -212,7 +212,7 @@
     "scale_out",
     "roll_term",
 )
-SERVERS = (
+SERVER_TROUBLES = (
     "crash",
     "release",
     "shrink",
@@ -224,10 +224,10 @@
     "idle_race",
     "scale_out",
 )  # kinds that are of one service
-ENDS = ("end_power", "end_kill", "end_wipe")
-WRITTEN = ("rolling", "rollout", "replace", "stutter")  # in a day's file, or of a theme of its own
-REPLACED = ("", "oldest", "planned", "leader")  # how control machines are replaced
-LAST = 9.0  # s before the end of traffic, a closing fault or the last trouble
+FINAL_FAULTS = ("end_power", "end_kill", "end_wipe")
+EXPLICIT_ONLY = ("rolling", "rollout", "replace", "stutter")  # in a day's file, or of a theme of its own
+REPLACEMENT_MODES = ("", "oldest", "planned", "leader")  # how control machines are replaced
+QUIET_END_S = 9.0  # s before the end of traffic, a closing fault or the last trouble
 
 
 class Day(Struct, frozen=True, forbid_unknown_fields=True):
@@ -238,49 +238,49 @@
     load: float = 1.0
 
 
-def draw_trouble(draw: random.Random, kind: str, at: float, deployment: Deployment) -> Trouble:
-    hows, lasts, counts, xs = KINDS[kind]
+def draw_trouble(rng: random.Random, kind: str, at: float, deployment: Deployment) -> Trouble:
+    hows, lasts, counts, xs = TROUBLE_RANGES[kind]
     where = ""
     if kind in ("evacuate", "cold", "zone_power"):
-        where = draw.choice(sorted(deployment.zones))
-    elif kind in SERVERS:
-        where = draw.choice(deployment.services).name
+        where = rng.choice(sorted(deployment.zones))
+    elif kind in SERVER_TROUBLES:
+        where = rng.choice(deployment.services).name
     return Trouble(
-        round(at, 2), kind, round(draw.uniform(*lasts), 2), draw.randint(*counts),
-        round(draw.uniform(*xs), 3),
-        draw.choice(hows), where,
+        round(at, 2), kind, round(rng.uniform(*lasts), 2), rng.randint(*counts),
+        round(rng.uniform(*xs), 3),
+        rng.choice(hows), where,
     )  # fmt: skip
 
 
 def draw_losses(deployment: Deployment, seed: int) -> Day:
     """Control machines replaced in turn while the operator gives orders; perhaps a closing fault."""
-    draw = random.Random(f"losses:{deployment.name}:{seed}")
-    last = max(deployment.length - LAST, 4.0)
+    rng = random.Random(f"losses:{deployment.name}:{seed}")
+    last = max(deployment.length - QUIET_END_S, 4.0)
     troubles = [
-        Trouble(2.0, "replace", 0.0, 8, round(draw.uniform(0.3, 2.0), 2), draw.choice(REPLACED)),
-        *(draw_trouble(draw, "change", draw.uniform(1.5, last), deployment) for _ in range(4)),
+        Trouble(2.0, "replace", 0.0, 8, round(rng.uniform(0.3, 2.0), 2), rng.choice(REPLACEMENT_MODES)),
+        *(draw_trouble(rng, "change", rng.uniform(1.5, last), deployment) for _ in range(4)),
     ]
-    if draw.random() < 0.5:
-        troubles.append(draw_trouble(draw, draw.choice(ENDS), last, deployment))
+    if rng.random() < 0.5:
+        troubles.append(draw_trouble(rng, rng.choice(FINAL_FAULTS), last, deployment))
     return Day(seed, tuple(sorted(troubles, key=lambda t: t.at)))
 
 
 def draw_stutter(deployment: Deployment, seed: int) -> Day:
     """Servers that answer twice, while they are slow or fail and much else changes."""
-    draw = random.Random(f"stutter:{deployment.name}:{seed}")
-    last = max(deployment.length - LAST, 4.0)
+    rng = random.Random(f"stutter:{deployment.name}:{seed}")
+    last = max(deployment.length - QUIET_END_S, 4.0)
     names = [service.name for service in deployment.services]
     troubles = [
-        Trouble(round(draw.uniform(0.2, last / 2), 2), "stutter", round(draw.uniform(4, last), 2), 1,
-                round(draw.uniform(0.05, 0.4), 3), "", name)
-        for name in names for _ in range(draw.randint(1, 2))
+        Trouble(round(rng.uniform(0.2, last / 2), 2), "stutter", round(rng.uniform(4, last), 2), 1,
+                round(rng.uniform(0.05, 0.4), 3), "", name)
+        for name in names for _ in range(rng.randint(1, 2))
     ]  # fmt: skip
-    for _ in range(draw.randint(2, 4)):
-        how, name = draw.choice(("errors", "slow", "sick", "sick", "hang")), draw.choice(names)
-        lasts = round(draw.uniform(3, 10), 2)
-        at = round(draw.uniform(0.5, last), 2)
-        troubles.append(Trouble(at, "grey", lasts, draw.randint(1, 4), 0.6, how, name))
-    beside = (
+    for _ in range(rng.randint(2, 4)):
+        how, name = rng.choice(("errors", "slow", "sick", "sick", "hang")), rng.choice(names)
+        lasts = round(rng.uniform(3, 10), 2)
+        at = round(rng.uniform(0.5, last), 2)
+        troubles.append(Trouble(at, "grey", lasts, rng.randint(1, 4), 0.6, how, name))
+    other_kinds = (
         "roll_term",
         "release",
         "crash",
@@ -291,83 +291,90 @@
         "freeze",
         "idle_race",
     )
-    for _ in range(draw.randint(3, 6)):
-        troubles.append(draw_trouble(draw, draw.choice(beside), draw.uniform(0.5, last), deployment))
-    return Day(seed, tuple(sorted(troubles, key=lambda t: t.at)), draw.choice((0.7, 1.0, 1.25)))
+    for _ in range(rng.randint(3, 6)):
+        troubles.append(draw_trouble(rng, rng.choice(other_kinds), rng.uniform(0.5, last), deployment))
+    return Day(seed, tuple(sorted(troubles, key=lambda t: t.at)), rng.choice((0.7, 1.0, 1.25)))
 
 
 def draw_day(deployment: Deployment, seed: int, more: int = 0) -> Day:
     """Planned work early and late, faults between (``more`` beside the usual), perhaps one to end the day."""
-    draw = random.Random(f"day:{deployment.name}:{seed}")
-    allowed = [k for k in KINDS if not deployment.troubles or k in deployment.troubles]
-    calm = [k for k in allowed if k in CALM]
-    rough = [k for k in allowed if k not in CALM and k not in ENDS]
-    ends = [k for k in allowed if k in ENDS]
-    last = max(deployment.length - LAST, 4.0)
-    troubles = [draw_trouble(draw, draw.choice(calm), draw.uniform(1.5, last), deployment) for _ in "123"]
+    rng = random.Random(f"day:{deployment.name}:{seed}")
+    allowed = [k for k in TROUBLE_RANGES if not deployment.troubles or k in deployment.troubles]
+    planned = [k for k in allowed if k in PLANNED_WORK]
+    unplanned = [k for k in allowed if k not in PLANNED_WORK and k not in FINAL_FAULTS]
+    ends = [k for k in allowed if k in FINAL_FAULTS]
+    last = max(deployment.length - QUIET_END_S, 4.0)
+    troubles = [draw_trouble(rng, rng.choice(planned), rng.uniform(1.5, last), deployment) for _ in "123"]
     troubles += [
-        draw_trouble(draw, draw.choice(rough), draw.uniform(2.0, max(last - 1.0, 5.0)), deployment)
-        for _ in range(draw.randint(0, 4) + more)
+        draw_trouble(rng, rng.choice(unplanned), rng.uniform(2.0, max(last - 1.0, 5.0)), deployment)
+        for _ in range(rng.randint(0, 4) + more)
     ]
-    if ends and draw.random() < 0.5:
-        troubles.append(draw_trouble(draw, draw.choice(ends), last, deployment))
-    return Day(seed, tuple(sorted(troubles, key=lambda t: t.at)), draw.choice((0.7, 1.0, 1.25)))
+    if ends and rng.random() < 0.5:
+        troubles.append(draw_trouble(rng, rng.choice(ends), last, deployment))
+    return Day(seed, tuple(sorted(troubles, key=lambda t: t.at)), rng.choice((0.7, 1.0, 1.25)))
 
 
 def draw_deployment(seed: int) -> Deployment:
     """Of the kinds described, and unlike any that stands in a file."""
-    draw = random.Random(f"deployment:{seed}")
-    regions = [f"r{n}" for n in range(draw.choice((1, 2, 3)))]
+    rng = random.Random(f"deployment:{seed}")
+    regions = [f"r{n}" for n in range(rng.choice((1, 2, 3)))]
     zones = {f"{region}-{letter}": region for letter in "ab" for region in regions}
     names = list(zones)
-    cores = 3 if len(names) < 3 or draw.random() < 0.3 else 5
-    edges = draw.randint(max(len(names), 3), 11)
-    machines = [Machines("edge", names[n % len(names)]) for n in range(edges)]
-    machines += [Machines("core", names[n % len(names)]) for n in range(cores)]
+    cores = 3 if len(names) < 3 or rng.random() < 0.3 else 5
+    edges = rng.randint(max(len(names), 3), 11)
+    machines = [MachineGroup("edge", names[n % len(names)]) for n in range(edges)]
+    machines += [MachineGroup("core", names[n % len(names)]) for n in range(cores)]
     services, kinds = [], []
-    for n in range(draw.randint(2, 3)):
-        slots = draw.choice((2, 4, 6))
-        count = draw.randint(6, 14)
+    for n in range(rng.randint(2, 3)):
+        slots = rng.choice((2, 4, 6))
+        count = rng.randint(6, 14)
         servers = dict.fromkeys(names, 0)
-        for place in range(count):
-            servers[names[place % len(names)]] += 1
-        work = draw.uniform(50, 250)
+        for index in range(count):
+            servers[names[index % len(names)]] += 1
+        work = rng.uniform(50, 250)
         services.append(
             Service(
-                f"svc{n}", servers, slots, connections=draw.choice((60, 120)), cold_per_s=draw.uniform(3, 8)
+                f"svc{n}", servers, slots, connections=rng.choice((60, 120)), cold_per_s=rng.uniform(3, 8)
             )
         )
-        able = count * slots * 1000 / work
+        capacity_per_s = count * slots * 1000 / work
         kinds.append(
-            Kind(
-                f"kind{n}", f"svc{n}", min(round(able * draw.uniform(0.3, 0.6), 1), 90.0), round(work),
-                round(work * 4), round(work * 14), repeatable=draw.random() < 0.5,
-                spread=draw.uniform(0.3, 0.8),
-                worth=draw.choice((1, 2, 3)), fresh=draw.random() < 0.3, also=f"svc{draw.randrange(n + 1)}",
+            RequestKind(
+                f"kind{n}",
+                f"svc{n}",
+                min(round(capacity_per_s * rng.uniform(0.3, 0.6), 1), 90.0),
+                round(work),
+                round(work * 4),
+                round(work * 14),
+                repeatable=rng.random() < 0.5,
+                spread=rng.uniform(0.3, 0.8),
+                worth=rng.choice((1, 2, 3)),
+                fresh=rng.random() < 0.3,
+                also=f"svc{rng.randrange(n + 1)}",
             )
-        )  # fmt: skip
+        )
         if kinds[-1].also == kinds[-1].service:
             kinds[-1].also = ""
         if not kinds[-1].repeatable:
             kinds[-1].method, kinds[-1].body = "POST", 900
-    ways = Ways(0.2, draw.uniform(0.4, 2.0), draw.uniform(8, 25), draw.uniform(1, 4))
+    ways = Latencies(0.2, rng.uniform(0.4, 2.0), rng.uniform(8, 25), rng.uniform(1, 4))
     bounds: dict[str, float | bool] = {"retrySlack": round(sum(k.per_s for k in kinds) / 4)}
     return Deployment(
-        f"drawn-{seed}", zones, machines, services, kinds, bounds, ways, Tenants(draw.randint(3, 9)),
-        beat=draw.choice((1.0, 1.5)), tolerate_regions=int(len(regions) > 2),
+        f"drawn-{seed}", zones, machines, services, kinds, bounds, ways, TenantSettings(rng.randint(3, 9)),
+        beat=rng.choice((1.0, 1.5)), tolerate_regions=int(len(regions) > 2),
     )  # fmt: skip
 
 
-def read(path: str | Path) -> Deployment:
+def read_deployment(path: str | Path) -> Deployment:
     """Raises RecordError."""
     try:
         with open(path, "rb") as file:
             deployment = msgspec.convert(tomllib.load(file), Deployment)
     except (OSError, ValueError) as e:
-        raise RecordError(f"{path}: {e}") from None
-    problems = check(deployment)
+        raise ScenarioError(f"{path}: {e}") from None
+    problems = find_problems(deployment)
     if problems:
-        raise RecordError(f"{path}: {problems[0]}")
+        raise ScenarioError(f"{path}: {problems[0]}")
     return deployment
 
 
@@ -377,29 +384,31 @@
         with open(path, "rb") as file:
             day = msgspec.convert(tomllib.load(file), Day)
     except (OSError, ValueError) as e:
-        raise RecordError(f"{path}: {e}") from None
+        raise ScenarioError(f"{path}: {e}") from None
     for trouble in day.troubles:
-        if trouble.kind not in KINDS and trouble.kind not in WRITTEN:
-            raise RecordError(f"{path}: troubles: there is no {trouble.kind}")
+        if trouble.kind not in TROUBLE_RANGES and trouble.kind not in EXPLICIT_ONLY:
+            raise ScenarioError(f"{path}: troubles: there is no {trouble.kind}")
     return day
 
 
-def check(deployment: Deployment) -> list[str]:
+def find_problems(deployment: Deployment) -> list[str]:
     """Names that don't fit."""
     services = {service.name for service in deployment.services}
-    wrong = [f"machines: no zone {m.zone}" for m in deployment.machines if m.zone not in deployment.zones]
-    wrong += [f"machines: no kind {m.kind}" for m in deployment.machines if m.kind not in ("edge", "core")]
+    problems = [f"machines: no zone {m.zone}" for m in deployment.machines if m.zone not in deployment.zones]
+    problems += [f"machines: no kind {m.kind}" for m in deployment.machines if m.kind not in ("edge", "core")]
     for service in deployment.services:
-        wrong += [
+        problems += [
             f"services.{service.name}: no zone {z}" for z in service.servers if z not in deployment.zones
         ]
     for kind in deployment.kinds:
         named: list[Any] = [kind.service] + ([kind.also] if kind.also else [])
-        wrong += [f"kinds.{kind.name}: no service {s}" for s in named if s not in services]
-    wrong += [f"bounds: there is no {name}" for name in deployment.bounds if name not in BOUNDS]
-    wrong += [f"troubles: there is no {kind}" for kind in deployment.troubles if kind not in KINDS]
+        problems += [f"kinds.{kind.name}: no service {s}" for s in named if s not in services]
+    problems += [f"bounds: there is no {name}" for name in deployment.bounds if name not in BOUNDS]
+    problems += [
+        f"troubles: there is no {kind}" for kind in deployment.troubles if kind not in TROUBLE_RANGES
+    ]
     if deployment.callers is not None and deployment.callers.way not in CALLER_WAYS:
-        wrong.append(f"callers: no way {deployment.callers.way}")
+        problems.append(f"callers: no way {deployment.callers.way}")
     if not any(m.kind == "core" for m in deployment.machines):
-        wrong.append("machines: there is no core")
-    return wrong
+        problems.append("machines: there is no core")
+    return problems
--- a/latchspoke/lab/system/size.py
+++ b/latchspoke/lab/system/size.py
@@ -10,21 +10,21 @@
 
 import msgspec
 
-from latchspoke.lab.system.day import Play
-from latchspoke.lab.system.machines import CONTROL, DIRECTORY, FRONT, INNER
+from latchspoke.lab.system.day import DaySimulation
+from latchspoke.lab.system.machines import CONTROL_PORT, DIRECTORY_PORT, FRONT_PORT, INTERNAL_PORT
 from latchspoke.lab.system.network import Host
-from latchspoke.lab.system.records import Day, Deployment, Machines
+from latchspoke.lab.system.scenario import Day, Deployment, MachineGroup
 from latchspoke.lab.virtual import Address
 
-KIND = re.compile(rb'"k":"(\w+)"')
-NAMES = {
+KIND_PATTERN = re.compile(rb'"k":"(\w+)"')
+KIND_NAMES = {
     "reg": "register", "beats": "who has beaten", "roster": "news of servers", "servers": "news of servers",
     "got": "news of servers", "prove": "proofs", "proven": "proofs", "c": "counts", "counts": "counts",
     "whole": "wholes", "hello": "wholes", "again": "wholes", "orders": "configurations",
     "ack": "acknowledgements", "hot": "evidence of servers", "w": "callers",
 }  # fmt: skip
-OWN = ("membership", "beats", *dict.fromkeys(NAMES.values()))
-SETTLED = 4.0  # s of traffic before it is counted
+OWN_KINDS = ("membership", "beats", *dict.fromkeys(KIND_NAMES.values()))
+SETTLE_S = 4.0  # s of traffic before it is counted
 
 
 @dataclass
@@ -47,7 +47,7 @@
         self.octets[kind] += len(data)
         if self.hosts[here[0]].region != self.hosts[there[0]].region:
             self.between[kind] += len(data)
-        if kind in OWN:
+        if kind in OWN_KINDS:
             self.out[here[0]] += len(data)
             self.into[there[0]] += len(data)
 
@@ -57,44 +57,46 @@
     if what == "datagram":
         return "membership"
     ports = {here[1], there[1]}
-    for port, kind in ((FRONT, "clients"), (DIRECTORY, "look-ups"), (8080, "servers")):
+    for port, kind in ((FRONT_PORT, "clients"), (DIRECTORY_PORT, "look-ups"), (8080, "servers")):
         if port in ports:
             return kind
-    if CONTROL in ports:
+    if CONTROL_PORT in ports:
         return "beats"
-    found = KIND.search(data)
-    if not ports & {INNER, INNER + 1}:
+    match = KIND_PATTERN.search(data)
+    if not ports & {INTERNAL_PORT, INTERNAL_PORT + 1}:
         return "other"
-    return NAMES.get(found[1].decode(), "other") if found else "counts"  # their answers name no kind
+    return KIND_NAMES.get(match[1].decode(), "other") if match else "counts"  # their answers name no kind
 
 
-def resized(place: Deployment, gateways: int) -> Deployment:
+def with_gateways(deployment: Deployment, gateways: int) -> Deployment:
     """The same with so many gateways: servers and requests grow with them, control machines do not."""
-    now = sum(m.count for m in place.machines if m.kind == "edge")
-    x = gateways / now
-    zones = [m.zone for m in place.machines if m.kind == "edge"]
-    link = next(m.link_mbps for m in place.machines if m.kind == "edge")
+    now = sum(m.count for m in deployment.machines if m.kind == "edge")
+    scale = gateways / now
+    zones = [m.zone for m in deployment.machines if m.kind == "edge"]
+    link = next(m.link_mbps for m in deployment.machines if m.kind == "edge")
     shares = Counter(zones[n % len(zones)] for n in range(gateways))
-    machines = [m for m in place.machines if m.kind != "edge"]
-    machines += [Machines("edge", zone, count, link) for zone, count in shares.items()]
+    machines = [m for m in deployment.machines if m.kind != "edge"]
+    machines += [MachineGroup("edge", zone, count, link) for zone, count in shares.items()]
     replace = msgspec.structs.replace
     services = [
-        replace(s, servers={zone: max(round(count * x), 1) for zone, count in s.servers.items()})
-        for s in place.services
+        replace(s, servers={zone: max(round(count * scale), 1) for zone, count in s.servers.items()})
+        for s in deployment.services
     ]
-    kinds = [replace(kind, per_s=kind.per_s * x) for kind in place.kinds]
-    return replace(place, name=f"{place.name}-{gateways}", machines=machines, services=services, kinds=kinds)
+    kinds = [replace(kind, per_s=kind.per_s * scale) for kind in deployment.kinds]
+    return replace(
+        deployment, name=f"{deployment.name}-{gateways}", machines=machines, services=services, kinds=kinds
+    )
 
 
-def expected(place: Deployment) -> dict[str, float]:
+def expected(deployment: Deployment) -> dict[str, float]:
     """Bytes a second by the formulas of docs/system-size.md, for what a calm day has."""
-    gateways = sum(m.count for m in place.machines if m.kind == "edge")
-    cores = sum(m.count for m in place.machines if m.kind == "core")
-    servers = sum(sum(s.servers.values()) for s in place.services)
+    gateways = sum(m.count for m in deployment.machines if m.kind == "edge")
+    cores = sum(m.count for m in deployment.machines if m.kind == "core")
+    servers = sum(sum(s.servers.values()) for s in deployment.services)
     return {
         "membership": 4 * (gateways + cores) * 65,
-        "beats": servers / place.beat * 270,
-        "who has beaten": (cores - 1) * servers / place.beat * 30,
+        "beats": servers / deployment.beat * 270,
+        "who has beaten": (cores - 1) * servers / deployment.beat * 30,
         "register": 2 * (cores - 1) / 0.15 * 270,
         "proofs": 2 * gateways / 0.8 * 40,
     }
@@ -116,28 +118,35 @@
     formulas: dict[str, float]
 
 
-def measure(place: Deployment, seed: int, seconds: float) -> Size:
+def measure(deployment: Deployment, seed: int, seconds: float) -> Size:
     """A calm day of so many seconds, the first of them not counted."""
-    place = msgspec.structs.replace(place, length=SETTLED + seconds)
+    deployment = msgspec.structs.replace(deployment, length=SETTLE_S + seconds)
     sums = Sums()
     with tempfile.TemporaryDirectory(prefix="latchspoke-size-") as home:
-        play = Play(place, Day(seed), Path(home))
-        play.network.meter = sums.meter
-        sums.hosts = play.network.hosts
-        start = place.lead + SETTLED
-        play.world.at(start, setattr, sums, "on", True)
-        play.world.at(start + seconds, setattr, sums, "on", False)
-        played = play.run(None)
+        simulation = DaySimulation(deployment, Day(seed), Path(home))
+        simulation.network.traffic_meter = sums.meter
+        sums.hosts = simulation.network.hosts
+        start = deployment.lead + SETTLE_S
+        simulation.scheduler.at(start, setattr, sums, "on", True)
+        simulation.scheduler.at(start + seconds, setattr, sums, "on", False)
+        result = simulation.run(None)
     worst, mean = {}, {}
-    for kind, machines in (("edge", play.fleet.edges), ("core", play.fleet.cores)):
-        found = [(sums.out[m.ip] + sums.into[m.ip]) / seconds for m in machines]
-        worst[kind], mean[kind] = max(found), sum(found) / len(found)
-    wishes = [w for w in played.record.wishes if w.status not in (401, 404)]
+    for kind, machines in (("edge", simulation.fleet.edges), ("core", simulation.fleet.cores)):
+        totals = [(sums.out[m.ip] + sums.into[m.ip]) / seconds for m in machines]
+        worst[kind], mean[kind] = max(totals), sum(totals) / len(totals)
+    requests = [w for w in result.record.requests if w.status not in (401, 404)]
     return Size(
-        len(play.fleet.edges), len(play.fleet.cores), sum(sum(s.servers.values()) for s in place.services),
-        place.per_s, seconds, sums, worst, mean,
-        sum(w.served >= 0 for w in wishes) / max(len(wishes), 1), expected(place),
-    )  # fmt: skip
+        len(simulation.fleet.edges),
+        len(simulation.fleet.cores),
+        sum(sum(s.servers.values()) for s in deployment.services),
+        deployment.per_s,
+        seconds,
+        sums,
+        worst,
+        mean,
+        sum(w.served >= 0 for w in requests) / max(len(requests), 1),
+        expected(deployment),
+    )
 
 
 def rows(size: Size) -> list[tuple[str, float, float, float, float | None]]:
@@ -148,6 +157,6 @@
             kind, sums.messages[kind] / seconds, sums.octets[kind] / seconds, sums.between[kind] / seconds,
             size.formulas.get(kind),
         )
-        for kind in (*OWN, "other", "look-ups", "clients", "servers")
+        for kind in (*OWN_KINDS, "other", "look-ups", "clients", "servers")
         if sums.messages[kind]
     ]  # fmt: skip
--- a/tests/lab/test_rollouts.py
+++ b/tests/lab/test_rollouts.py
@@ -8,10 +8,10 @@
 import msgspec
 import pytest
 
-from latchspoke.lab.system import records
-from latchspoke.lab.system.day import Played, play
-from latchspoke.lab.system.records import Day, Deployment, Service, Trouble
+from latchspoke.lab.system import scenario
+from latchspoke.lab.system.day import DayResult, run_day
 from latchspoke.lab.system.rules import judge
+from latchspoke.lab.system.scenario import Day, Deployment, Service, Trouble
 
 SHORES = Path(__file__).parents[2] / "examples" / "system" / "two-shores.toml"
 ROLLOUT = Trouble(1.0, "rollout", x=12.0, lasts=60.0, where="reading")
@@ -19,18 +19,20 @@
 
 def shores(length: float, *speeds: float) -> Deployment:
     """With a second service that may do what one kind of request asks for."""
-    place = records.read(SHORES)
+    place = scenario.read_deployment(SHORES)
     (first, *others) = place.kinds
     services = [*place.services, Service("meters-2", {"quay": 3, "hill": 3}, speeds=speeds or (1.0,))]
     kinds = [msgspec.structs.replace(first, also="meters-2"), *others]
     return msgspec.structs.replace(place, length=length, services=services, kinds=kinds)
 
 
-def told(played: Played, code: str) -> list[dict[str, object]]:
-    return [fields for _, who, event, fields in played.record.told if (who, event) == ("operator", code)]
+def told(played: DayResult, code: str) -> list[dict[str, object]]:
+    return [
+        fields for _, who, event, fields in played.record.log_events if (who, event) == ("operator", code)
+    ]
 
 
-def at_the_new_one(played: Played, since: float, until: float) -> float:
+def at_the_new_one(played: DayResult, since: float, until: float) -> float:
     """Share of the kind's requests that ran there."""
     path = [
         a for a in played.record.arrivals if since <= a.at < until and a.service in ("meters", "meters-2")
@@ -40,10 +42,12 @@
 
 def test_a_good_one_gets_all_while_another_operator_changes_other_things() -> None:
     changes = tuple(Trouble(9.0 + 4.1 * n, "change", how="idle") for n in range(10))
-    played = play(shores(84.0), Day(4, (ROLLOUT, *changes, Trouble(20.0, "kill", lasts=2.0, how="leader"))))
+    played = run_day(
+        shores(84.0), Day(4, (ROLLOUT, *changes, Trouble(20.0, "kill", lasts=2.0, how="leader")))
+    )
     assert [t["share"] for t in told(played, "rollout-stands")] == [10.0, 50.0, 100.0]
     assert [t["outcome"] for t in told(played, "rollout-ends")] == ["done"]
-    assert not judge(played) and at_the_new_one(played, played.end - 5, played.end) == 1.0
+    assert not judge(played) and at_the_new_one(played, played.traffic_end - 5, played.traffic_end) == 1.0
 
 
 @pytest.mark.parametrize("how", ["fails", "is late"])
@@ -51,11 +55,11 @@
     """Its servers say that they are well, and gateways find nobody better among them."""
     sick = Trouble(0.5, "grey", how="errors", x=0.6, count=6, lasts=60.0, where="meters-2")
     if how == "fails":
-        played = play(shores(60.0), Day(4, (ROLLOUT, sick)))
+        played = run_day(shores(60.0), Day(4, (ROLLOUT, sick)))
     else:
-        played = play(shores(40.0, 7.0), Day(4, (ROLLOUT,)))
+        played = run_day(shores(40.0, 7.0), Day(4, (ROLLOUT,)))
     (end,) = told(played, "rollout-ends")
     assert end["outcome"] == "turned-back" and how in str(end["why"])
-    assert not judge(played) and at_the_new_one(played, played.end - 5, played.end) == 0.0
-    owed = [w for w in played.record.wishes if w.status not in (401, 404)]
+    assert not judge(played) and at_the_new_one(played, played.traffic_end - 5, played.traffic_end) == 0.0
+    owed = [w for w in played.record.requests if w.status not in (401, 404)]
     assert sum(w.earned for w in owed) / sum(w.worth for w in owed) > 0.93
