--- a/latchspoke/lab/system/__init__.py
+++ b/latchspoke/lab/system/__init__.py
@@ -1,1 +1,1 @@
-"""Days of a whole deployment in virtual time, with the real code of both programs."""
+"""Simulation of a whole deployment in virtual time, running the real gateway and control-plane code."""
--- a/latchspoke/lab/system/__main__.py
+++ b/latchspoke/lab/system/__main__.py
@@ -1,7 +1,7 @@
-"""``latchspoke lab system`` or ``python -m latchspoke.lab.system``: days of a deployment in virtual time.
+"""``latchspoke lab system`` or ``python -m latchspoke.lab.system``: simulates a deployment.
 
-A deployment is a TOML file, or a number, by which one is drawn. Exit codes: 0 no rule broken, 1 one was,
-2 wrong usage or record.
+A deployment is a TOML file, or a seed from which one is generated. Exit codes: 0 no rule broken, 1 a rule
+broken, 2 wrong usage or an invalid deployment or day file.
 """
 
 from __future__ import annotations
@@ -38,16 +38,19 @@
 
 
 def load_deployment(text: str) -> Deployment:
+    """A deployment from a file, or generated if the text is a number."""
     return draw_deployment(int(text)) if text.isdigit() else read_deployment(text)
 
 
 def load_day(deployment: Deployment, seed: int, day: str, quiet: bool, more: int) -> Day:
+    """The day to simulate: from a file, without troubles, or generated."""
     if day:
         return read_day(day)
     return Day(seed) if quiet else draw_day(deployment, seed, more)
 
 
 def checked_guard(guard: str) -> str:
+    """The name of the guard; raises ScenarioError if it is unknown."""
     if guard and guard not in GUARDS:
         raise ScenarioError(f"--without: there is no {guard}; there are {', '.join(sorted(GUARDS))}")
     return guard
@@ -61,9 +64,9 @@
     deployment: str, *, seed: int = 1, day: str = "", quiet: bool = False, guard: Without = "", out: str = "",
     json: bool = False, more: int = 0,
 ) -> int:  # fmt: skip
-    """Play one day: drawn by --seed (with --more troubles), without any (--quiet), or from a file (--day).
+    """Simulate one day: generated from --seed (with --more faults), none (--quiet), or from --day FILE.
 
-    --without takes a guard of the programs out; --out writes a report with pictures.
+    --without removes a guard from the programs; --out writes a report with plots.
     """
     loaded = load_deployment(deployment)
     loaded_day = load_day(loaded, seed, day, quiet, more)
@@ -91,6 +94,7 @@
 
 
 def format_outcome(outcome: hunting.Outcome) -> str:
+    """The summary line of a day."""
     refused = ", ".join(f"{name}: {count}" for name, count in outcome.refusals.items())
     return (
         f"{outcome.deployment} seed {outcome.day.seed}: worth {outcome.worth:.3f},"
@@ -105,13 +109,13 @@
     deployment: str, *, seed: int = 1, days: int = 40, processes: int = 2, guard: Without = "",
     drawn: bool = False, more: int = 0, losses: bool = False, stutter: bool = False,
 ) -> int:  # fmt: skip
-    """Play many days, and shorten the first that breaks a rule.
+    """Simulate many days, and reduce the first failing one to the faults that it needs.
 
-    With --losses control machines are replaced one after the other, each as soon as the one before counts.
-    With --stutter servers answer twice, the second time late, while they are slow or fail.
+    With --losses control-plane nodes are replaced one after the other, each once the previous one counts as
+    recovered. With --stutter servers send duplicate, late responses while they are slow or failing.
 
-    With --drawn each day is one of a deployment of its own, drawn by the day's seed. --more gives each day so
-    many further troubles.
+    With --drawn each day has its own deployment, generated from the seed of the day. --more adds this many
+    faults to each day.
     """
     checked_guard(guard)
     seeds = range(seed, seed + days)
@@ -144,6 +148,7 @@
 
 
 def print_shortest(loaded: Deployment, day: Day, rule: str, guard: str) -> None:
+    """Reduce a failing day and print it in the format of a day file."""
     shortest = hunting.shorten(loaded, day, rule, guard)
     console.print(f"seed {day.seed} breaks {rule} with these alone; as a file for --day:")
     console.print(f"seed = {shortest.seed}\nload = {shortest.load}\ntroubles = [")
@@ -160,9 +165,9 @@
     deployment: str, *, seed: int = 1, day: str = "", who: str = "", guard: Without = "", window: float = 2.0,
     more: int = 0,
 ) -> int:  # fmt: skip
-    """Why a day broke a rule: around each finding, what was seen of it and what the programs logged.
+    """Print the events and log lines around each finding of a day.
 
-    --who ID tells the story of one request, server or machine in place of the findings'.
+    --who ID prints those of one request, server or machine instead.
     """
     loaded = load_deployment(deployment)
     loaded_day = load_day(loaded, seed, day, False, more)
@@ -187,9 +192,9 @@
 def size(
     deployment: str, *, gateways: str = "", seed: int = 1, seconds: float = 6.0, json: bool = False
 ) -> int:
-    """Bytes and messages a second of a calm day, by kind and machine, beside the formulas.
+    """Internal traffic per second on a day without faults, by message kind and machine, beside the formulas.
 
-    --gateways 10,84,300 measures it with so many; servers and requests grow with them.
+    --gateways 10,84,300 repeats it for each number of gateways; servers and requests scale with it.
     """
     from latchspoke.lab.system import size as sizing
 
@@ -216,6 +221,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command line; returns the exit code."""
     words = sys.argv[1:] if argv is None else argv
     try:
         return int(app(words, result_action="return_value") or 0)
--- a/latchspoke/lab/system/callers.py
+++ b/latchspoke/lab/system/callers.py
@@ -1,9 +1,9 @@
-"""Callers with a name of their own, who do one exchange at a time, and of whom some travel between zones.
+"""Identified callers that run one exchange at a time, some of which move between zones.
 
-Off unless a deployment's record has ``callers``. A travelling one comes in at another zone's gateways from
-one request to the next, and in the middle of one too: it breaks the connection off and asks there again, as a
-phone does that changes its net. Every try of an exchange bears the same ``X-Exchange``. What they are told is
-compared with what the servers have run (``strayed``).
+Used only if the deployment has ``callers``. A moving caller may reach the gateways of another zone from one
+request to the next, or in the middle of one: it closes its connection and retries there, like a phone that
+changes networks. All attempts of an exchange carry the same ``X-Exchange``. ``find_exchange_errors`` compares
+the answers with what the servers ran.
 """
 
 from __future__ import annotations
@@ -19,18 +19,16 @@
 from latchspoke.lab.system.scenario import CallerSettings, Deployment, RequestKind
 from latchspoke.lab.virtual import Address
 
-EXCHANGE_STATE_PATH = "/exchange/"  # where servers say what became of a try
-MAX_ATTEMPTS = 12  # of one exchange at most
-MOVE_CHANCE, ABANDON_CHANCE = (
-    0.5,
-    0.2,
-)  # chance that a traveller goes elsewhere, between requests and in the midst of one
-ABANDON_DELAY_S = (0.01, 0.4)  # s until it leaves in the midst
-DONE, UNKNOWN = "done", "unknown"  # how an exchange ended for its caller
+EXCHANGE_STATE_PATH = "/exchange/"  # where servers report the state of an attempt
+MAX_ATTEMPTS = 12  # per exchange
+# Probability of changing zones between requests, and during a request.
+MOVE_CHANCE, ABANDON_CHANCE = 0.5, 0.2
+ABANDON_DELAY_S = (0.01, 0.4)  # after the request was sent
+DONE, UNKNOWN = "done", "unknown"  # outcomes of an exchange for its caller
 
 
 def affinity_settings(callers: CallerSettings) -> Doc | None:
-    """What the routes ask for."""
+    """Affinity settings of each route, or None without affinity."""
     if callers.way == "today":
         return None
     settings: Doc = {
@@ -48,9 +46,9 @@
 
 @dataclass(eq=False)
 class CallerClient(Client):
-    """One caller in one zone; it stays with a gateway while that is told of and answers."""
+    """A caller's client in one zone; it keeps its gateway while the locator lists it and it answers."""
 
-    resolver: Client | None = None  # who looks gateways up for it
+    resolver: Client | None = None  # resolves gateway addresses for it
     gateway: Address | None = None
 
     def with_addresses(self, callback: Callable[[], None]) -> None:
@@ -73,7 +71,7 @@
 
 @dataclass(eq=False)
 class Caller:
-    """A caller of one kind of request."""
+    """A caller that sends one kind of request."""
 
     number: int
     kind: RequestKind
@@ -86,7 +84,7 @@
 
 
 class PendingExchange(PendingRequest):
-    """One exchange of a caller's, over its tries, wherever they are made."""
+    """One exchange over all its attempts, in whatever zone they are made."""
 
     def __init__(
         self,
@@ -102,7 +100,7 @@
         self.population, self.caller = population, caller
         caller.exchange_count += 1
         caller.busy = True
-        # Only where gateways hold the record is it safe to ask again for what may not be repeated.
+        # A non-repeatable request may be retried only if gateways record the state of exchanges.
         self.recorded = population.settings.way == "strict" and not caller.kind.repeatable
         self.retries_left = MAX_ATTEMPTS
         self.exchange = Exchange(
@@ -122,7 +120,7 @@
             self.client.loop.scheduler.after(rng.uniform(*ABANDON_DELAY_S), self.abandon, attempt, connection)
 
     def abandon(self, attempt: Attempt, connection: ClientConnection) -> None:
-        """It is on the move, and its connection with it."""
+        """The caller moves: close the connection and retry."""
         if self.current_attempt is attempt and connection.current_request is self and not self.finished:
             connection.current_request = None
             connection.close()
@@ -148,7 +146,7 @@
                 self.population.record.exchanges[name].unknown_answers += 1
             if name == self.exchange.ident:
                 self.exchange.outcome = DONE if state == "run" else UNKNOWN
-                status = 200 if state == "run" else 400  # the end of it, either way
+                status = 200 if state == "run" else 400  # no further attempt in either case
                 super().response_received(status, headers, body, connection)
                 if self.current_attempt is not None:
                     self.current_attempt.status = 409
@@ -163,7 +161,7 @@
 
 
 class CallerPopulation(ClientPopulation):
-    """All clients, where each request is a caller's."""
+    """All clients, where each request comes from an identified caller."""
 
     def __init__(self, deployment: Deployment, *others: Any) -> None:
         super().__init__(deployment, *others)
@@ -175,7 +173,7 @@
         for kind in deployment.kinds:
             for number in range(self.settings.count):
                 (tenant,) = rng.choices(list(tenants), list(tenants.values()))
-                # Each zone has its part of them.
+                # The moving callers are spread evenly over the zones.
                 travels = number // len(zones) * len(zones) < round(
                     self.settings.count * self.settings.travelling
                 )
@@ -183,7 +181,7 @@
                 self.callers_by_zone[caller.zone, kind.name].append(caller)
 
     def client_of(self, caller: Caller) -> CallerClient:
-        """The caller where it is now."""
+        """The client of this caller in its present zone."""
         client = caller.clients.get(caller.zone)
         if client is None:
             zone_clients = self.clients[caller.zone]
@@ -211,8 +209,11 @@
 
 
 def find_exchange_errors(record: DayRecord) -> tuple[list[str], list[str]]:
-    """Exchanges that may not be repeated: those run more often than once for each time that their caller was
-    told that nobody knows, and those told as done that never ran."""
+    """Returns repeated and lost exchanges.
+
+    Repeated: a non-repeatable exchange ran more than once beyond the times that its outcome was reported as
+    unknown. Lost: an exchange was reported as done and never ran.
+    """
     run_counts: dict[str, int] = defaultdict(int)
     for arrival in record.arrivals:
         attempt = record.attempts.get(arrival.ident)
--- a/latchspoke/lab/system/clients.py
+++ b/latchspoke/lab/system/clients.py
@@ -1,4 +1,4 @@
-"""The clients: look-ups and how long they are held, pools, fresh connections, further tries, impatience."""
+"""Simulated clients: cached gateway look-ups, connection pools, retries and impatient clients."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from latchspoke.lab.system.scenario import Deployment, RequestKind
 from latchspoke.lab.virtual import Address
 
-IDLE_CONNECTION_S = 8.0  # s that a connection is kept idle
-CONNECT_TIMEOUT_S = 1.0  # s for a new connection to come up
+IDLE_CONNECTION_S = 8.0
+CONNECT_TIMEOUT_S = 1.0
 FINAL_STATUSES = frozenset((400, 401, 404, 413, 431))
 NOT_EXECUTED_STATUSES = frozenset((429, 503, 408, 421))
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection."""
+    """A client's connection to a gateway."""
 
     def __init__(self, client: Client, gateway: Address) -> None:
         self.client, self.gateway = client, gateway
@@ -43,7 +43,7 @@
     def reset(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.headers: dict[bytes, bytes] = {}
-        self.parts: list[bytes] = []
+        self.body_parts: list[bytes] = []
         self.complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -73,7 +73,7 @@
         self.headers[name.lower()] = value
 
     def on_body(self, part: bytes) -> None:
-        self.parts.append(part)
+        self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
         if self.complete:
@@ -89,7 +89,7 @@
         keep = self.complete and self.headers.get(b"connection", b"").lower() != b"close"
         if not keep:
             self.close()
-        request.response_received(status, self.headers, b"".join(self.parts), self if keep else None)
+        request.response_received(status, self.headers, b"".join(self.body_parts), self if keep else None)
 
     def close(self) -> None:
         self.client.idle_connections = [
@@ -107,13 +107,13 @@
 
 @dataclass(eq=False)
 class Client:
-    """Somebody with one locator answer and some connections."""
+    """A client with one cached locator answer and a pool of connections."""
 
     population: ClientPopulation
     zone: str
     host: str
     loop: ProcessLoop
-    ttl_factor: float  # times the locator's time that an answer is held
+    ttl_factor: float  # multiple of the TTL for which an answer is used
     impatient: bool
     addresses: list[Address] = field(default_factory=list)
     addresses_until: float = -math.inf
@@ -127,7 +127,7 @@
         return self.loop.scheduler.now
 
     def with_addresses(self, callback: Callable[[], None]) -> None:
-        """Call once there is an answer of the locator's, an old one if there is no new one."""
+        """Call back once gateways are known, with expired addresses if the locator does not answer."""
         if self.now < self.addresses_until:
             callback()
             return
@@ -136,8 +136,8 @@
             self.resolving = True
             self.resolve(self.population.locators(self.zone)[:3])
 
-    def resolve(self, left: list[Address]) -> None:
-        if not left:
+    def resolve(self, locators_left: list[Address]) -> None:
+        if not locators_left:
             self.resolved(None, 0.5)
             return
         host, region = self.population.hosts[0], self.population.deployment.zones[self.zone]
@@ -151,12 +151,12 @@
                     (a.rpartition(":")[0], int(a.rpartition(":")[2])) for a in answer.get("addresses", ())
                 ]
                 if addresses:
-                    ttl = min(float(answer.get("ttlS", 1.0)), self.population.deployment.bound("ttl_max_s"))
-                    self.resolved(addresses, ttl * self.ttl_factor)
+                    ttl_s = min(float(answer.get("ttlS", 1.0)), self.population.deployment.bound("ttl_max_s"))
+                    self.resolved(addresses, ttl_s * self.ttl_factor)
                     return
-            self.resolve(left[1:])
+            self.resolve(locators_left[1:])
 
-        start_call(self.loop.network, self.loop, left[0], "GET", target, None, 1.0, done)
+        start_call(self.loop.network, self.loop, locators_left[0], "GET", target, None, 1.0, done)
 
     def resolved(self, addresses: list[Address] | None, ttl_s: float) -> None:
         self.resolving = False
@@ -172,14 +172,14 @@
             callback()
 
     def choose_gateway(self) -> Address | None:
-        """By chance, past those that have failed lately."""
+        """Random choice among the gateways that have not failed recently."""
         rng, now = self.population.rng, self.now
         healthy = [a for a in self.addresses if now - self.failed_at.get(a, -math.inf) > 3.0]
         return rng.choice(healthy or self.addresses) if self.addresses else None
 
 
 class PendingRequest:
-    """One wish of a client's, over its tries."""
+    """One request of a client over all its attempts."""
 
     def __init__(
         self,
@@ -196,11 +196,11 @@
         self.deadline = request.at + kind.deadline_ms / 1000
         self.retries_left = kind.retries + (3 if client.impatient else 0)
         self.connection: ClientConnection | None = None
-        self.pending: PendingConnection | None = None
+        self.pending_connection: PendingConnection | None = None
         self.current_attempt: Attempt | None = None
         self.finished = False
         self.refused_at = -1.0
-        self.extra_headers = ""  # headers
+        self.extra_headers = ""
 
     def start(self) -> None:
         self.client.loop.scheduler.at(self.deadline, self.deadline_expired)
@@ -227,7 +227,7 @@
             client.loop.scheduler.after(0.3, client.with_addresses, self.start_attempt)
             return
         connection = ClientConnection(client, address)
-        pending = self.pending = client.loop.network.connect(
+        pending = self.pending_connection = client.loop.network.connect(
             client.loop,
             address,
             lambda: connection,
@@ -248,7 +248,7 @@
             self.connect_failed(address)
 
     def connect_failed(self, address: Address) -> None:
-        """No connection: nothing was read, so it may be tried again whatever it is."""
+        """Nothing was sent, so even a non-repeatable request may be retried."""
         self.client.failed_at[address] = self.client.now
         if not self.finished:
             self.request.attempts += 1
@@ -288,7 +288,7 @@
             )
 
     def retry_if_held_back(self, attempt: Attempt, connection: ClientConnection) -> None:
-        """Held up on the way: a client gives such a try up."""
+        """Give up an attempt whose bytes are held back by a network cut."""
         if (
             self.current_attempt is attempt
             and connection.current_request is self
@@ -343,8 +343,8 @@
     def deadline_expired(self) -> None:
         if self.finished:
             return
-        if self.pending is not None:
-            self.pending.cancel()
+        if self.pending_connection is not None:
+            self.pending_connection.cancel()
         if self.connection is not None:
             self.connection.current_request = None
             self.connection.close()
@@ -378,7 +378,7 @@
 
 
 class ClientPopulation:
-    """All clients, and the traffic that they make."""
+    """All clients, and the traffic that they generate."""
 
     def __init__(
         self,
@@ -431,7 +431,7 @@
         self.start_request(zone, kind)
 
     def start_request(self, zone: str, kind: RequestKind) -> None:
-        """Somebody there wants something."""
+        """Start one request of a random client of the zone."""
         scheduler, rng = self.network.scheduler, self.rng
         client = rng.choice(self.clients[zone])
         tenant = self.plan.tenant(rng, self.load_factors, kind)
@@ -442,7 +442,7 @@
         PendingRequest(client, kind, request, host, path, key, body).start()
 
     def probe(self, gateway: Address, host: str, path: str, key: str, tenant: str) -> None:
-        """A question straight to a gateway, which shows what configuration is in force there."""
+        """Send a request to a given gateway, whose answer shows the configuration in force there."""
         client = self.clients[next(iter(self.deployment.zones))][0]
         scheduler = self.network.scheduler
         ident = self.new_ident()
--- a/latchspoke/lab/system/day_record.py
+++ b/latchspoke/lab/system/day_record.py
@@ -1,4 +1,4 @@
-"""What clients, servers and the operator saw in a day: all that the rules are judged by."""
+"""What clients, servers and the operator observed during a day: the input of all rules."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """What a client wants, over all its tries."""
+    """A client's request over all its attempts."""
 
     kind: str
     zone: str
     tenant: str
     at: float
-    worth: float  # if it is served inside its aim
+    worth: float  # if it is served within its target latency
     owed: bool = True
     earned: float = 0.0
     attempts: int = 0
-    status: int = 0  # of the last answer, 0: none
+    status: int = 0  # of the last response, 0: none
     ended: float = 0.0
-    served: float = -1.0  # how long it took, -1: it was not
+    served: float = -1.0  # latency (s), -1: not served
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One request on the wire."""
+    """One HTTP request on the wire."""
 
     ident: str
-    request: ClientRequest | None  # None: a question to a certain gateway on which configuration is in force
+    request: ClientRequest | None  # None: a probe of the configuration at a gateway
     host: str
     path: str
     method: str
@@ -40,28 +40,28 @@
     tenant: str
     repeatable: bool
     sent: float
-    deadline: float  # s, absolute
+    deadline: float  # absolute (s)
     client: str  # the client's host
     gateway: str = ""  # ip
-    status: int = 0  # 0: no answer came; -1: the connection ended without one
+    status: int = 0  # 0: no response; -1: connection closed without one
     seal: str = ""
-    echoed_ident: str = ""  # the id in the answer
+    echoed_ident: str = ""  # X-Attempt-Id of the response
     answer: bytes = b""
     ended: float = -1.0
-    read: bool = False  # whether all of it has reached the gateway
+    read: bool = False  # whether the gateway has received all of it
     retry_after_s: float | None = None
-    exchange: str = ""  # which one it is a try of, where callers have names
+    exchange: str = ""  # ID of its exchange, if callers are identified
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """What a caller wants done once, over all its tries."""
+    """An operation that a caller wants done once, over all its attempts."""
 
     ident: str
     repeatable: bool
     attempts: list[str] = field(default_factory=list)
-    unknown_answers: int = 0  # how often its caller was told that nobody knows
-    outcome: str = ""  # how, for its caller; empty: it had no clear answer
+    unknown_answers: int = 0  # responses that reported its state as unknown
+    outcome: str = ""  # for its caller; empty: no conclusive response
 
 
 @dataclass(slots=True, eq=False)
@@ -75,12 +75,12 @@
     region: str
     at: float
     source: str  # ip
-    sent: float  # when the gateway wrote it, by the way it took
+    sent: float  # when the gateway wrote it: arrival minus latency
     method: str
     path: str
     body: bytes
     tenant: str
-    key: str  # of the client, which must not be shown
+    key: str  # API key, which gateways must remove
     ran: bool = False
     status: int = 0
     seal: str = ""
@@ -88,17 +88,17 @@
     cold: bool = False
     misrouted: bool = False
     ended: float = math.inf
-    broke: bool = False  # the server itself broke the answer off
+    aborted: bool = False  # the server itself aborted the response
 
 
 @dataclass(slots=True, eq=False)
 class Command:
-    """An order of the operator's."""
+    """A command of the operator."""
 
     what: str  # replace, modify, begin, finish
     version: int
     base: int
-    doc: Doc | None  # the whole that comes of it, if it is taken
+    doc: Doc | None  # the complete configuration after it
     zone: str
     sent: float
     valid: bool = True
@@ -106,13 +106,13 @@
     refused_at: float = math.inf
     answered_by: str = ""
     status: int = 0
-    abandoned_at: float = math.inf  # when it was given up
-    lost_ack_at: float = math.inf  # when a success was sent that was lost on its way
+    abandoned_at: float = math.inf
+    lost_ack_at: float = math.inf  # when a successful answer was lost
 
 
 @dataclass(slots=True, eq=False)
 class ServerDrain:
-    """A server that ends in order."""
+    """An orderly shutdown of a server."""
 
     server: str
     started_at: float
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True)
 class DayRecord:
-    """A whole day."""
+    """All observations of a day."""
 
     requests: list[ClientRequest] = field(default_factory=list)
     attempts: dict[str, Attempt] = field(default_factory=dict)
@@ -131,61 +131,58 @@
     exchanges: dict[str, Exchange] = field(default_factory=dict)
     commands: list[Command] = field(default_factory=list)
     drains: list[ServerDrain] = field(default_factory=list)
-    unexpected_data: list[tuple[float, str, str]] = field(default_factory=list)  # bytes that nobody asked for
-    log_events: list[tuple[float, str, str, dict[str, Any]]] = field(
-        default_factory=list
-    )  # the programs' logs
-    process_exits: list[tuple[float, str, str]] = field(
-        default_factory=list
-    )  # processes that ended by themselves
-    terminations: list[tuple[float, str, float]] = field(
-        default_factory=list
-    )  # SIGTERM: at, ip, end of grace
+    unexpected_data: list[tuple[float, str, str]] = field(default_factory=list)  # at, gateway, bytes
+    # (at, process, event, fields).
+    log_events: list[tuple[float, str, str, dict[str, Any]]] = field(default_factory=list)
+    process_exits: list[tuple[float, str, str]] = field(default_factory=list)  # unrequested: at, process, how
+    # SIGTERM: at, ip, end of the grace period.
+    terminations: list[tuple[float, str, float]] = field(default_factory=list)
     reloads: list[tuple[float, str]] = field(default_factory=list)
     starts: list[tuple[float, str]] = field(default_factory=list)  # of processes: at, ip
     read_back: Doc | None = None
-    read_back_started_at: float = 0.0  # when the read-back began
-    final_fault: tuple[float, float] | None = None  # the closing fault, and when all machines were back
-    injected_troubles: list[tuple[float, str]] = field(default_factory=list)  # troubles as they came
+    read_back_started_at: float = 0.0
+    final_fault: tuple[float, float] | None = None  # at, when all machines were back
+    injected_troubles: list[tuple[float, str]] = field(default_factory=list)  # at, text
 
 
 @dataclass(slots=True)
 class Reachability:
-    """Which machines were in touch when, by what befell them."""
+    """Which machines were in contact with a majority, derived from the injected faults."""
 
     contact_s: float
-    disruptions: dict[str, list[list[float]]] = field(default_factory=dict)  # ip -> [from, to] of trouble
-    planned_downtime: dict[str, list[list[float]]] = field(
-        default_factory=dict
-    )  # as spans: SIGTERM, its grace, no process
-    link_cuts: list[tuple[float, float]] = field(default_factory=list)  # spans with any link in trouble
-    core_disruptions: list[float] = field(default_factory=list)  # moments that unsettle the core
-    without_majority: list[list[float]] = field(
-        default_factory=list
-    )  # spans without a majority that is connected
-    core_ips: tuple[str, ...] = ()  # ips of the core
+    disruptions: dict[str, list[list[float]]] = field(default_factory=dict)  # ip -> [from, to]
+    # IP -> [from, to]: SIGTERM, grace period, no process.
+    planned_downtime: dict[str, list[list[float]]] = field(default_factory=dict)
+    link_cuts: list[tuple[float, float]] = field(default_factory=list)  # [from, to], including packet loss
+    core_disruptions: list[float] = field(default_factory=list)  # times that may cause an election
+    # [from, to] without a connected majority.
+    without_majority: list[list[float]] = field(default_factory=list)
+    core_ips: tuple[str, ...] = ()  # of control-plane nodes
 
     def add_disruption(self, ip: str, start: float, end: float) -> None:
+        """Record that a fault hits the machine in this interval."""
         self.disruptions.setdefault(ip, []).append([start, end])
 
     def core_stable(self, start: float, end: float) -> bool:
-        """Whether the core was, throughout."""
+        """Whether the control plane had a stable majority throughout."""
         return not any(start - self.contact_s < at <= end for at in self.core_disruptions) and not any(
             a <= end and b >= start for a, b in self.without_majority
         )
 
     def link_cut_within(self, start: float, end: float) -> bool:
-        """Whether a link was in trouble then."""
+        """Whether any link was cut or lossy in this interval."""
         return any(a <= end and b >= start for a, b in self.link_cuts)
 
     def undisturbed(self, ip: str, start: float, end: float) -> bool:
-        """Whether nothing befell the machine then."""
+        """Whether no fault hit the machine in this interval."""
         return not any(a <= end and b >= start for a, b in self.disruptions.get(ip, ()))
 
     def only_core_disrupted(self, ip: str, since: float, when: float) -> bool:
-        """Whether only an unsettled core may have held it up, and from ``since`` on most of that was well.
+        """Whether only an unstable control plane can have delayed it.
 
-        Then the bounds of configuration and evacuation are stretched by ``stretchMaxS`` and no more.
+        Most control-plane nodes must have been undisturbed since ``since``.
+
+        The bounds on configuration and evacuation are then extended by at most ``stretchMaxS``.
         """
         start = when - self.contact_s
         undisturbed_cores = sum(self.undisturbed(core, since, when) for core in self.core_ips)
@@ -197,7 +194,7 @@
         )
 
     def in_contact(self, ip: str, when: float) -> bool:
-        """In touch at this moment."""
+        """Whether the machine was in contact at this time."""
         start = when - self.contact_s
         return (
             self.undisturbed(ip, start, when)
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -1,4 +1,4 @@
-"""Guards taken out of the programs on purpose, and stand-in faults: each rule is shown able to fail."""
+"""Mutations of the programs: each removes a guard or adds a fault that a rule must detect."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """What is taken out, the rule that finds it, and troubles that bring it out."""
+    """A mutation, the rule that detects it, and the troubles that expose it."""
 
     rule: str
     troubles: tuple[Trouble, ...]
     patches: Patches
     load: float = 1.0
-    cores: int = 0  # so many control machines; 0: as the deployment has
+    cores: int = 0  # number of control-plane nodes; 0: as in the deployment
     seed: int = 1
     callers: CallerSettings | None = None
 
@@ -51,7 +51,7 @@
 
 
 def no_relays() -> Any:
-    """Gateways forward nothing between control machines, which would cover what else is taken out."""
+    """Gateways relay nothing between control-plane nodes, which would mask other mutations."""
     return patched(relay.Relay, "handle_message", lambda self, wire, message: None)
 
 
@@ -81,29 +81,29 @@
 
 
 def apply_only_first(old: Any) -> Any:
-    def take(self: Any, now: float) -> None:
+    def apply(self: Any, now: float) -> None:
         if self.downstream.table is None:
             old(self, now)
 
-    return take
+    return apply
 
 
 def revert_after_a_second(old: Any) -> Any:
-    def take(self: Any, now: float) -> None:
+    def apply(self: Any, now: float) -> None:
         before = self.downstream.table
         old(self, now)
         if before is not None and before is not self.downstream.table:
             self.clock.schedule(now + 1.0, lambda late: setattr(self.downstream, "table", before))
 
-    return take
+    return apply
 
 
 def ignore_draining(old: Any) -> Any:
-    def take(self: Any, entry: Any, now: float) -> None:
+    def apply(self: Any, entry: Any, now: float) -> None:
         if not int(entry.state):
             old(self, entry, now)
 
-    return take
+    return apply
 
 
 def ignore_base(old: Any) -> Any:
@@ -180,7 +180,7 @@
 
 
 async def replicate_to_one(self: Any, entry: Any) -> bool:
-    """A second machine is enough, though it may be cut off together with this one."""
+    """One replica is enough, although it may be partitioned together with this node."""
     self.replication_number += 1
     number, future = self.replication_number, self.loop.create_future()
     sent_to = self.peers.broadcast({"k": "roster", "e": [entry.to_message(self.clock.now())], "n": number})
@@ -192,16 +192,21 @@
 
 
 def choose_by_name(self: Any, now: float) -> Any:
-    """As before failures were kept by address, and whoever lies beside one that failed came later."""
+    """Failures are kept by name instead of address."""
     if self.source is not None and self.source.address in self.failed_at:
         self.failed_at["", self.source.name] = self.failed_at.pop(self.source.address)
 
-    def order(source: Any) -> tuple[float, bool, int, float]:
-        failed = self.failed_at.get(("", source.name), -math.inf)
-        near = 0 if source.zone == self.zone else 1 if source.region == self.region else 2
-        return failed if now - failed < 5.0 else -math.inf, source.gateway, near, self.rng.random()
+    def sort_key(source: Any) -> tuple[float, bool, int, float]:
+        last_failure = self.failed_at.get(("", source.name), -math.inf)
+        distance = 0 if source.zone == self.zone else 1 if source.region == self.region else 2
+        return (
+            last_failure if now - last_failure < 5.0 else -math.inf,
+            source.gateway,
+            distance,
+            self.rng.random(),
+        )
 
-    return min(self.sources(), key=order, default=None)
+    return min(self.sources(), key=sort_key, default=None)
 
 
 def route_nowhere(old: Any) -> Any:
@@ -216,7 +221,7 @@
 
 
 def keep_failures(old: Any) -> Any:
-    """A failure stays on its client's connection, whatever request is under way there by then."""
+    """A failure response stays on its client connection, whatever request is in flight there later."""
 
     def ended(self: Any, forward: Any, code: Any, now: float, answer: Any = None, report: Any = None) -> None:
         connection = getattr(forward.flow.client, "connection", None)
@@ -229,13 +234,13 @@
 
 def deliver_kept_failure(old: Any) -> Any:
     def failed(self: Any, failure: object) -> None:
-        left = getattr(self.connection, "left", None)
-        if left is None:
+        kept = getattr(self.connection, "left", None)
+        if kept is None:
             old(self, failure)
             return
         self.connection.left = None
-        self.attempt_id = left.attempt_id  # the last look at whose answer it is is taken out as well
-        old(self, left)
+        self.attempt_id = kept.attempt_id  # also bypasses the final check of the attempt ID
+        old(self, kept)
 
     return failed
 
@@ -419,7 +424,7 @@
 
 @contextlib.contextmanager
 def without_guard(name: str) -> Iterator[None]:
-    """Meanwhile this guard is missing; '' takes none."""
+    """Remove this guard for the duration of the context; '' removes none."""
     with contextlib.ExitStack() as stack:
         if name:
             for patch in GUARDS[name].patches():
--- a/latchspoke/lab/system/http_endpoints.py
+++ b/latchspoke/lab/system/http_endpoints.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the deployment's own parties speak it: one call on a connection, and a server's side."""
+"""Minimal HTTP/1.1 for the simulated parties: a client with one call per connection, and a server side."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HttpCall(asyncio.Protocol):
-    """Sends once, reads one answer. ``done`` gets NOTHING if none came whole."""
+    """Sends a request and reads one response; ``done`` gets NO_REPLY if none is complete."""
 
     def __init__(self, data: bytes, done: Callable[[Reply], None]) -> None:
         self.data, self.done, self.finished = data, done, False
@@ -65,7 +65,7 @@
     network: Network, loop: ProcessLoop, address: Address, method: str, target: str, body: bytes | None,
     timeout_s: float, done: Callable[[Reply], None],
 ) -> None:  # fmt: skip
-    """One call; NOTHING after ``limit`` (s)."""
+    """Starts a call; ``done`` gets NO_REPLY after ``timeout_s``."""
     size = b"" if body is None else b"Content-Type: application/json\r\nContent-Length: %d\r\n" % len(body)
     host = f"{address[0]}:{address[1]}".encode()
     data = b"%b %b HTTP/1.1\r\nHost: %b\r\n%b\r\n%b" % (
@@ -86,7 +86,7 @@
 async def call(
     loop: ProcessLoop, address: Address, method: str, target: str, body: bytes | None, timeout_s: float
 ) -> Reply:
-    """``ask`` for coroutines on an outsider's loop."""
+    """``start_call`` as a coroutine, for a process outside the deployment."""
     future: asyncio.Future[Reply] = loop.create_future()
 
     def done(reply: Reply) -> None:
@@ -98,7 +98,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A server's connection; ``taken`` gets each whole request."""
+    """Server side of a connection; passes each complete request to ``owner.request_received``."""
 
     def __init__(self, owner: Any) -> None:
         self.owner = owner
@@ -108,7 +108,7 @@
         self.headers: dict[bytes, bytes] = {}
         self.body_parts: list[bytes] = []
         self.job: Any = None
-        self.idle_since = math.inf  # since when nothing is asked on it (s)
+        self.idle_since = math.inf  # when the last response was sent
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, StreamTransport)
--- a/latchspoke/lab/system/hunt.py
+++ b/latchspoke/lab/system/hunt.py
@@ -1,4 +1,4 @@
-"""Many days, in processes beside each other; one that breaks a rule is shortened to the fewest troubles."""
+"""Simulates many days in parallel processes, and reduces a failing day to the troubles that it needs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass
 class Outcome:
-    """What remains of a day: small enough to come back from another process."""
+    """Summary of a day, small enough to be returned from another process."""
 
     deployment: str
     day: Day
@@ -25,17 +25,18 @@
     worth: float  # earned / owed
     served: float
     seconds: float
-    digest: str  # of all that was seen
+    digest: str  # of all observations
     requests: int = 0
     refusals: dict[str, int] = field(default_factory=dict)
 
     @property
     def rules(self) -> set[str]:
+        """Names of the rules that were broken."""
         return {finding.rule for finding in self.findings}
 
 
 def digest(result: DayResult) -> str:
-    """Alike only for days that went alike, down to the programs' logs and the number of events."""
+    """Equal only for identical runs, including the programs' logs and the number of events."""
     hasher, record = hashlib.blake2b(digest_size=8), result.record
     for ident, attempt in record.attempts.items():
         hasher.update(
@@ -68,8 +69,9 @@
 
 
 def summarize(result: DayResult, findings: list[Finding]) -> Outcome:
-    owed = [w for w in result.record.requests if w.status not in (401, 404)]
-    total_worth = sum(w.worth for w in owed) or 1.0
+    """Totals of a day; requests without a valid route or key do not count."""
+    owed = [r for r in result.record.requests if r.status not in (401, 404)]
+    total_worth = sum(r.worth for r in owed) or 1.0
     refusals: dict[str, int] = {}
     for attempt in result.record.attempts.values():
         if attempt.status not in (0, 200):
@@ -79,8 +81,8 @@
         result.deployment.name,
         result.day,
         findings,
-        sum(w.earned for w in owed) / total_worth,
-        sum(w.served >= 0 for w in owed) / max(len(owed), 1),
+        sum(r.earned for r in owed) / total_worth,
+        sum(r.served >= 0 for r in owed) / max(len(owed), 1),
         result.seconds,
         digest(result),
         len(owed),
@@ -89,20 +91,21 @@
 
 
 def judge_day(deployment: Deployment, day: Day, guard: str = "") -> Outcome:
+    """Simulate a day, without a guard if one is named, and check all rules."""
     with without_guard(guard):
         result = run_day(deployment, day)
     return summarize(result, judge(result))
 
 
 def judge_encoded(deployment: bytes, day: bytes, guard: str) -> Outcome:
-    """``one`` in another process."""
+    """``judge_day`` for a worker process, with encoded arguments."""
     return judge_day(
         msgspec.json.decode(deployment, type=Deployment), msgspec.json.decode(day, type=Day), guard
     )
 
 
 def hunt(pairs: list[tuple[Deployment, Day]], guard: str, processes: int) -> Iterator[Outcome]:
-    """As they end."""
+    """Yields outcomes in the order of completion."""
     with ProcessPoolExecutor(processes) as pool:
         encode = msgspec.json.encode
         futures = [
@@ -113,6 +116,7 @@
 
 
 def draw_days(deployment: Deployment, seeds: range, more: int = 0) -> list[tuple[Deployment, Day]]:
+    """Generate a day of the deployment for each seed."""
     return [(deployment, draw_day(deployment, seed, more)) for seed in seeds]
 
 
@@ -123,7 +127,7 @@
     guard: str = "",
     on_shortened: Callable[[Day], None] | None = None,
 ) -> Day:
-    """Troubles go one by one, as long as the day still breaks the rule."""
+    """Removes troubles one by one as long as the day still breaks the rule."""
     index = 0
     while index < len(day.troubles):
         fewer = msgspec.structs.replace(day, troubles=day.troubles[:index] + day.troubles[index + 1 :])
--- a/latchspoke/lab/system/machines.py
+++ b/latchspoke/lab/system/machines.py
@@ -1,4 +1,4 @@
-"""The machines with the real programs on them: starts, kills, loss of power, disks, settings, signals."""
+"""Simulated machines that run the real programs: starts, kills, power loss, disks, settings and signals."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 INTERNAL_PORT = 7600
 FRONT_PORT, READINESS_PORT, CONTROL_PORT, DIRECTORY_PORT = 8206, 8201, 8200, 8207
-START_DELAY_S = {"edge": 0.35, "core": 0.3}  # s that a start takes
-RESTART_DELAY_S = 0.2  # s until a process that has ended is started again
+START_DELAY_S = {"edge": 0.35, "core": 0.3}
+RESTART_DELAY_S = 0.2  # by the supervisor, after a process has exited
 
 
 class SimulatedLedger:
-    """``Ledger`` on such a disk. Power may go right before a sync, or right after it."""
+    """``Ledger`` on a simulated disk; power may be lost right before or after a sync."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine, self.open = machine, True
@@ -54,10 +54,9 @@
         if machine.disk_full and (output.entries or output.snapshot is not None):
             raise LedgerError("database or disk is full")
         scheduler = machine.fleet.scheduler
+        # A sync blocks the event loop.
         if machine.disk_hangs_until > scheduler.now and machine.loop is not None:
-            machine.loop.busy_until = max(
-                machine.loop.busy_until, machine.disk_hangs_until
-            )  # a sync stops the whole process
+            machine.loop.busy_until = max(machine.loop.busy_until, machine.disk_hangs_until)
         power_loss_at_save, machine.power_loss_at_save = machine.power_loss_at_save, ""
         if power_loss_at_save != "before":
             machine.disk.save(output)
@@ -75,7 +74,7 @@
 
 @dataclass(eq=False)
 class Machine:
-    """One machine, and the process on it."""
+    """A machine and its process."""
 
     fleet: Fleet
     name: str
@@ -86,14 +85,14 @@
     loop: ProcessLoop | None = None
     node: Any = None
     start_count: int = 0
-    clock_skew_s: float = 0.0  # of the time of day
+    clock_skew_s: float = 0.0  # of the wall clock
     power_loss_at_save: str = ""
     power_off_s: float = 1.0
     disk_refuses: bool = False
-    disk_full: bool = False  # its disk takes nothing that makes it larger
-    disk_hangs_until: float = 0.0  # its disk answers no sync before then (s)
+    disk_full: bool = False  # no write that grows the database succeeds
+    disk_hangs_until: float = 0.0  # no sync completes before then
     slowdown: float = 1.0
-    kept_down: int = 0  # how many troubles keep its process from starting
+    kept_down: int = 0  # number of troubles that keep its process stopped
     exits: int = 0
 
     @property
@@ -110,7 +109,7 @@
 
 
 class LogRecorder:
-    """In the log's place."""
+    """Replaces the logger of the programs."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -147,7 +146,7 @@
         self.scheduler, self.seed, self.home = network.scheduler, seed, home
         self.rng = random.Random(f"machines:{seed}")
         self.machines: list[Machine] = []
-        self.successors = 0  # successors of machines that are gone
+        self.successors = 0  # number of replacement machines
         self.initial_start = True
         counts: dict[str, int] = {}
         regions = deployment.zones
@@ -163,10 +162,10 @@
                 self.machines.append(Machine(self, name, item.kind, host, home / f"{name}.yaml"))
         cores = self.cores
         self.seeds = [machine.ip for machine in cores[:3]]
-        self.control_list = [machine.ip for machine in cores]  # what callers know, with a lag
+        self.control_list = [machine.ip for machine in cores]  # as known to callers, with a delay
 
     def successor(self, old: Machine) -> Machine:
-        """An empty machine of the same kind in the same zone, at an address of its own, started."""
+        """Start an empty replacement in the same zone, at a new address."""
         self.successors += 1
         ip = f"10.{200 + self.successors // 250}.0.{1 + self.successors % 250}"
         host = self.network.host(ip, old.host.zone, old.host.region)
@@ -179,12 +178,12 @@
         return new
 
     def retire(self, machine: Machine) -> None:
-        """It is gone for good, whatever still runs on it."""
+        """Remove a machine for good."""
         self.power_off(machine)
         machine.kept_down += 1
         self.machines.remove(machine)
         if machine.ip in self.seeds:
-            # The operator's list names another one in files that are written from now on.
+            # Settings files written from now on name another seed node.
             others = [other.ip for other in self.cores if other.ip not in self.seeds]
             self.seeds = [ip for ip in self.seeds if ip != machine.ip] + others[-1:]
 
@@ -200,15 +199,15 @@
         return next((m for m in self.machines if m.ip == ip), None)
 
     def control(self) -> list[Address]:
-        """Those that serve control, as the lagging list says."""
+        """Control-plane addresses from the lagging list."""
         return [(ip, CONTROL_PORT) for ip in self.control_list]
 
     def readiness_addresses(self) -> list[Address]:
-        """Where gateways tell what they know."""
+        """Addresses of the gateways' status interface."""
         return [(machine.ip, READINESS_PORT) for machine in self.edges]
 
     def locators(self, zone: str, rng: random.Random) -> list[Address]:
-        """Near ones first."""
+        """Locator addresses, nearest first."""
         region = self.deployment.zones[zone]
         known = set(self.control_list)
         cores = [m for m in self.cores if m.ip in known]
@@ -217,7 +216,7 @@
         return [(m.ip, DIRECTORY_PORT) for m in cores]
 
     def follow_control_list(self) -> None:
-        """The list follows who is up, ``seedLagS`` behind."""
+        """Update the list with the running nodes, delayed by ``seedLagS``."""
         running = [m.ip for m in self.cores if m.running]
         self.scheduler.after(self.deployment.bound("seedLagS"), self.set_control_list, running)
         self.scheduler.after(0.5, self.follow_control_list)
@@ -228,32 +227,34 @@
     # Settings.
 
     def write_settings(self, machine: Machine) -> None:
-        d = self.deployment
-        edge = machine.kind == "edge"
-        listen = {"frontPlain": FRONT_PORT, "readiness": READINESS_PORT} if edge else {
+        deployment = self.deployment
+        is_edge = machine.kind == "edge"
+        listen = {"frontPlain": FRONT_PORT, "readiness": READINESS_PORT} if is_edge else {
             "controlPlane": CONTROL_PORT, "directoryService": DIRECTORY_PORT,
         }  # fmt: skip
-        bounds = {name: d.bounds.get(name, value) for name, value in BOUNDS.items()}
+        bounds = {name: deployment.bounds.get(name, value) for name, value in BOUNDS.items()}
         settings_doc = {
             "nodeName": machine.name, "role": machine.kind, "machineClass": machine.kind,
-            "servedRoles": ["edge"] if edge else ["control", "locator"], "ipAddress": machine.ip,
-            "zone": machine.host.zone, "region": machine.host.region, "zones": d.zones,
+            "servedRoles": ["edge"] if is_edge else ["control", "locator"], "ipAddress": machine.ip,
+            "zone": machine.host.zone, "region": machine.host.region, "zones": deployment.zones,
             "listenAddresses": {name: f"{machine.ip}:{port}" for name, port in listen.items()},
             "internalPortRange": [INTERNAL_PORT, INTERNAL_PORT + 15],
             "seedNodes": [f"{ip}:{CONTROL_PORT}" for ip in self.seeds], "initialStart": self.initial_start,
-            "lossCounted": not edge,
+            "lossCounted": not is_edge,
             "limits": {"cpuFraction": 0.86, "coreCount": 1, "memoryMb": 300, "fileDescriptors": 4100,
-                       "linkRateMbps": 1000.0, "diskMb": 0 if edge else 256},
-            "dataDirectory": None if edge else str(self.home / machine.name), "heartbeatS": d.beat,
+                       "linkRateMbps": 1000.0, "diskMb": 0 if is_edge else 256},
+            "dataDirectory": None if is_edge else str(self.home / machine.name),
+            "heartbeatS": deployment.beat,
             "contractSet": ["base", "drain", "config", "cost", "retry", "recover", "places", "tenants",
                             "quota"],
-            "faultTolerance": {"machineLosses": d.tolerate_machines, "zones": d.tolerate_zones,
-                               "regionLosses": d.tolerate_regions},
+            "faultTolerance": {"machineLosses": deployment.tolerate_machines,
+                               "zones": deployment.tolerate_zones,
+                               "regionLosses": deployment.tolerate_regions},
             "bounds": [f"{n}={str(v).lower() if isinstance(v, bool) else v}" for n, v in bounds.items()],
         }  # fmt: skip
         machine.path.write_text(json.dumps(settings_doc))
 
-    # Lives.
+    # Process lifecycle.
 
     def start_all(self) -> None:
         for machine in self.machines:
@@ -262,7 +263,7 @@
         self.scheduler.after(0.5, self.follow_control_list)
 
     def start(self, machine: Machine) -> None:
-        """A new process, unless something keeps it down."""
+        """Start a process unless a trouble keeps it stopped."""
         if machine.running or machine.kept_down or not machine.host.powered:
             return
         self.write_settings(machine)
@@ -280,13 +281,13 @@
         program = DataPlane if machine.kind == "edge" else ControlPlane
         with self.running_loop(loop):
             try:
-                replica_draw.source = rng
+                replica_random.source = rng
                 settings = load_settings(machine.path)
                 clock = VirtualClock(loop, machine.clock_skew_s)
                 machine.node = program(settings, loop, str(machine.path), clock, rng)
             except Exception as e:
                 self.scheduler.uncaught_errors.append(
-                    (self.scheduler.now, machine.name, f"it does not start: {e!r}")
+                    (self.scheduler.now, machine.name, f"process failed to start: {e!r}")
                 )
                 self.process_ended(machine, loop)
                 return
@@ -310,7 +311,7 @@
             await node.start()
         except Exception as e:
             self.scheduler.uncaught_errors.append(
-                (self.scheduler.now, machine.name, f"it does not start: {e!r}")
+                (self.scheduler.now, machine.name, f"process failed to start: {e!r}")
             )
         else:
             await node.stopped.wait()
@@ -318,7 +319,7 @@
         self.process_ended(machine, loop)
 
     def process_ended(self, machine: Machine, loop: ProcessLoop) -> None:
-        """By itself, or in order."""
+        """The process has exited, on SIGTERM or without one."""
         if machine.loop is loop:
             loop.kill(False)
             machine.node = None
@@ -327,7 +328,7 @@
                 for at, ip, end in self.record.terminations
             ):
                 machine.exits += 1
-                self.record.process_exits.append((self.scheduler.now, machine.name, "by itself"))
+                self.record.process_exits.append((self.scheduler.now, machine.name, "exited unexpectedly"))
             self.scheduler.after(RESTART_DELAY_S, self.start, machine)
 
     def kill(self, machine: Machine, down: float) -> None:
@@ -362,7 +363,7 @@
         machine.disk = Disk()
 
     def terminate(self, machine: Machine) -> None:
-        """SIGTERM, then SIGKILL after the grace."""
+        """SIGTERM, then SIGKILL after the grace period."""
         if not machine.running:
             return
         grace = self.deployment.bound("graceS")
@@ -385,7 +386,7 @@
             self.start(machine)
 
     def reload(self, machine: Machine) -> None:
-        """SIGHUP, after the file has been written anew."""
+        """Rewrite the settings file and send SIGHUP."""
         self.write_settings(machine)
         if machine.running and machine.loop is not None:
             self.record.reloads.append((self.scheduler.now, machine.ip))
@@ -393,21 +394,21 @@
                 machine.node.reload()
 
     def record_disruption(self, machine: Machine, lasts: float) -> None:
-        """A trouble on a machine, its restart counted in."""
+        """Record a fault on a machine, with an allowance for its restart."""
         now = self.scheduler.now
         self.reachability.add_disruption(machine.ip, now, now + lasts + 1.0)
         if machine.kind == "core":
             self.reachability.core_disruptions += [now, now + lasts, now + lasts + 1.0]
 
     def watch_reachability(self) -> None:
-        """Whether a majority of the core runs and is connected, and who reaches it."""
+        """Sample whether a connected majority of the control plane runs, and which machines reach it."""
         cores, now = self.cores, self.scheduler.now
         running = [m for m in cores if m.running]
         step = 0.1
 
-        def linked(one: Machine, other: Machine) -> bool:
+        def linked(first: Machine, second: Machine) -> bool:
             net = self.network
-            return not (net.blocked(one.host, other.host) or net.blocked(other.host, one.host))
+            return not (net.blocked(first.host, second.host) or net.blocked(second.host, first.host))
 
         majority = [m for m in running if 2 * sum(linked(m, o) for o in running) > len(cores)]
         if 2 * len(majority) <= len(cores):
@@ -415,23 +416,22 @@
         if self.network.cuts:
             running_machines = [m for m in self.machines if m.running]
 
-            def connected(one: Machine, other: Machine) -> bool:
-                """Straight, or by way of one other machine."""
-                return linked(one, other) or any(
-                    linked(one, m) and linked(m, other) for m in running_machines
+            def connected(first: Machine, second: Machine) -> bool:
+                """Directly, or through one other machine."""
+                return linked(first, second) or any(
+                    linked(first, m) and linked(m, second) for m in running_machines
                 )
 
             for machine in self.machines:
                 if not all(connected(machine, core) for core in majority):
                     extend_spans(self.reachability.disruptions.setdefault(machine.ip, []), now, step)
         for machine in self.machines:
+            # A congested link counts as a disruption.
             if (
                 max(machine.host.egress.backlog_s(now), machine.host.ingress.backlog_s(now))
                 > MAX_LINK_BACKLOG_S
             ):
-                extend_spans(
-                    self.reachability.disruptions.setdefault(machine.ip, []), now, step
-                )  # choked: as slowed
+                extend_spans(self.reachability.disruptions.setdefault(machine.ip, []), now, step)
             if not machine.running:
                 extend_spans(self.reachability.planned_downtime.setdefault(machine.ip, []), now, step)
         self.scheduler.after(step, self.watch_reachability)
@@ -445,7 +445,7 @@
 
 
 class ReplicaRandom:
-    """For ``random`` and ``secrets`` in the register's driver, so that one seed has one result."""
+    """Deterministic replacement for ``random`` and ``secrets`` in the configuration store's replica."""
 
     def __init__(self) -> None:
         self.source = random.Random(0)
@@ -457,13 +457,13 @@
         return f"{self.source.getrandbits(8 * count):0{2 * count}x}"
 
 
-replica_draw = ReplicaRandom()
+replica_random = ReplicaRandom()
 
 
 @contextlib.contextmanager
 def patched_programs(fleet: Fleet) -> Iterator[None]:
-    """Meanwhile registers keep their word on the emulated disks, and logs go into the record."""
-    shim: Any = replica_draw
+    """Run the programs with simulated disks, seeded randomness and logs that go into the day record."""
+    seeded: Any = replica_random
 
     def ledger(path: Path, alone: bool = False) -> SimulatedLedger:
         return SimulatedLedger(
@@ -472,8 +472,8 @@
 
     replacements = {
         "Ledger": ledger,
-        "random": shim,
-        "secrets": shim,
+        "random": seeded,
+        "secrets": seeded,
     }
     logger, transport_log.LOGGER[:] = list(transport_log.LOGGER), [LogRecorder(fleet)]
     try:
--- a/latchspoke/lab/system/network.py
+++ b/latchspoke/lab/system/network.py
@@ -1,10 +1,9 @@
-"""Virtual time, machines on a network in memory, and an event loop for each process on them.
+"""Virtual time, an in-memory network of machines, and an event loop for each process on them.
 
-Differs from ``latchspoke.lab.virtual``, which is one process with one loop: here each process has its own
-loop and address, so that one can be killed or lose power, and the network can tell who speaks to whom.
-A process takes time for what comes to it, and may stand still. Bytes are held up by a cut and come when it is
-over, unless their sender resets or loses power; a machine without power says nothing. Time stands still while
-code runs. One seed gives one result.
+Unlike ``latchspoke.lab.virtual``, which has one process and one loop, each process here has its own loop and
+address, so that it can be killed or lose power and links can be cut. A process spends time on each event and
+may be blocked. A cut holds bytes back until it heals, unless their sender resets the connection or loses
+power. Virtual time does not advance while code runs. The result depends on the seed alone.
 """
 
 from __future__ import annotations
@@ -22,15 +21,15 @@
 from latchspoke.lab.virtual import Address, Reading, Unpolled
 
 FIRST_PORT = 30_000
-RETRANSMIT_DELAY_S = (0.2, 0.5)  # s until bytes that a cut held up are sent again after it
-SYN_RETRY_DELAYS_S = (1.0, 2.0, 4.0, 8.0)  # s between tries to open a connection that nobody answers
-HEADER_BYTES = 40  # bytes of headers with each piece
-MAX_LINK_BACKLOG_S = 0.5  # s of waiting at a link; a datagram that would wait longer is dropped
-SEND_BUFFER_BYTES = 64 * 1024  # bytes that the kernel takes before a writer notices
+RETRANSMIT_DELAY_S = (0.2, 0.5)  # after a cut has healed
+SYN_RETRY_DELAYS_S = (1.0, 2.0, 4.0, 8.0)  # between unanswered connection attempts
+HEADER_BYTES = 40  # IP and TCP headers of each segment
+MAX_LINK_BACKLOG_S = 0.5  # datagrams that would wait longer are dropped
+SEND_BUFFER_BYTES = 64 * 1024  # taken by the kernel before a writer sees them buffered
 
 
 class Runnable(Protocol):
-    """What the world calls: asyncio's handles, and ``Call``."""
+    """What the scheduler runs: asyncio handles and ``ScheduledCall``."""
 
     _cancelled: bool
 
@@ -38,7 +37,7 @@
 
 
 class ScheduledCall:
-    """Something due that belongs to no process."""
+    """A scheduled callback that belongs to no process."""
 
     __slots__ = ("_cancelled", "_loop", "args", "callback")
 
@@ -53,14 +52,14 @@
 
 
 class VirtualScheduler:
-    """The time, and what is due."""
+    """Virtual clock and event queue."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.heap: list[tuple[float, int, Any]] = []
         self.ready: deque[Any] = deque()
         self.event_count = 0
-        self.uncaught_errors: list[tuple[float, str, str]] = []  # at, who, what a process raised
+        self.uncaught_errors: list[tuple[float, str, str]] = []  # at, process, error
 
     def schedule(self, when: float, runnable: Any) -> None:
         self.event_count += 1
@@ -75,13 +74,13 @@
         return self.at(self.now + delay, callback, *args)
 
     def run(self, until: float) -> None:
-        """Play up to that time."""
-        heap, soon, enter = self.heap, self.ready, events._set_running_loop
+        """Run all events up to that time."""
+        heap, ready, enter = self.heap, self.ready, events._set_running_loop
         try:
             while True:
-                own_call = bool(soon)
-                if soon:
-                    runnable = soon.popleft()
+                own_call = bool(ready)
+                if ready:
+                    runnable = ready.popleft()
                 elif heap and heap[0][0] <= until:
                     when, _, runnable = heapq.heappop(heap)
                     if when > self.now:
@@ -105,22 +104,22 @@
 
 
 class Link:
-    """One way of a machine's link: bytes wait for those before them."""
+    """One direction of a machine's link: a queue with a limited rate."""
 
     __slots__ = ("idle_at", "rate")
 
     def __init__(self) -> None:
-        self.rate, self.idle_at = 0.0, 0.0  # bytes a second, 0: not bounded; when all is through (s)
+        self.rate, self.idle_at = 0.0, 0.0  # bytes/s, 0: unlimited; when the queue is empty (s)
 
     def transmit_end(self, size: int, now: float) -> float:
-        """When so many bytes that come now are through."""
+        """Time at which bytes that are queued now have been transmitted."""
         if not self.rate:
             return now
         self.idle_at = max(self.idle_at, now) + (size + HEADER_BYTES) / self.rate
         return self.idle_at
 
     def backlog_s(self, now: float) -> float:
-        """Seconds that what comes now waits for what came before."""
+        """Seconds that new bytes wait in the queue."""
         return max(self.idle_at - now, 0.0)
 
 
@@ -134,12 +133,12 @@
         self.egress, self.ingress = Link(), Link()
 
     def limit_rate(self, mbps: float) -> None:
-        """Its link takes so many Mbit/s, each way."""
+        """Limit its link to this rate in each direction."""
         self.egress.rate = self.ingress.rate = mbps * 125_000
 
 
 class Network:
-    """Delays, cuts and who listens where."""
+    """Latencies, cuts, listeners and datagram sockets."""
 
     def __init__(
         self,
@@ -156,13 +155,13 @@
         self.hosts: dict[str, Host] = {}
         self.listeners: dict[Address, Listener] = {}
         self.datagram_sockets: dict[Address, DatagramSocket] = {}
-        self.cuts: dict[tuple[str, str], int] = {}  # from, to: how many cuts
+        self.cuts: dict[tuple[str, str], int] = {}  # (from, to) -> number of cuts
         self.stalled: dict[StreamTransport, None] = {}
         self.loss = 0.001
         self.next_port = FIRST_PORT
         self.latency_cache: dict[tuple[str, str], float] = {}
         self.messages_sent = 0
-        self.datagrams_dropped = 0  # datagrams at full links
+        self.datagrams_dropped = 0  # at congested links
         self.traffic_meter: Callable[[str, Address, Address, bytes], None] | None = None
 
     def host(self, ip: str, zone: str, region: str) -> Host:
@@ -170,7 +169,7 @@
         return host
 
     def latency(self, source: Host, target: Host) -> float:
-        """Seconds one way, without what chance adds."""
+        """One-way latency in seconds, without jitter."""
         key = source.ip, target.ip
         found = self.latency_cache.get(key)
         if found is None:
@@ -190,7 +189,7 @@
         return bool(self.cuts) and (source.ip, target.ip) in self.cuts
 
     def cut(self, pairs: list[tuple[str, str]]) -> None:
-        """From now on nothing passes that way; nobody is told."""
+        """Block these directions silently."""
         for pair in pairs:
             self.cuts[pair] = self.cuts.get(pair, 0) + 1
 
@@ -210,7 +209,7 @@
 
 
 class Listener(Unpolled):
-    """What ``create_server`` gives."""
+    """A listening socket, as returned by ``create_server``."""
 
     def __init__(self, loop: ProcessLoop, address: Address, factory: Callable[[], Any]) -> None:
         self.loop, self.address, self.factory = loop, address, factory
@@ -228,31 +227,31 @@
 
 
 class PendingConnection:
-    """A connection that is being opened."""
+    """A connection that is being established."""
 
     def __init__(
         self, network: Network, loop: ProcessLoop, address: Address, factory: Callable[[], Any],
         done: Callable[[StreamTransport], None], failed: Callable[[OSError], None],
     ) -> None:  # fmt: skip
         self.network, self.loop, self.address, self.factory = network, loop, address, factory
-        self.done, self.failed, self.attempts, self.finished = done, failed, 0, False
+        self.done, self.failed, self.unanswered_syns, self.finished = done, failed, 0, False
         network.next_port += 1
         self.here = loop.host.ip, network.next_port
-        self.attempt()
+        self.send_syn()
 
     def cancel(self) -> None:
         self.finished = True
 
-    def attempt(self) -> None:
+    def send_syn(self) -> None:
         network, scheduler = self.network, self.network.scheduler
         if self.finished or self.loop.dead:
             return
         host = network.hosts.get(self.address[0])
         here = self.loop.host
         if host is None or not host.powered or network.blocked(here, host) or network.blocked(host, here):
-            if self.attempts < len(SYN_RETRY_DELAYS_S):
-                scheduler.after(SYN_RETRY_DELAYS_S[self.attempts], self.attempt)
-                self.attempts += 1
+            if self.unanswered_syns < len(SYN_RETRY_DELAYS_S):
+                scheduler.after(SYN_RETRY_DELAYS_S[self.unanswered_syns], self.send_syn)
+                self.unanswered_syns += 1
             return
         delay = network.delay(here, host)
         scheduler.after(delay, self.reach_listener, host, delay)
@@ -279,7 +278,7 @@
         if not self.finished and not self.loop.dead:
             self.finished = True
             events._set_running_loop(self.loop)
-            self.failed(ConnectionRefusedError(f"nobody listens at {self.address}"))
+            self.failed(ConnectionRefusedError(f"connection refused: {self.address}"))
 
     def opened(self, near: StreamTransport) -> None:
         if self.loop.dead:
@@ -297,18 +296,18 @@
 
 
 class SocketOptions(Unpolled):
-    """The one option of a socket that matters here."""
+    """Stands in for the socket; supports TCP_USER_TIMEOUT only."""
 
-    def __init__(self, end: StreamTransport) -> None:
-        self.end = end
+    def __init__(self, transport: StreamTransport) -> None:
+        self.transport = transport
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
         if (level, option) == (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT):
-            self.end.user_timeout_s = value / 1000
+            self.transport.user_timeout_s = value / 1000
 
 
 class StreamTransport(Reading):
-    """One end of a connection."""
+    """Transport at one end of a simulated TCP connection."""
 
     def __init__(self, network: Network, loop: ProcessLoop, here: Address, there: Address) -> None:
         super().__init__(here, there)
@@ -317,11 +316,11 @@
         self.protocol: Any = None
         self.other: StreamTransport | None = None
         self.silent = False
-        self.held_back: deque[tuple[str, bytes]] = deque()  # on the way, and stopped there
+        self.held_back: deque[tuple[str, bytes]] = deque()  # in flight, held back by a cut
         self.user_timeout_s = 0.0
         self.stalled_since = -1.0
-        self.burst, self.burst_sent_at = 0, 0.0  # bytes that wait for the own link, and until when (s)
-        # Each end has its own luck: in which order a set of connections is closed must not matter.
+        self.queued_bytes, self.burst_sent_at = 0, 0.0  # bytes in the own link's queue, and until when (s)
+        # Each transport has its own jitter, so that the order in which connections are closed has no effect.
         self.jitter_state = zlib.crc32(f"{here} {there} {network.seed}".encode())
         loop.transports[self] = None
 
@@ -343,7 +342,7 @@
         while self.unread and not self.paused:
             self.take(*self.unread.popleft())
 
-    # The way there.
+    # Sending.
 
     def send(self, kind: str, data: bytes) -> None:
         other, network = self.other, self.network
@@ -357,14 +356,14 @@
         leaves_at = link.transmit_end(len(data), scheduler.now)
         if link.rate:
             if self.burst_sent_at <= scheduler.now:
-                self.burst = 0
-            self.burst, self.burst_sent_at = self.burst + len(data), leaves_at
+                self.queued_bytes = 0
+            self.queued_bytes, self.burst_sent_at = self.queued_bytes + len(data), leaves_at
         at = max(leaves_at + self.delay(other.loop.host), self.arrives_at)
         self.arrives_at = at
         scheduler.at(at, self.reach_ingress if other.loop.host.ingress.rate else self.arrive, kind, data)
 
     def reach_ingress(self, kind: str, data: bytes) -> None:
-        """At the other machine's link."""
+        """Pass the receiving machine's link."""
         other = self.other
         if other is not None:
             scheduler = self.network.scheduler
@@ -379,24 +378,24 @@
         network, here, there = self.network, self.loop.host, other.loop.host
         if self.held_back or not there.powered or (network.cuts and network.blocked(here, there)):
             if self.gone and kind == "reset":
-                self.held_back.clear()  # what was held up is lost with the one who sent it
+                self.held_back.clear()  # a reset discards the bytes held back
             self.held_back.append((kind, data))
             self.mark_stalled(there.powered)
         elif other.silent or (other.gone and kind == "data"):
             network.scheduler.after(other.delay(here), self.deliver, "reset", b"")
         else:
             if network.cuts and network.blocked(there, here):
-                self.mark_stalled(True)  # it comes, and its acknowledgement does not
+                self.mark_stalled(True)  # delivered, but the acknowledgement is blocked
             other.deliver(kind, data)
 
-    def mark_stalled(self, on: bool) -> None:
+    def mark_stalled(self, powered: bool) -> None:
         network = self.network
         network.stalled[self] = None
         if self.stalled_since < 0:
             self.stalled_since = network.scheduler.now
             if self.user_timeout_s:
                 network.scheduler.after(self.user_timeout_s, self.user_timeout_expired, self.stalled_since)
-        if not on:
+        if not powered:
             network.scheduler.after(0.5, self.retransmit)
 
     def user_timeout_expired(self, since: float) -> None:
@@ -407,7 +406,7 @@
             self.close_with(TimeoutError("no acknowledgement"))
 
     def retransmit(self) -> None:
-        """Send once more what was held up."""
+        """Retransmit the bytes held back."""
         other, network = self.other, self.network
         if self.silent or other is None or self not in network.stalled:
             network.stalled.pop(self, None)
@@ -424,7 +423,7 @@
         for kind, data in held_back:
             self.arrive(kind, data)
 
-    # What comes.
+    # Receiving.
 
     def deliver(self, kind: str, data: bytes) -> None:
         if self.gone or self.loop.dead or self.silent:
@@ -453,7 +452,7 @@
                 elif not self.protocol.eof_received():
                     self.close()
             except Exception as e:
-                # As asyncio does: a protocol that raises loses its connection.
+                # Like asyncio, abort the connection of a protocol that raises.
                 self.loop.call_exception_handler({"message": "a protocol raised", "exception": e})
                 self.abort()
 
@@ -465,7 +464,7 @@
         if not self.closing:
             self.send("eof", b"")
 
-    # Ends.
+    # Closing.
 
     def close(self) -> None:
         if not self.closing:
@@ -485,20 +484,20 @@
                 self.loop.call_soon(self.protocol.connection_lost, error)
 
     def process_exited(self, reset: bool = False) -> None:
-        """Its process has ended: the machine closes the connection."""
+        """The process has exited: the kernel closes or resets the connection."""
         if not self.gone:
             self.closing = self.gone = True
             self.send("reset" if reset else "eof", b"")
 
     def lose_power(self) -> None:
-        """Its machine has lost power: nobody is told."""
+        """The machine has lost power: the peer is not notified."""
         self.closing = self.gone = self.silent = True
 
     def get_write_buffer_size(self) -> int:
         unsent_bytes = sum(len(data) for _, data in self.held_back) if self.held_back else 0
         egress_delay_s = self.burst_sent_at - self.network.scheduler.now
         if egress_delay_s > 0:
-            unsent_bytes += min(int(egress_delay_s * self.loop.host.egress.rate), self.burst)
+            unsent_bytes += min(int(egress_delay_s * self.loop.host.egress.rate), self.queued_bytes)
         return max(unsent_bytes - SEND_BUFFER_BYTES, 0)
 
     __hash__ = object.__hash__
@@ -531,7 +530,7 @@
             )
 
     def reach_ingress(self, host: Host, address: Address, data: bytes) -> None:
-        """At the other machine's link."""
+        """Pass the receiving machine's link."""
         network, now = self.network, self.network.scheduler.now
         if host.ingress.backlog_s(now) > MAX_LINK_BACKLOG_S:
             network.datagrams_dropped += 1
@@ -556,7 +555,7 @@
 
 
 def new_process_loop(network: Network, host: Host, name: str) -> ProcessLoop:
-    return ProcessLoop(network, host, name)  # type: ignore[abstract]  # of files and threads there are none
+    return ProcessLoop(network, host, name)  # type: ignore[abstract]  # no files, threads or signals
 
 
 class ProcessLoop(asyncio.AbstractEventLoop):
@@ -565,17 +564,15 @@
     def __init__(self, network: Network, host: Host, name: str) -> None:
         self.network, self.scheduler, self.host, self.name = network, network.scheduler, host, name
         self.dead = False
-        self.busy_until = 0.0  # till then it does nothing else
-        self.cost_per_event_s = 0.0  # s that each piece of what comes takes it
+        self.busy_until = 0.0  # no events are handled before then
+        self.cost_per_event_s = 0.0  # for each received message
         self.transports: dict[StreamTransport, None] = {}
-        self.deferred: deque[Runnable] = deque()  # what came while it was busy, in that order
-        self.deferred_own_calls: deque[Runnable] = (
-            deque()
-        )  # what it has called for soon itself, which goes first
+        self.deferred: deque[Runnable] = deque()  # events received while busy
+        self.deferred_own_calls: deque[Runnable] = deque()  # its own ``call_soon`` handles, which run first
         self.wake_scheduled = False
 
     def defer(self, runnable: Runnable, own_call: bool = False) -> None:
-        """Once this process is free; one look at the queue, however much waits."""
+        """Run it once the process is idle, with one wake-up for the whole queue."""
         (self.deferred_own_calls if own_call else self.deferred).append(runnable)
         if not self.wake_scheduled:
             self.wake_scheduled = True
@@ -586,7 +583,7 @@
         while (deferred_own_calls or deferred) and self.busy_until <= scheduler.now and not scheduler.ready:
             runnable = deferred_own_calls.popleft() if deferred_own_calls else deferred.popleft()
             if runnable._cancelled or (self.dead and not isinstance(runnable, ScheduledCall)):
-                continue  # a call of the network's own looks itself whether the process lives
+                continue  # calls of the network check themselves whether the process is alive
             events._set_running_loop(self)
             runnable._run()
         self.wake_scheduled = bool(deferred_own_calls or deferred)
@@ -594,7 +591,7 @@
             scheduler.at(self.busy_until, self.wake)
 
     def kill(self, power: bool, rng: random.Random | None = None) -> None:
-        """At once, as by SIGKILL; ``power``: the machine goes with it, and says nothing."""
+        """End the process as by SIGKILL; with ``power`` the machine loses power and no peer is notified."""
         if self.dead:
             return
         self.dead = True
@@ -610,7 +607,7 @@
         for address in [a for a, receiver in network.datagram_sockets.items() if receiver.loop is self]:
             del network.datagram_sockets[address]
 
-    # What asyncio needs.
+    # asyncio.AbstractEventLoop.
 
     def time(self) -> float:
         return self.scheduler.now
--- a/latchspoke/lab/system/operators.py
+++ b/latchspoke/lab/system/operators.py
@@ -1,4 +1,4 @@
-"""The operator: configurations, races, storms, evacuations, repeats of what had no answer, read-back."""
+"""The simulated operator: configuration changes, evacuations, rollouts, retries and the read-back."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from latchspoke.rollouts.evidence import gather
 
 FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
-ANSWER_TIMEOUT_S = 1.0  # s for an answer
-RETRY_PAUSE_S = (0.05, 0.8)  # s between tries
+ANSWER_TIMEOUT_S = 1.0
+RETRY_PAUSE_S = (0.05, 0.8)  # first, longest
 
 
 class ConfigurationPlan:
-    """Names of a deployment, its first configuration, and the changes to it."""
+    """Generates the names and keys of a deployment, its first configuration and changes to it."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.deployment = deployment
@@ -38,8 +38,8 @@
         self.shares = {f"t{n}": w / sum(weights) for n, w in enumerate(weights)}
         self.keys = {name: [f"k{rng.getrandbits(60):015x}" for _ in "12"] for name in self.shares}
         self.key_owners = {key: name for name, keys in self.keys.items() for key in keys}
-        self.moved: dict[str, str] = {}  # kind -> the service that it was moved to
-        self.revoked_keys: dict[str, str] = {}  # tenant -> a key that was just taken away
+        self.moved: dict[str, str] = {}  # kind -> service
+        self.revoked_keys: dict[str, str] = {}  # tenant -> key that was just revoked
         self.number = 1
         self.extra = 0
         regions = sorted(set(deployment.zones.values()))
@@ -56,7 +56,7 @@
         return rng.choices(names, [self.shares[n] * rush.get(n, 1.0) for n in names])[0]
 
     def address(self, rng: random.Random, kind: RequestKind, tenant: str) -> tuple[str, str, str]:
-        """Host, path and key of a request."""
+        """Returns host, path and API key of a new request."""
         path = f"/{kind.name}/{rng.getrandbits(20):x}"
         revoked_keys = self.revoked_keys.get(tenant)
         key = (
@@ -69,17 +69,17 @@
         return self.number
 
     def initial(self) -> Doc:
-        d = self.deployment
+        deployment = self.deployment
         listeners: list[Doc] = [{"host": host, "ruleSet": []} for host in self.hosts]
-        for kind in d.kinds:
+        for kind in deployment.kinds:
             listener = next(item for item in listeners if item["host"] == self.host_of[kind.name])
             listener["ruleSet"].append(self.rule(kind))
-        per_s = d.per_s * 1.25
+        requests_per_s = deployment.per_s * 1.25
         tenants = [
             {
                 "name": name, "apiKeys": list(self.keys[name]), "priority": n % 3,
-                "ratePerS": round(max(per_s * share * d.tenants.quota_x, 3.0), 1),
-                "burstSize": round(max(per_s * share * d.tenants.quota_x, 5.0), 1),
+                "ratePerS": round(max(requests_per_s * share * deployment.tenants.quota_x, 3.0), 1),
+                "burstSize": round(max(requests_per_s * share * deployment.tenants.quota_x, 5.0), 1),
                 "homeRegions": self.homes[name],
             }
             for n, (name, share) in enumerate(self.shares.items())
@@ -89,7 +89,7 @@
                 "name": s.name, "healthPath": "/health", "connectionLimit": s.connections, "protocol": "h1",
                 "tls": False, "coldStartS": s.cold_s, "coldPerS": s.cold_per_s,
             }
-            for s in d.services
+            for s in deployment.services
         ]  # fmt: skip
         limits = {"maxHeaderBytes": 16384, "maxBodyBytes": 67108864, "headerTimeoutS": 3, "idleTimeoutS": 15}
         return {
@@ -105,7 +105,7 @@
         return rule
 
     def successor_of(self, doc: Doc) -> Doc:
-        """A copy with the next number, on top of it."""
+        """A copy with the next version, based on this one."""
         new = copy.deepcopy(doc)
         new["baseVersion"], new["version"] = doc["version"], f"{self.next_version():08x}"
         return new
@@ -126,9 +126,9 @@
                 ]  # fmt: skip
                 if how == "move":
                     action.pop("weightedSplit")
-                    there = self.moved.get(kind.name, kind.service)
+                    current_service = self.moved.get(kind.name, kind.service)
                     action["service"] = self.moved[kind.name] = (
-                        kind.also if there == kind.service else kind.service
+                        kind.also if current_service == kind.service else kind.service
                     )
             case "timeout":
                 action = rng.choice(rules)["actionSpec"]
@@ -155,20 +155,20 @@
             self.rng.choice(doc["listenerList"])["ruleSet"].append(rule)
 
     def with_new_key(self, doc: Doc) -> Doc:
-        """One tenant gets a new key, and loses its oldest."""
+        """Replaces the oldest key of a tenant by a new one."""
         new = self.successor_of(doc)
         tenant = self.rng.choice(new["tenants"])
         new_key = f"k{self.rng.getrandbits(60):015x}"
         self.key_owners[new_key] = tenant["name"]
         name, revoked = tenant["name"], tenant["apiKeys"][0]
         tenant["apiKeys"] = [*tenant["apiKeys"][1:], new_key]
-        # Most clients know beforehand, and use the new key once it is acknowledged.
+        # Clients use the new key once the change is acknowledged; a few still send the revoked one.
         self.keys[name] = tenant["apiKeys"][:-1]
         self.revoked_keys[name] = revoked
         return new
 
     def acknowledged(self, doc: Doc) -> None:
-        """This one is acknowledged."""
+        """Use the keys of a configuration that was acknowledged."""
         for tenant in doc["tenants"]:
             if self.revoked_keys.get(tenant["name"]) not in tenant["apiKeys"]:
                 self.keys[tenant["name"]] = list(tenant["apiKeys"])
@@ -209,12 +209,12 @@
 
 
 def patch_for(old: Doc, new: Doc) -> Doc:
-    """The change as ``configuration.modify`` takes it, whole items by name."""
+    """The change as a patch for ``configuration.modify``."""
     upsert: dict[str, Any] = {}
-    was = {r["name"]: r for item in old["listenerList"] for r in item["ruleSet"]}
+    old_rules = {r["name"]: r for item in old["listenerList"] for r in item["ruleSet"]}
     listeners = []
     for item in new["listenerList"]:
-        rules = [r for r in item["ruleSet"] if was.get(r["name"]) != r]
+        rules = [r for r in item["ruleSet"] if old_rules.get(r["name"]) != r]
         if rules:
             listeners.append({"host": item["host"], "ruleSet": rules})
     if listeners:
@@ -222,13 +222,13 @@
     tenants = [t for t in new["tenants"] if t not in old["tenants"]]
     if tenants:
         upsert["tenants"] = tenants
-    gone = sorted(set(was) - {r["name"] for item in new["listenerList"] for r in item["ruleSet"]})
-    remove = {"routes": gone} if gone else {}
+    removed = sorted(set(old_rules) - {r["name"] for item in new["listenerList"] for r in item["ruleSet"]})
+    remove = {"routes": removed} if removed else {}
     return {"version": new["version"], "baseVersion": new["baseVersion"], "upsert": upsert, "remove": remove}
 
 
 class Operator:
-    """Sends orders, and records what came of them."""
+    """Sends commands and records their outcomes."""
 
     def __init__(
         self, deployment: Deployment, network: Network, record: DayRecord, plan: ConfigurationPlan, seed: int,
@@ -240,33 +240,33 @@
         zone = next(iter(deployment.zones))
         network.host("client:operator", zone, deployment.zones[zone])
         self.loop = new_process_loop(network, network.hosts["client:operator"], "operator")
-        self.doc: Doc = plan.initial()  # the newest known to be taken
-        self.docs: dict[int, Doc] = {int(self.doc["version"], 16): self.doc}
+        self.doc: Doc = plan.initial()  # the newest acknowledged
+        self.documents: dict[int, Doc] = {int(self.doc["version"], 16): self.doc}
         self.lock = asyncio.Lock()
         self.on_ack: list[Callable[[Command], None]] = []
         self.until = 1e9
         self.lost_share, self.lost_until = 0.0, 0.0
 
-    def spawn(self, work: Any) -> None:
-        self.loop.create_task(work)
+    def spawn(self, coroutine: Any) -> None:
+        self.loop.create_task(coroutine)
 
     def lose_answers(self, share: float, until: float) -> None:
-        """Until then (s of the day) this share of the answers to orders is lost on the way."""
+        """Lose this share of the answers to commands until that time."""
         self.lost_share, self.lost_until = share, until
 
     def answer_is_lost(self) -> bool:
-        """Whether the answer that has just come was lost."""
+        """Whether the present answer is lost."""
         return self.scheduler.now < self.lost_until and self.rng.random() < self.lost_share
 
     async def send(self, command: Command, target: str, body: bytes | None, until: float) -> int:
-        """Until there is a clear answer; its status, or 0."""
+        """Retry until there is a conclusive answer; returns its status, or 0."""
         self.record.commands.append(command)
         pause, client_errors = RETRY_PAUSE_S[0], 0
-        limit = ANSWER_TIMEOUT_S + (len(body) / 100_000 if body else 0.0)
+        timeout_s = ANSWER_TIMEOUT_S + (len(body) / 100_000 if body else 0.0)
         while self.scheduler.now < until:
             addresses = self.control()
             address = self.rng.choice(addresses)
-            status, _, _ = await call(self.loop, address, "POST", target, body, limit)
+            status, _, _ = await call(self.loop, address, "POST", target, body, timeout_s)
             if status and self.answer_is_lost():
                 if status == 200:
                     command.lost_ack_at = min(command.lost_ack_at, self.scheduler.now)
@@ -290,13 +290,13 @@
         return 0
 
     async def submit_initial(self) -> None:
-        """The first one, until it is taken."""
+        """Submit the first configuration."""
         async with self.lock:
             await self.submit(self.doc, None)
 
     async def submit(self, doc: Doc, old: Doc | None, valid: bool = True) -> int:
         version, base = int(doc["version"], 16), int(doc["baseVersion"], 16)
-        self.docs[version] = doc
+        self.documents[version] = doc
         if old is not None and valid and self.rng.random() < 0.5:
             what, body = "modify", patch_for(old, doc)
         else:
@@ -310,7 +310,7 @@
         return status
 
     async def change(self, make: Callable[[Doc], Doc], valid: bool = True) -> None:
-        """One change on top of the newest; who lost to one that had no clear answer looks, and goes on."""
+        """Submit a change of the newest configuration; on a conflict read it back and retry."""
         async with self.lock:
             for _ in range(3):
                 old = self.doc
@@ -319,10 +319,10 @@
                     return
                 found = await self.read(3.0)
                 if found is not None and found["version"] != old["version"]:
-                    self.doc = self.docs.get(int(found["version"], 16), found)
+                    self.doc = self.documents.get(int(found["version"], 16), found)
 
     async def rollout(self, plan: rollouts.Plan, readiness_addresses: Callable[[], list[Address]]) -> None:
-        """A roll-out by its real state machine; what happens is told in the record."""
+        """Run a rollout with the real state machine and record its events."""
         rollout = Rollout(plan, self.scheduler.now)
         while rollout.end is None:
             match rollout.next(self.scheduler.now):
@@ -331,11 +331,11 @@
                 case Read():
                     found = await self.read(2.0)
                     if found is None:
-                        rollout.unread("nobody answers", self.scheduler.now)
+                        rollout.unread("no control-plane node answers", self.scheduler.now)
                     else:
                         rollout.read(cast(Any, found), self.scheduler.now)
                 case RolloutCommand(_, patch):
-                    answer = await self.put_rule(patch)
+                    answer = await self.submit_rule(patch)
                     rollout.answered(answer, self.scheduler.now)
                 case Look(since):
                     views = await asyncio.gather(
@@ -354,19 +354,19 @@
             for event in rollout.take_events():
                 self.record.log_events.append((event.at, "operator", f"rollout-{event.code}", event.fields))
 
-    async def put_rule(self, patch: Doc) -> Answer:
-        """A change of one rule, on top of whatever version it names."""
+    async def submit_rule(self, patch: Doc) -> Answer:
+        """Submit a change of one rule, based on the version that the patch names."""
         async with self.lock:
             version, base = int(patch["version"], 16), int(patch["baseVersion"], 16)
-            if base not in self.docs or version in self.docs:
+            if base not in self.documents or version in self.documents:
                 return Answer.CONFLICT
-            document = copy.deepcopy(self.docs[base])
+            document = copy.deepcopy(self.documents[base])
             (new,) = patch["upsert"]["listenerList"][0]["ruleSet"]
             for listener in document["listenerList"]:
                 rules = listener["ruleSet"]
                 listener["ruleSet"] = [new if rule["name"] == new["name"] else rule for rule in rules]
             document |= {"version": patch["version"], "baseVersion": patch["baseVersion"]}
-            self.docs[version], self.plan.number = document, max(self.plan.number, version)
+            self.documents[version], self.plan.number = document, max(self.plan.number, version)
             command = Command("modify", version, base, document, "", self.scheduler.now)
             until = min(self.scheduler.now + self.deployment.bound("ackS"), self.until)
             target = "/rpc?call=configuration.modify"
@@ -388,19 +388,19 @@
             first, second = self.plan.changed(old, "timeout"), self.plan.changed(old, "idle")
             await asyncio.gather(self.submit(first, old), self.submit(second, old))
 
-    async def evacuate(self, zone: str, lasts: float) -> None:
+    async def evacuate(self, zone: str, duration_s: float) -> None:
         async with self.lock:
             command = Command("begin", 0, 0, None, zone, self.scheduler.now)
             until = self.scheduler.now + self.deployment.bound("ackS")
             await self.send(command, f"/rpc?call=evacuation.begin&of={zone}", None, until)
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration_s)
         async with self.lock:
             command = Command("finish", 0, 0, None, zone, self.scheduler.now)
             until = self.scheduler.now + self.deployment.bound("ackS")
             await self.send(command, f"/rpc?call=evacuation.finish&of={zone}", None, until)
 
-    async def read(self, lasts: float) -> Doc | None:
-        until = self.scheduler.now + lasts
+    async def read(self, timeout_s: float) -> Doc | None:
+        until = self.scheduler.now + timeout_s
         while self.scheduler.now < until:
             address = self.rng.choice(self.control())
             status, _, body = await call(
--- a/latchspoke/lab/system/report.py
+++ b/latchspoke/lab/system/report.py
@@ -1,4 +1,4 @@
-"""A day's report: pictures and findings in one page; and the story of one request, server or machine."""
+"""HTML report of a day with plots and findings, and the events of one request, server or machine."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def story_lines(result: DayResult, who: str, at: float, window: float) -> list[str]:
-    """What was seen of it, or around the time, in order."""
+    """Events of ``who``, or of all machines, within ``window`` seconds of ``at``, in order of time."""
     record = result.record
     lines: list[tuple[float, str]] = [
         (when, f"trouble: {what.strip()}") for when, what in record.injected_troubles
@@ -49,11 +49,12 @@
         if not machines or machine in machines or machine == who or machine.startswith("core"):
             field_text = " ".join(f"{k}={v}" for k, v in fields.items())
             lines.append((when, f"{machine}: {event} {field_text}"))
-    near = sorted((when, line) for when, line in lines if abs(when - at) <= window)
-    return [f"{when:8.3f} {line}" for when, line in near]
+    in_window = sorted((when, line) for when, line in lines if abs(when - at) <= window)
+    return [f"{when:8.3f} {line}" for when, line in in_window]
 
 
 def write(folder: Path, result: DayResult, findings: list[Finding], outcome: Outcome) -> None:
+    """Write ``report.html`` to the folder, which is created if needed."""
     folder.mkdir(parents=True, exist_ok=True)
     rows = "".join(f"<li><code>{html.escape(str(f))}</code></li>" for f in findings)
     troubles = "".join(f"<li><code>{html.escape(str(t))}</code></li>" for t in result.day.troubles)
@@ -71,14 +72,15 @@
 
 
 def plots(result: DayResult) -> list[tuple[str, str]]:
+    """Titles and base64-encoded PNG images of all plots."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    found = []
+    images = []
     for title, plot in (
-        ("Worth over time", worth), ("Who knew which version when", versions), ("Servers' load", load),
+        ("Worth over time", worth), ("Configuration version by process", versions), ("Server load", load),
         ("Refusals by reason", refusals),
     ):  # fmt: skip
         figure, axes = pyplot.subplots(figsize=(10, 3.2))
@@ -89,11 +91,12 @@
         image = io.BytesIO()
         figure.savefig(image, format="png", bbox_inches="tight", dpi=90)
         pyplot.close(figure)
-        found.append((title, base64.b64encode(image.getvalue()).decode()))
-    return found
+        images.append((title, base64.b64encode(image.getvalue()).decode()))
+    return images
 
 
 def by_second(items: Any) -> tuple[list[int], list[float]]:
+    """Sum (time, value) pairs by whole seconds."""
     sums: dict[int, float] = defaultdict(float)
     for at, value in items:
         sums[int(at)] += value
@@ -102,15 +105,17 @@
 
 
 def worth(result: DayResult, axes: Any) -> None:
+    """Plot the worth of requests and what was earned."""
     requests = result.record.requests
-    axes.step(*by_second((w.at, w.worth) for w in requests), label="owed")
-    axes.step(*by_second((w.at, w.earned) for w in requests), label="earned")
-    axes.set_ylabel("worth a second")
+    axes.step(*by_second((r.at, r.worth) for r in requests), label="owed")
+    axes.step(*by_second((r.at, r.earned) for r in requests), label="earned")
+    axes.set_ylabel("worth/s")
     if axes.lines:
         axes.legend()
 
 
 def versions(result: DayResult, axes: Any) -> None:
+    """Plot the configuration version of each process, and acknowledged changes."""
     known: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for at, machine, event, fields in result.record.log_events:
         if event == "orders":
@@ -126,6 +131,7 @@
 
 
 def load(result: DayResult, axes: Any) -> None:
+    """Plot the share of busy slots by service."""
     busy: dict[str, dict[int, float]] = defaultdict(lambda: defaultdict(float))
     slots: dict[str, int] = defaultdict(int)
     for service, _, count, _ in result.instances.values():
@@ -135,18 +141,19 @@
             busy[arrival.service][int(arrival.at)] += arrival.ended - arrival.at
     for service, seconds in sorted(busy.items()):
         axes.step(list(seconds), [v / slots[service] for v in seconds.values()], label=service)
-    axes.set_ylabel("part of all slots, queues included")
+    axes.set_ylabel("share of all slots, including queues")
     if axes.lines:
         axes.legend()
 
 
 def refusals(result: DayResult, axes: Any) -> None:
+    """Plot the rate of unsuccessful responses by status."""
     reasons: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for attempt in result.record.attempts.values():
         if attempt.status not in (0, 200):
             reasons[attempt.status].append((attempt.ended, 1.0))
     for status, times in sorted(reasons.items()):
         axes.step(*by_second(times), label=str(status) if status > 0 else "cut off")
-    axes.set_ylabel("a second")
+    axes.set_ylabel("requests/s")
     if axes.lines:
         axes.legend()
--- a/latchspoke/lab/system/rules.py
+++ b/latchspoke/lab/system/rules.py
@@ -1,4 +1,4 @@
-"""The rules as named checks over what clients, servers and the operator saw in a day."""
+"""Rules of the service, as invariant checks over the observations of a day."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from latchspoke.lab.system.day_record import Arrival, Attempt, Command, Doc
 
 NOT_EXECUTED_STATUSES = frozenset((429, 503, 408, 421))
-MAX_FINDINGS_PER_RULE = 20  # findings that are kept of one rule
-REPLACED_LIMIT_S = 12.0  # s after which a limit that was replaced says nothing any more
+MAX_FINDINGS_PER_RULE = 20
+REPLACED_LIMIT_S = 12.0  # after this a replaced limit no longer applies
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """One breach: when, what, and of which request, server or order."""
+    """A broken rule: when, what, and which request, server or command."""
 
     rule: str
     at: float
@@ -34,7 +34,7 @@
 
 
 class Version:
-    """One configuration as its operator meant it, read apart from the programs' own reader."""
+    """A configuration, parsed independently of the programs' own parser."""
 
     def __init__(self, command: Command) -> None:
         assert command.doc is not None
@@ -49,16 +49,17 @@
         self.services = {item["name"]: item for item in doc["clusterList"]}
 
     def rule(self, host: str, path: str) -> Doc | None:
+        """The rule that matches, or None."""
         return self.rules.get((host, "/" + path.split("/")[1] + "/"))
 
     def verdict(self, attempt: Attempt) -> int:
-        """200, 401 or 404, as this version answers."""
+        """Expected status under this version: 200, 401 or 404."""
         if self.rule(attempt.host, attempt.path) is None:
             return 404
         return 200 if attempt.key in self.holders else 401
 
     def sends_to(self, attempt: Attempt) -> frozenset[str]:
-        """The services that may run it."""
+        """Services that may run the request."""
         rule = self.rule(attempt.host, attempt.path)
         if rule is None or attempt.key not in self.holders:
             return frozenset()
@@ -68,7 +69,7 @@
         return frozenset((action["service"],))
 
     def allowed_regions(self, attempt: Attempt) -> frozenset[str] | None:
-        """Regions that may serve it; None: all."""
+        """Regions that may serve the request; None: all."""
         rule = self.rule(attempt.host, attempt.path)
         tenant = self.holders.get(attempt.key)
         sets = [frozenset(h) for h in ((rule or {})["actionSpec"]["homeRegions"] if rule else [],
@@ -77,7 +78,7 @@
 
 
 class DayView:
-    """A day, with what the checks look up again and again."""
+    """A day with cached look-ups that several checks share."""
 
     def __init__(self, result: DayResult) -> None:
         self.result, self.record, self.reachability = result, result.record, result.reachability
@@ -86,25 +87,26 @@
 
     @cached_property
     def submitted(self) -> list[Version]:
-        """All that were ever sent, by number."""
-        orders = [o for o in self.record.commands if o.what in ("replace", "modify") and o.doc is not None]
-        return sorted((Version(command) for command in orders), key=lambda v: v.number)
+        """All submitted configurations, by version."""
+        commands = [c for c in self.record.commands if c.what in ("replace", "modify") and c.doc is not None]
+        return sorted((Version(command) for command in commands), key=lambda v: v.number)
 
     @cached_property
     def possibly_active(self) -> list[Version]:
-        """Those that are or may be in force."""
+        """Valid configurations that were not refused."""
         return [v for v in self.submitted if v.command.valid and math.isinf(v.command.refused_at)]
 
     @cached_property
     def acknowledged(self) -> list[Version]:
+        """Possibly active configurations whose change was acknowledged, by version."""
         return [v for v in self.possibly_active if not math.isinf(v.command.acked_at)]
 
     def must_comply(
         self, ip: str, sent: float, when: float, max_delay_s: float, allowed_when_stretched: bool
     ) -> bool:
-        """Whether a machine should have known better: in touch, or beyond what an unsettled core may stretch.
+        """Whether a machine had to know: it was in contact, or the extended bound has passed as well.
 
-        ``within``: what it did is allowed by a version that is no older than ``most``.
+        ``allowed_when_stretched``: a version within the extended bound ``max_delay_s`` allows what it did.
         """
         if self.reachability.in_contact(ip, when):
             return True
@@ -118,21 +120,26 @@
         )
 
     def possible(self, sent: float, until: float, slack: float) -> list[Version]:
-        """Those that may be in force for a request sent then, where changes take up to ``slack``."""
-        least = max((v.number for v in self.acknowledged if v.command.acked_at < sent - slack), default=0)
-        return [v for v in self.possibly_active if v.number >= least and v.command.sent <= until]
+        """Versions that may be in force for a request, if changes take up to ``slack`` seconds."""
+        lowest_version = max(
+            (v.number for v in self.acknowledged if v.command.acked_at < sent - slack), default=0
+        )
+        return [v for v in self.possibly_active if v.number >= lowest_version and v.command.sent <= until]
 
     @cached_property
     def by_id(self) -> dict[str, list[Arrival]]:
+        """Arrivals at servers by attempt ID."""
         found: dict[str, list[Arrival]] = defaultdict(list)
         for arrival in self.record.arrivals:
             found[arrival.ident].append(arrival)
         return found
 
     def attempt(self, arrival: Arrival) -> Attempt | None:
+        """The attempt that caused an arrival, if a client sent it."""
         return self.record.attempts.get(arrival.ident)
 
     def runs(self) -> Iterator[tuple[Arrival, Attempt]]:
+        """Arrivals that ran, with their attempts."""
         for arrival in self.record.arrivals:
             attempt = self.attempt(arrival)
             if arrival.ran and attempt is not None:
@@ -144,6 +151,8 @@
 
 
 def rule(name: str) -> Callable[[Check], Check]:
+    """Registers a check under the name that its findings carry."""
+
     def put(check: Check) -> Check:
         CHECKS[name] = check
         return check
@@ -153,9 +162,10 @@
 
 @rule("MIXED")
 def check_responses(view: DayView) -> Iterator[Finding]:
+    """Each response belongs to its request and is what a server sent, and nothing follows it."""
     for attempt in view.record.attempts.values():
         if attempt.echoed_ident and attempt.echoed_ident != attempt.ident:
-            what = f"{attempt.status}, the answer to another request: {attempt.echoed_ident}"
+            what = f"{attempt.status}, response to another request: {attempt.echoed_ident}"
             yield Finding("MIXED", attempt.ended, what, attempt.ident)
             continue
         arrivals = view.by_id.get(attempt.ident, ())
@@ -163,98 +173,103 @@
             if attempt.seal and not any(
                 a.seal == attempt.seal and a.status == attempt.status for a in arrivals
             ):
-                yield Finding("MIXED", attempt.ended, "a failure that no server gave so", attempt.ident)
+                yield Finding("MIXED", attempt.ended, "error response that no server sent", attempt.ident)
             continue
         successes = [a for a in arrivals if a.status == 200 and a.answer]
         if not attempt.seal:
-            yield Finding("MIXED", attempt.ended, "a success without seal", attempt.ident)
+            yield Finding("MIXED", attempt.ended, "successful response without a server seal", attempt.ident)
         elif not any(a.seal == attempt.seal and a.answer == attempt.answer for a in successes):
-            yield Finding("MIXED", attempt.ended, "a success that no server gave so", attempt.ident)
+            yield Finding("MIXED", attempt.ended, "successful response that no server sent", attempt.ident)
     for at, gateway, what in view.record.unexpected_data:
-        yield Finding("MIXED", at, f"bytes that nobody asked for: {what}", gateway)
+        yield Finding("MIXED", at, f"unexpected bytes: {what}", gateway)
 
 
 @rule("UNASKED")
 def check_unrequested_runs(view: DayView) -> Iterator[Finding]:
+    """Servers run only requests that clients sent, unchanged, without API key and for the right tenant."""
     for arrival in view.record.arrivals:
         if not arrival.ran:
             continue
         attempt = view.attempt(arrival)
         if attempt is None:
-            yield Finding("UNASKED", arrival.at, "a run that no client asked for", arrival.ident)
+            yield Finding("UNASKED", arrival.at, "server ran a request that no client sent", arrival.ident)
             continue
         if (arrival.method, arrival.path, arrival.body) != (attempt.method, attempt.path, attempt.body):
-            yield Finding("UNASKED", arrival.at, "a run of something else than was asked", arrival.ident)
+            yield Finding(
+                "UNASKED", arrival.at, "server ran a different request than was sent", arrival.ident
+            )
         if arrival.key:
-            yield Finding("UNASKED", arrival.at, "the key was shown to the server", arrival.ident)
+            yield Finding("UNASKED", arrival.at, "API key forwarded to the server", arrival.ident)
         if arrival.tenant != view.result.keys.get(attempt.key, ""):
-            yield Finding("UNASKED", arrival.at, f"the tenant was told as {arrival.tenant!r}", arrival.ident)
+            yield Finding("UNASKED", arrival.at, f"wrong tenant forwarded: {arrival.tenant!r}", arrival.ident)
 
 
 @rule("TWICE")
 def check_repeated_runs(view: DayView) -> Iterator[Finding]:
+    """A non-repeatable attempt runs at most once."""
     for ident, arrivals in view.by_id.items():
         attempt = view.record.attempts.get(ident)
         runs = [a for a in arrivals if a.ran]
         if attempt is not None and not attempt.repeatable and len(runs) > 1:
-            yield Finding("TWICE", runs[1].at, f"run at {runs[0].server} and {runs[1].server}", ident)
+            yield Finding("TWICE", runs[1].at, f"ran at {runs[0].server} and {runs[1].server}", ident)
 
 
 @rule("EXCHANGE")
 def check_exchanges(view: DayView) -> Iterator[Finding]:
-    """Where gateways hold callers' records: nothing run again unless its caller was told, nothing lost."""
+    """With gateways recording exchanges: none is repeated without notice, none is lost."""
     callers = view.result.deployment.callers
     if callers is not None and callers.way == "strict":
-        for problem in (what for those in find_exchange_errors(view.record) for what in those):
+        for problem in (what for errors in find_exchange_errors(view.record) for what in errors):
             yield Finding("EXCHANGE", view.result.traffic_end, problem)
 
 
 @rule("REFUSED")
 def check_refusals(view: DayView) -> Iterator[Finding]:
+    """A non-repeatable attempt that was refused as not executed has not run."""
     for attempt in view.record.attempts.values():
         if attempt.status in NOT_EXECUTED_STATUSES and not attempt.repeatable:
             runs = [a for a in view.by_id.get(attempt.ident, ()) if a.ran]
             if runs:
-                yield Finding(
-                    "REFUSED", attempt.ended, f"answered {attempt.status}, and has run", attempt.ident
-                )
+                yield Finding("REFUSED", attempt.ended, f"answered {attempt.status} but ran", attempt.ident)
 
 
 @rule("DENIED")
 def check_denials(view: DayView) -> Iterator[Finding]:
-    wrong: list[Finding] = []
+    """Requests that the configuration allows are not rejected by gateways in contact, up to a small share."""
+    denied: list[Finding] = []
     for attempt in view.record.attempts.values():
         status = attempt.status
         if not 300 <= status < 500 or status in (408, 421, 429) or attempt.ident in view.by_id:
             continue
         if status == 409 and attempt.exchange:
-            continue  # the truth about an exchange; ``exchanges`` looks whether it was
+            continue  # the state of an exchange, see ``check_exchanges``
         versions = view.possible(attempt.sent, attempt.ended, view.bound("configApplyS"))
         allowed = bool(versions) and all(v.verdict(attempt) == 200 for v in versions)
         if allowed and view.reachability.in_contact(attempt.gateway, attempt.ended):
-            wrong.append(Finding("DENIED", attempt.ended, f"answered {status}", attempt.ident))
-    if len(wrong) > 5 + len(view.record.attempts) / 500:
+            denied.append(Finding("DENIED", attempt.ended, f"answered {status}", attempt.ident))
+    if len(denied) > 5 + len(view.record.attempts) / 500:
         yield Finding(
             "DENIED",
-            wrong[0].at,
-            f"{len(wrong)} proper requests; the first was {wrong[0].what}",
-            wrong[0].who,
+            denied[0].at,
+            f"{len(denied)} valid requests denied; the first was {denied[0].what}",
+            denied[0].who,
         )
 
 
 @rule("ROUTE")
-def route(view: DayView) -> Iterator[Finding]:
+def check_routes(view: DayView) -> Iterator[Finding]:
+    """Requests run only at services of their route, with an API key that was configured."""
     known = {key for version in view.submitted for key in version.holders}
     for arrival, attempt in view.runs():
         if not any(arrival.service in v.sends_to(attempt) for v in view.submitted):
             yield Finding("ROUTE", arrival.at, f"{arrival.service} ran {attempt.path}", arrival.ident)
         elif attempt.key not in known:
-            yield Finding("ROUTE", arrival.at, "run under a key that nobody ever held", arrival.ident)
+            yield Finding("ROUTE", arrival.at, "ran with an API key that was never configured", arrival.ident)
 
 
 @rule("CONFIG")
 def check_stale_versions(view: DayView) -> Iterator[Finding]:
-    """Handled as only an older version allows, or as one that was refused."""
+    """Requests handled as only an outdated or a refused version allows."""
     slack, most = view.bound("configApplyS"), view.bound("configApplyS") + view.bound("stretchMaxS")
     for arrival, attempt in view.runs():
         versions = view.possible(attempt.sent, arrival.at, slack)
@@ -267,11 +282,11 @@
             yield Finding(
                 "CONFIG",
                 arrival.at,
-                f"run as only {older[-1]:08x} allows, at {arrival.source}",
+                f"handled by outdated version {older[-1]:08x} at {arrival.source}",
                 arrival.ident,
             )
         elif not older and any(arrival.service in v.sends_to(attempt) for v in view.submitted):
-            yield Finding("CONFIG", arrival.at, "run as only a refused configuration allows", arrival.ident)
+            yield Finding("CONFIG", arrival.at, "handled by a refused configuration", arrival.ident)
     for attempt in view.record.attempts.values():
         if attempt.status not in (401, 403, 404) or attempt.ident in view.by_id:
             continue
@@ -289,14 +304,14 @@
             yield Finding(
                 "CONFIG",
                 attempt.ended,
-                f"{attempt.status} for what is in force, at {attempt.gateway}",
+                f"{attempt.status} at {attempt.gateway}, though the version in force allows it",
                 attempt.ident,
             )
 
 
 @rule("CONFIG back")
 def check_reverted_versions(view: DayView) -> Iterator[Finding]:
-    """Within one life of a process."""
+    """A process must not return to an older version."""
     seen: dict[tuple[str, int], tuple[int, float]] = {}
     starts: dict[str, list[float]] = defaultdict(list)
     for at, ip in view.record.starts:
@@ -306,19 +321,22 @@
         allowing = [v.number for v in view.possibly_active if arrival.service in v.sends_to(attempt)]
         if not allowing:
             continue
-        life = arrival.source, bisect_right(starts[arrival.source], arrival.at)
-        least, at = seen.get(life, (0, 0.0))
-        if max(allowing) < least and attempt.sent > at + slack:
+        process = arrival.source, bisect_right(starts[arrival.source], arrival.at)
+        newest_seen, at = seen.get(process, (0, 0.0))
+        if max(allowing) < newest_seen and attempt.sent > at + slack:
             yield Finding(
-                "CONFIG back", arrival.at, f"{arrival.source} went back behind {least:08x}", arrival.ident
+                "CONFIG back",
+                arrival.at,
+                f"{arrival.source} reverted to a version before {newest_seen:08x}",
+                arrival.ident,
             )
-        if min(allowing) > least:
-            seen[life] = min(allowing), arrival.at
+        if min(allowing) > newest_seen:
+            seen[process] = min(allowing), arrival.at
 
 
 @rule("CONFIG orders")
 def orders(view: DayView) -> Iterator[Finding]:
-    """Acknowledged: nothing that is invalid, no two changes on one version, nothing that is refused later."""
+    """Acknowledged changes are valid, the only ones on their base, and not refused when sent again."""
     by_base: dict[int, Version] = {}
     for version in view.submitted:
         command = version.command
@@ -326,21 +344,24 @@
             yield Finding(
                 "CONFIG orders",
                 command.refused_at,
-                "it was taken, and refused when sent again",
+                "accepted, then refused when sent again",
                 f"{command.version:08x}",
             )
         if math.isinf(command.acked_at):
             continue
         if not command.valid:
             yield Finding(
-                "CONFIG orders", command.acked_at, "an invalid one was acknowledged", f"{command.version:08x}"
+                "CONFIG orders",
+                command.acked_at,
+                "invalid configuration acknowledged",
+                f"{command.version:08x}",
             )
         elif command.base in by_base:
             other = by_base[command.base].number
             yield Finding(
                 "CONFIG orders",
                 command.acked_at,
-                f"two on top of {command.base:08x}",
+                f"two changes acknowledged on base {command.base:08x}",
                 f"{other:08x} {command.version:08x}",
             )
         by_base[command.base] = version
@@ -348,7 +369,7 @@
 
 @rule("CONFIG read")
 def check_read_back(view: DayView) -> Iterator[Finding]:
-    """What is read back at the end of the day; after a closing fault this is LOST as well."""
+    """Configuration read back at the end of the day; a loss after a final fault is reported as LOST."""
     if not view.record.read_back_started_at:
         return
     found, end = view.record.read_back, view.result.traffic_end
@@ -357,19 +378,20 @@
     newest = max((v.number for v in view.acknowledged if v.command.acked_at < asked), default=0)
     if found is None:
         if newest:
-            yield Finding(name, end, "the configuration can't be read back")
+            yield Finding(name, end, "configuration cannot be read back")
         return
     number = int(found["version"], 16)
     if number < newest:
-        yield Finding(name, end, f"read back {number:08x}, and {newest:08x} was acknowledged")
+        yield Finding(name, end, f"read back {number:08x}, but {newest:08x} was acknowledged")
     sent = [v.command.doc for v in view.submitted if v.number == number and v.command.doc is not None]
     if not any(normalized(doc) == normalized(found) for doc in sent):
-        yield Finding("CONFIG read", end, f"{number:08x} comes back as something else")
+        yield Finding("CONFIG read", end, f"{number:08x} differs from what was submitted")
     if not any(v.number == number for v in view.possibly_active):
-        yield Finding("CONFIG read", end, f"{number:08x} is in force, and was refused")
+        yield Finding("CONFIG read", end, f"{number:08x} is in force but was refused")
 
 
 def normalized(doc: Doc) -> dict[str, Any]:
+    """A configuration in a form that can be compared, with rules, tenants and services by name."""
     rules = {
         r["name"]: (item["host"], without_empty(r)) for item in doc["listenerList"] for r in item["ruleSet"]
     }
@@ -382,7 +404,7 @@
 
 
 def without_empty(value: Any) -> Any:
-    """Without fields that say nothing."""
+    """Without null and empty fields."""
     if isinstance(value, dict):
         return {k: without_empty(v) for k, v in value.items() if v is not None and v != []}
     return [without_empty(v) for v in value] if isinstance(value, list) else value
@@ -390,31 +412,37 @@
 
 @rule("CONFIG keys")
 def check_revoked_keys(view: DayView) -> Iterator[Finding]:
-    """Run after its key was taken away, wherever."""
+    """Requests that ran after their API key was revoked."""
     if not view.bound("revocationEnforced"):
         return
-    last: dict[str, float] = {}
+    revocations: dict[str, float] = {}
     for number, version in enumerate(view.acknowledged):
         for key in version.holders:
-            last.pop(key, None)
+            revocations.pop(key, None)
         if number:
             for key in set(view.acknowledged[number - 1].holders) - set(version.holders):
-                last[key] = version.command.acked_at
-    later = {key for v in view.possibly_active if math.isinf(v.command.acked_at) for key in v.holders}
+                revocations[key] = version.command.acked_at
+    possibly_valid = {
+        key for v in view.possibly_active if math.isinf(v.command.acked_at) for key in v.holders
+    }
     for arrival, attempt in view.runs():
-        gone = last.get(attempt.key)
-        if gone is not None and attempt.key not in later and attempt.sent > gone + view.bound("revokeS"):
+        revoked_at = revocations.get(attempt.key)
+        if (
+            revoked_at is not None
+            and attempt.key not in possibly_valid
+            and attempt.sent > revoked_at + view.bound("revokeS")
+        ):
             yield Finding(
                 "CONFIG keys",
                 arrival.at,
-                f"run {attempt.sent - gone:.2f} s after its key was taken away",
+                f"run {attempt.sent - revoked_at:.2f} s after its key was revoked",
                 arrival.ident,
             )
 
 
 @rule("CONFIG added")
 def check_added_routes(view: DayView) -> Iterator[Finding]:
-    """Routes that were added later are served like the first ones, of a service and at the same time."""
+    """Routes added later are served as well as the first ones of the same service."""
     served: dict[tuple[frozenset[str], int], list[list[int]]] = defaultdict(lambda: [[0, 0], [0, 0]])
     for attempt in view.record.attempts.values():
         versions = view.possible(attempt.sent, attempt.ended, view.bound("configApplyS"))
@@ -422,22 +450,23 @@
             continue
         if attempt.status not in (0, 429) and view.reachability.in_contact(attempt.gateway, attempt.ended):
             pair = served[versions[-1].sends_to(attempt), int(attempt.ended)]
-            found = pair[attempt.path.startswith("/extra")]
-            found[0] += int(200 <= attempt.status < 300)
-            found[1] += 1
-    both = [(first, later) for first, later in served.values() if first[1] and later[1]]
-    later_served, count = (sum(later[n] for _, later in both) for n in (0, 1))
-    expected_served = sum(later[1] * first[0] / first[1] for first, later in both)
+            counts = pair[attempt.path.startswith("/extra")]
+            counts[0] += int(200 <= attempt.status < 300)
+            counts[1] += 1
+    pairs = [(first, later) for first, later in served.values() if first[1] and later[1]]
+    later_served, count = (sum(later[n] for _, later in pairs) for n in (0, 1))
+    expected_served = sum(later[1] * first[0] / first[1] for first, later in pairs)
     if count >= 20 and later_served < expected_served / 4:
         yield Finding(
             "CONFIG added",
             0.0,
-            f"{later_served} of {count} on routes added later, where {expected_served:.0f} were due",
+            f"{later_served} of {count} served on routes added later, {expected_served:.0f} expected",
         )
 
 
 @rule("BUDGET")
 def check_retry_budget(view: DayView) -> Iterator[Finding]:
+    """Retries stay within a ratio of the requests of a service, plus slack."""
     window, ratio, slack = (view.bound(n) for n in ("retryWindowS", "retryRatio", "retrySlack"))
     extra: dict[str, list[float]] = defaultdict(list)
     for arrivals in view.by_id.values():
@@ -462,14 +491,13 @@
                 count(start - shift_s, end - shift_s) for shift_s in (0.0, window / 2, window)
             )
             if further_count > ratio * request_count + slack:
-                yield Finding(
-                    "BUDGET", end, f"{further_count} further arrivals for {request_count} requests", service
-                )
+                yield Finding("BUDGET", end, f"{further_count} retries for {request_count} requests", service)
                 break
 
 
 @rule("QUOTA")
 def check_quota(view: DayView) -> Iterator[Finding]:
+    """No tenant exceeds its rate and burst, with the tolerated excess."""
     window, excess, slack = (view.bound(n) for n in ("quotaWindowS", "quotaExcess", "quotaSlack"))
     runs: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for arrival, attempt in view.runs():
@@ -480,25 +508,28 @@
             start = end - window
             first = bisect_left(times, (start, 0.0))
             count = sum(sent >= start for _, sent in times[first : index + 1])
-            least = max(
+            lowest_version = max(
                 (v.number for v in view.acknowledged if v.command.acked_at < start - REPLACED_LIMIT_S),
                 default=0,
             )
             limits = [
                 (v.tenants[tenant]["ratePerS"], v.tenants[tenant]["burstSize"])
                 for v in view.possibly_active
-                if v.number >= least and v.command.sent <= end and tenant in v.tenants
+                if v.number >= lowest_version and v.command.sent <= end and tenant in v.tenants
             ]
             if not limits or any(not rate for rate, _ in limits):
                 continue
             most = max((rate * window + burst) * (1 + excess) + slack for rate, burst in limits)
             if count > most:
-                yield Finding("QUOTA", end, f"{count} in {window:g} s, {most:.0f} are allowed", tenant)
+                yield Finding(
+                    "QUOTA", end, f"{count} requests in {window:g} s, at most {most:.0f} allowed", tenant
+                )
                 break
 
 
 @rule("FAILBACK")
 def check_cold_rate(view: DayView) -> Iterator[Finding]:
+    """A cold server gets no more requests in a second than its cold-start limit, with slack."""
     services = {s.name: s for s in view.result.deployment.services}
     cold: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in view.record.arrivals:
@@ -512,121 +543,133 @@
             count = sum(start <= a.at <= arrival.at and a.sent >= start for a in arrivals)
             if count > most:
                 yield Finding(
-                    "FAILBACK", arrival.at, f"{count} in a second while cold, {most:g} are allowed", server
+                    "FAILBACK",
+                    arrival.at,
+                    f"{count} requests in a second while cold, at most {most:g} allowed",
+                    server,
                 )
                 break
 
 
 @rule("HOME")
 def check_home_regions(view: DayView) -> Iterator[Finding]:
+    """Requests with home regions reach servers in these regions only."""
     for arrival in view.record.arrivals:
         attempt = view.attempt(arrival)
         if attempt is None:
             continue
         versions = view.possible(attempt.sent, arrival.at, view.bound("configApplyS"))
         allowed_regions = [v.allowed_regions(attempt) for v in versions]
-        if allowed_regions and all(h is not None and arrival.region not in h for h in allowed_regions):
+        if allowed_regions and all(
+            regions is not None and arrival.region not in regions for regions in allowed_regions
+        ):
             yield Finding("HOME", arrival.at, f"sent to {arrival.region}", arrival.ident)
 
 
 @rule("EVAC")
 def check_evacuations(view: DayView) -> Iterator[Finding]:
-    begun: Counter[str] = Counter()
-    last: dict[str, float] = {}
+    """An evacuated zone gets no requests once the bound has passed."""
+    begun_count: Counter[str] = Counter()
+    last_begin: dict[str, float] = {}
     for command in view.record.commands:
         if command.what != "begin":
             continue
-        again = command.sent <= last.get(command.zone, -math.inf) + REPEAT_WINDOW_FRACTION * view.bound(
-            "ackS"
-        )
-        begun[command.zone] += not again
-        last[command.zone] = max(command.sent, min(command.acked_at, command.abandoned_at))
+        is_repeat = command.sent <= last_begin.get(
+            command.zone, -math.inf
+        ) + REPEAT_WINDOW_FRACTION * view.bound("ackS")
+        begun_count[command.zone] += not is_repeat
+        last_begin[command.zone] = max(command.sent, min(command.acked_at, command.abandoned_at))
         if math.isinf(command.acked_at):
             continue
-        # Several may empty one zone at a time: each takes its own back, in their order. One that follows
-        # so soon can't be told from the other sent again, and ends with whichever is taken back.
-        ends = [o.sent for o in view.record.commands if o.what == "finish" and o.zone == command.zone]
-        if again:
-            ends = [sent for sent in ends if sent > command.sent][:1] * begun[command.zone]
-        end = ends[begun[command.zone] - 1] if begun[command.zone] <= len(ends) else math.inf
+        # Several evacuations of one zone may overlap and finish in order. A begin shortly after another is
+        # indistinguishable from a retry, and ends with the next finish.
+        ends = [c.sent for c in view.record.commands if c.what == "finish" and c.zone == command.zone]
+        if is_repeat:
+            ends = [sent for sent in ends if sent > command.sent][:1] * begun_count[command.zone]
+        end = ends[begun_count[command.zone] - 1] if begun_count[command.zone] <= len(ends) else math.inf
         for arrival in view.record.arrivals:
-            late = arrival.at - command.acked_at
-            there = arrival.zone == command.zone and not arrival.misrouted
-            due = there and late > view.bound("evacuationS") and arrival.at < end
-            far = late > view.bound("evacuationS") + view.bound("stretchMaxS")
+            late_s = arrival.at - command.acked_at
+            in_zone = arrival.zone == command.zone and not arrival.misrouted
+            due = in_zone and late_s > view.bound("evacuationS") and arrival.at < end
+            past_stretch = late_s > view.bound("evacuationS") + view.bound("stretchMaxS")
             if due and (
                 view.reachability.in_contact(arrival.source, arrival.at)
                 or (
-                    far
+                    past_stretch
                     and view.reachability.only_core_disrupted(arrival.source, command.acked_at, arrival.at)
                 )
             ):
                 yield Finding(
-                    "EVAC", arrival.at, f"{late:.2f} s after {command.zone} was evacuated", arrival.ident
+                    "EVAC", arrival.at, f"{late_s:.2f} s after {command.zone} was evacuated", arrival.ident
                 )
 
 
 @rule("DRAIN")
 def check_drains(view: DayView) -> Iterator[Finding]:
-    left = {item.server: item for item in view.record.drains if item.answered_by}
+    """A draining server gets no requests once the bound has passed."""
+    drains = {item.server: item for item in view.record.drains if item.answered_by}
     for arrival in view.record.arrivals:
-        server_drain = left.get(arrival.server)
-        if server_drain is None or arrival.misrouted:
+        drain = drains.get(arrival.server)
+        if drain is None or arrival.misrouted:
             continue
-        late = arrival.at - server_drain.acked_at
-        due = late > view.bound("drainS") and view.reachability.in_contact(
-            server_drain.answered_by, server_drain.acked_at
+        late_s = arrival.at - drain.acked_at
+        due = late_s > view.bound("drainS") and view.reachability.in_contact(
+            drain.answered_by, drain.acked_at
         )
         if due and view.reachability.in_contact(arrival.source, arrival.at):
             yield Finding(
                 "DRAIN",
                 arrival.at,
-                f"{late:.2f} s after {arrival.server} said that it leaves",
+                f"{late_s:.2f} s after the drain of {arrival.server} was acknowledged",
                 arrival.ident,
             )
 
 
 @rule("LOST")
 def check_cut_off_requests(view: DayView) -> Iterator[Finding]:
-    """Cut off around a planned end of a process."""
-    grace, slack, contact = (view.bound(n) for n in ("graceS", "lossSlackS", "contactS"))
+    """Requests cut off by an orderly shutdown of a gateway."""
+    grace, slack, contact_s = (view.bound(n) for n in ("graceS", "lossSlackS", "contactS"))
     for at, ip, _ in view.record.terminations:
         for attempt in view.record.attempts.values():
             if attempt.gateway != ip or attempt.status >= 0 or not at <= attempt.ended <= at + grace + 1.0:
                 continue
-            if not view.reachability.undisturbed(ip, attempt.sent - contact, attempt.ended):
+            if not view.reachability.undisturbed(ip, attempt.sent - contact_s, attempt.ended):
                 continue
             arrivals = view.by_id.get(attempt.ident, [])
-            if any(a.broke or a.ended > at + grace / 2 for a in arrivals):
+            if any(a.aborted or a.ended > at + grace / 2 for a in arrivals):
                 continue
             if arrivals or attempt.ended > attempt.sent + slack + 0.1:
-                yield Finding("LOST", attempt.ended, f"cut off while {ip} stops", attempt.ident)
+                yield Finding("LOST", attempt.ended, f"cut off while {ip} shut down", attempt.ident)
 
 
 @rule("RECOVER")
 def check_recovery(view: DayView) -> Iterator[Finding]:
+    """Traffic is served again within the recovery bound after a final fault."""
     if view.record.final_fault is None:
         return
     at, back_at = view.record.final_fault
-    before = [w for w in view.record.requests if w.at < at - 2 and w.owed]
-    after = [w for w in view.record.requests if w.at > back_at + view.bound("recoveryS") and w.owed]
+    before = [r for r in view.record.requests if r.at < at - 2 and r.owed]
+    after = [r for r in view.record.requests if r.at > back_at + view.bound("recoveryS") and r.owed]
 
-    def share(requests: list[Any]) -> float:
-        return sum(w.served >= 0 for w in requests) / len(requests) if requests else 1.0
+    def served_share(requests: list[Any]) -> float:
+        return sum(r.served >= 0 for r in requests) / len(requests) if requests else 1.0
 
-    if len(after) >= 20 and share(before) >= 0.25 > share(after):
-        yield Finding("RECOVER", back_at, f"{share(after):.2f} is served after the closing fault")
+    if len(after) >= 20 and served_share(before) >= 0.25 > served_share(after):
+        yield Finding(
+            "RECOVER", back_at, f"{served_share(after):.2f} of requests served after the final fault"
+        )
 
 
 @rule("FAULT")
-def fault(view: DayView) -> Iterator[Finding]:
-    """Any end of a process by itself, and anything that one raised and did not catch."""
+def check_faults(view: DayView) -> Iterator[Finding]:
+    """Unexpected process exits and uncaught exceptions."""
     for at, who, what in [*view.record.process_exits, *view.result.uncaught_errors]:
         yield Finding("FAULT", at, what, who)
 
 
 @rule("ACKS")
 def check_acknowledgements(view: DayView) -> Iterator[Finding]:
+    """Valid commands and drains are acknowledged in time while the control plane is stable."""
     limit = view.bound("ackS")
     for command in view.record.commands:
         if not command.valid or command.sent < 5.0:
@@ -635,7 +678,7 @@
             yield Finding(
                 "ACKS",
                 command.refused_at,
-                f"a valid order got {command.status}",
+                f"valid command refused with {command.status}",
                 f"{command.what} {command.version:08x}",
             )
         elif min(command.acked_at, command.refused_at, command.lost_ack_at) > command.sent + limit + 0.05:
@@ -646,7 +689,7 @@
                 and not view.reachability.link_cut_within(command.sent, end)
             ):
                 yield Finding(
-                    "ACKS", end, "a proper order is not acknowledged", f"{command.what} {command.version:08x}"
+                    "ACKS", end, "valid command not acknowledged", f"{command.what} {command.version:08x}"
                 )
     late = [
         item
@@ -657,12 +700,12 @@
     ]
     if len(late) >= 3 and len(late) * 5 > len(view.record.drains):
         yield Finding(
-            "ACKS", late[0].started_at, f"{len(late)} servers that leave are not acknowledged", late[0].server
+            "ACKS", late[0].started_at, f"{len(late)} draining servers not acknowledged", late[0].server
         )
 
 
 def judge(result: DayResult) -> list[Finding]:
-    """All breaches, by time; of one rule no more than ``MOST``."""
+    """All findings by time, at most MAX_FINDINGS_PER_RULE for each rule."""
     view = DayView(result)
     found: list[Finding] = []
     for check in CHECKS.values():
--- a/latchspoke/lab/system/scenario.py
+++ b/latchspoke/lab/system/scenario.py
@@ -1,4 +1,4 @@
-"""Deployments and days as records: read from TOML, or drawn by a seed."""
+"""Deployments and days: read from TOML, or generated from a seed."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class ScenarioError(ValueError):
-    """A record that can't be used; one line says where and why."""
+    """An invalid deployment or day; the message is one line."""
 
 
 class Latencies(Struct, forbid_unknown_fields=True):
-    """One way, in ms: within a zone, between zones, between regions, and beside it for clients."""
+    """One-way latencies within a zone, between zones and between regions, and extra for clients."""
 
     zone_ms: float = 0.2
     cross_ms: float = 1.0
@@ -26,7 +26,7 @@
 
 
 class MachineGroup(Struct, forbid_unknown_fields=True):
-    """So many machines of a kind (edge, core) in a zone; ``link_mbps`` 0: their links are not bounded."""
+    """Machines of one kind (edge or core) in a zone; ``link_mbps`` 0 means unlimited links."""
 
     kind: str
     zone: str
@@ -35,7 +35,7 @@
 
 
 class Service(Struct, forbid_unknown_fields=True):
-    """``servers``: how many in which zone. Times in seconds."""
+    """A service; ``servers`` is the number of servers by zone."""
 
     name: str
     servers: dict[str, int]
@@ -44,12 +44,12 @@
     connections: int = 120
     cold_s: float = 3.0
     cold_per_s: float = 5.0
-    cold_slow: float = 2.0  # times as slow while cold
+    cold_slow: float = 2.0  # factor on the work while cold
     speeds: tuple[float, ...] = (0.8, 1.0, 1.2)
 
 
 class RequestKind(Struct, forbid_unknown_fields=True):
-    """A kind of request, with its route."""
+    """A kind of request and its route."""
 
     name: str
     service: str
@@ -58,13 +58,13 @@
     aim_ms: float
     deadline_ms: float
     repeatable: bool = True
-    also: str = ""  # another service that may do it, so that operators can move it
+    also: str = ""  # alternative service, to which operators may move it
     method: str = "GET"
-    spread: float = 0.5  # sigma of the logarithm of the work
+    spread: float = 0.5  # sigma of the log-normal work
     worth: float = 1.0
     late: float = 0.3
     retries: int = 1
-    fresh: bool = False  # a new connection for each
+    fresh: bool = False  # uses a new connection for each request
     body: int = 0  # bytes
     answer: int = 800
     homes: tuple[str, ...] = ()
@@ -72,20 +72,22 @@
 
 
 class TenantSettings(Struct, forbid_unknown_fields=True):
+    """Number of tenants, their quotas and their home regions."""
+
     count: int = 6
-    quota_x: float = 1.6  # of its usual traffic
-    homed: float = 0.1  # of the tenants have a home region
+    quota_x: float = 1.6  # multiple of the usual traffic
+    homed: float = 0.1  # share of tenants with a home region
 
 
 class CallerSettings(Struct, forbid_unknown_fields=True):
-    """Clients with names of their own, so many of each kind (``callers.py``). Times in seconds."""
+    """Identified callers (see ``callers.py``); ``count`` is for each kind of request."""
 
     count: int = 120
-    travelling: float = 0.0  # the part of them that changes zones
-    way: str = "strict"  # what the routes ask for: see CALLER_WAYS
+    travelling: float = 0.0  # share that changes zones
+    way: str = "strict"  # affinity of the routes, see CALLER_WAYS
     exchange_s: float = 30.0
     look_s: float = 0.25
-    ask: bool = True  # servers tell what became of a try
+    ask: bool = True  # servers report the state of an attempt
 
 
 CALLER_WAYS = ("today", "kept", "pins", "travels", "strict")
@@ -102,23 +104,25 @@
     bounds: dict[str, float | bool] = msgspec.field(default_factory=dict)
     ways: Latencies = msgspec.field(default_factory=Latencies)
     tenants: TenantSettings = msgspec.field(default_factory=TenantSettings)
-    cost_ms: float = 0.2  # of processor for each piece of what comes to a process
+    cost_ms: float = 0.2  # CPU time for each received message
     lead: float = 10.0
     length: float = 30.0
     beat: float = 1.5
     clients: int = 20  # in each zone
-    impatient: float = 0.1  # of the clients ask again at once and more often
+    impatient: float = 0.1  # share of clients that retry at once and more often
     tolerate_machines: int = 1
     tolerate_zones: int = 1
     tolerate_regions: int = 0
-    troubles: tuple[str, ...] = ()  # kinds that its days may have; none named: all
-    callers: CallerSettings | None = None  # none: every request is somebody else's
+    troubles: tuple[str, ...] = ()  # kinds that its days may have; empty: all
+    callers: CallerSettings | None = None  # None: clients are anonymous
 
     def bound(self, name: str) -> float:
+        """A tolerance or time limit of the rules, by its name in BOUNDS."""
         return float(self.bounds.get(name, BOUNDS[name]))
 
     @property
     def per_s(self) -> float:
+        """Requests per second of all kinds together."""
         return sum(kind.per_s for kind in self.kinds)
 
 
@@ -132,7 +136,7 @@
 
 
 class Trouble(Struct, frozen=True, forbid_unknown_fields=True):
-    """``at`` in seconds from the start of traffic; see ``KINDS`` for which fields a kind reads."""
+    """``at`` in seconds from the start of traffic; see ``DaySimulation.do_<kind>`` for the fields used."""
 
     at: float
     kind: str
@@ -147,7 +151,7 @@
         return f"{self.at:6.2f} s {self.kind}: " + ", ".join(f for f in fields if f)
 
 
-# What a kind of trouble may draw: how, and (from, to) for lasts, count and x.
+# Values of how, and ranges of lasts, count and x.
 DrawRanges = tuple[tuple[str, ...], tuple[float, float], tuple[int, int], tuple[float, float]]
 TROUBLE_RANGES: dict[str, DrawRanges] = {
     # the operator
@@ -212,6 +216,7 @@
     "scale_out",
     "roll_term",
 )
+# Kinds that hit one service.
 SERVER_TROUBLES = (
     "crash",
     "release",
@@ -223,15 +228,15 @@
     "flap",
     "idle_race",
     "scale_out",
-)  # kinds that are of one service
+)
 FINAL_FAULTS = ("end_power", "end_kill", "end_wipe")
-EXPLICIT_ONLY = ("rolling", "rollout", "replace", "stutter")  # in a day's file, or of a theme of its own
-REPLACEMENT_MODES = ("", "oldest", "planned", "leader")  # how control machines are replaced
-QUIET_END_S = 9.0  # s before the end of traffic, a closing fault or the last trouble
+EXPLICIT_ONLY = ("rolling", "rollout", "replace", "stutter")  # only in day files or themed days
+REPLACEMENT_MODES = ("", "oldest", "planned", "leader")  # values of how for replace
+QUIET_END_S = 9.0  # between the last trouble and the end of traffic
 
 
 class Day(Struct, frozen=True, forbid_unknown_fields=True):
-    """What befalls a deployment."""
+    """The load and the troubles of a simulated day."""
 
     seed: int
     troubles: tuple[Trouble, ...] = ()
@@ -239,6 +244,7 @@
 
 
 def draw_trouble(rng: random.Random, kind: str, at: float, deployment: Deployment) -> Trouble:
+    """A random trouble of this kind ``at`` seconds after the start of traffic."""
     hows, lasts, counts, xs = TROUBLE_RANGES[kind]
     where = ""
     if kind in ("evacuate", "cold", "zone_power"):
@@ -253,7 +259,7 @@
 
 
 def draw_losses(deployment: Deployment, seed: int) -> Day:
-    """Control machines replaced in turn while the operator gives orders; perhaps a closing fault."""
+    """Control-plane nodes replaced in turn during configuration changes, perhaps with a final fault."""
     rng = random.Random(f"losses:{deployment.name}:{seed}")
     last = max(deployment.length - QUIET_END_S, 4.0)
     troubles = [
@@ -266,7 +272,7 @@
 
 
 def draw_stutter(deployment: Deployment, seed: int) -> Day:
-    """Servers that answer twice, while they are slow or fail and much else changes."""
+    """Servers that send duplicate responses while slow or failing, among other faults."""
     rng = random.Random(f"stutter:{deployment.name}:{seed}")
     last = max(deployment.length - QUIET_END_S, 4.0)
     names = [service.name for service in deployment.services]
@@ -297,7 +303,7 @@
 
 
 def draw_day(deployment: Deployment, seed: int, more: int = 0) -> Day:
-    """Planned work early and late, faults between (``more`` beside the usual), perhaps one to end the day."""
+    """Planned changes and faults (``more`` in addition to the usual), perhaps with a final fault."""
     rng = random.Random(f"day:{deployment.name}:{seed}")
     allowed = [k for k in TROUBLE_RANGES if not deployment.troubles or k in deployment.troubles]
     planned = [k for k in allowed if k in PLANNED_WORK]
@@ -315,7 +321,7 @@
 
 
 def draw_deployment(seed: int) -> Deployment:
-    """Of the kinds described, and unlike any that stands in a file."""
+    """A random deployment."""
     rng = random.Random(f"deployment:{seed}")
     regions = [f"r{n}" for n in range(rng.choice((1, 2, 3)))]
     zones = {f"{region}-{letter}": region for letter in "ab" for region in regions}
@@ -392,7 +398,7 @@
 
 
 def find_problems(deployment: Deployment) -> list[str]:
-    """Names that don't fit."""
+    """Returns references to unknown names, one line each."""
     services = {service.name for service in deployment.services}
     problems = [f"machines: no zone {m.zone}" for m in deployment.machines if m.zone not in deployment.zones]
     problems += [f"machines: no kind {m.kind}" for m in deployment.machines if m.kind not in ("edge", "core")]
--- a/latchspoke/lab/system/servers.py
+++ b/latchspoke/lab/system/servers.py
@@ -1,4 +1,4 @@
-"""The servers: slots, a queue, lives, a cold start, an orderly end, and what a server in trouble does."""
+"""Simulated servers: slots, queue, restarts, cold start, draining and faulty behaviour."""
 
 from __future__ import annotations
 
@@ -20,60 +20,55 @@
 from latchspoke.lab.virtual import Address
 
 SERVER_PORT = 8080
-OVERLOAD_FACTOR = 1.35  # of the bound on a cold server, at which it falls over
-OVERLOAD_RESTART_S = 1.5  # s until it is back
-HEARTBEAT_PROPAGATION_S = 0.3  # s from a beat that was taken until the news is counted on
+OVERLOAD_FACTOR = 1.35  # multiple of the cold-start bound at which a server crashes
+OVERLOAD_RESTART_S = 1.5
+HEARTBEAT_PROPAGATION_S = 0.3  # allowance after an acknowledged heartbeat
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request that waits or is in work."""
+    """A queued or running request."""
 
     connection: ServerConnection
     arrival: Arrival
     deadline: float
     timer: Any = None
     abandoned: bool = False
-    fault: str = ""  # what a grey or lying server does with it
+    fault: str = ""  # ``how`` of a grey or lying server
 
 
 @dataclass(slots=True)
 class ServerFault:
-    """What servers of a service do for some time."""
+    """Faulty behaviour of the servers of a service for some time."""
 
     kind: str
     how: str
     share: float
     until: float
     service: str
-    instances: frozenset[str] | None = None  # ids of lives; None: all of the service
+    instances: frozenset[str] | None = None  # instance IDs; None: all of the service
 
 
-DUPLICATE_DELAYS_S = (
-    0.004,
-    0.02,
-    0.3,
-    2.0,
-)  # s at most until a second answer: at once, or behind other requests
-SLOW_FACTOR = 8.0  # times as slow as usual: a grey server; a sick one fails after that time
+# Longest delays of a duplicate response.
+DUPLICATE_DELAYS_S = (0.004, 0.02, 0.3, 2.0)
+SLOW_FACTOR = 8.0  # for "slow", and for "sick", which then fails
 
 
 @dataclass
 class ServerFleet:
-    """All servers, over all their lives."""
+    """All server instances, including stopped ones."""
 
     deployment: Deployment
     network: Network
     record: DayRecord
     seed: int
-    control: Callable[[], list[Address]]  # as the seeds' list says, which lags
+    control: Callable[[], list[Address]]  # control-plane addresses, possibly outdated
     instances: dict[str, ServerInstance] = field(default_factory=dict)
     faults: list[ServerFault] = field(default_factory=list)
     serial: int = 0
     hosts: int = 0
-    free_addresses: list[tuple[float, str, str, str]] = field(
-        default_factory=list
-    )  # since, ip, zone, service
+    # (since, IP, zone, service).
+    free_addresses: list[tuple[float, str, str, str]] = field(default_factory=list)
     kinds: dict[str, RequestKind] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -86,17 +81,17 @@
                     self.start(service, zone, warm=True)
 
     def start(self, service: Service, zone: str, warm: bool = False, ip: str = "") -> ServerInstance:
-        """A new life; where ``ip`` is not given, an address that a server of another service has left."""
+        """Start an instance, without ``ip`` perhaps at an address that another service has released."""
         scheduler = self.network.scheduler
         if not ip:
             delay = self.deployment.bound("reuseDelayS")
-            for index, (since, old, free_zone, service_before) in enumerate(self.free_addresses):
+            for index, (released_at, free_ip, free_zone, service_before) in enumerate(self.free_addresses):
                 if (
                     free_zone == zone
                     and service_before != service.name
-                    and scheduler.now - since > delay + 0.1
+                    and scheduler.now - released_at > delay + 0.1
                 ):
-                    ip = old
+                    ip = free_ip
                     del self.free_addresses[index]
                     break
         if not ip:
@@ -115,7 +110,7 @@
         return instance
 
     def serving(self, service: str, zone: str = "") -> list[ServerInstance]:
-        """Those that serve now."""
+        """Instances that are available."""
         return [
             instance
             for instance in self.instances.values()
@@ -125,7 +120,7 @@
         ]
 
     def fault_for(self, instance: ServerInstance, kinds: tuple[str, ...]) -> ServerFault | None:
-        """What befalls this request, of these kinds."""
+        """Draws the fault of these kinds for one request, if any."""
         now = self.network.scheduler.now
         for fault in self.faults:
             matches = fault.service in ("", instance.service.name)
@@ -136,7 +131,7 @@
         return None
 
     def idle_limit(self, instance: ServerInstance) -> float:
-        """Seconds after which it has forgotten a connection that rested."""
+        """Seconds after which it silently drops an idle connection."""
         now = self.network.scheduler.now
         return min(
             (m.share for m in self.faults
@@ -146,14 +141,14 @@
 
 
 def heartbeat_target(answer: bytes) -> Address | None:
-    """The address that the answer to a heartbeat names for later ones."""
+    """Address for later heartbeats that the answer to one names."""
     named = str(msgspec.json.decode(answer or b"{}").get("heartbeatTarget", ""))
     host, _, port = named.rpartition(":")
     return (host, int(port)) if host else None
 
 
 class ServerInstance:
-    """One life of one server."""
+    """One run of a server process."""
 
     def __init__(
         self, server_fleet: ServerFleet, service: Service, ident: str, ip: str, zone: str, speed: float
@@ -169,21 +164,21 @@
         self.region = server_fleet.deployment.zones[zone]
         self.loop = new_process_loop(server_fleet.network, server_fleet.network.hosts[ip], ident)
         self.scheduler = server_fleet.network.scheduler
-        self.working: list[Job] = []
+        self.in_flight: list[Job] = []
         self.queue: deque[Job] = deque()
         self.connections: dict[ServerConnection, None] = {}
         self.recent_arrivals: deque[float] = deque()
         self.sequence = 0
         self.served = 0
         self.target: Address | None = None
-        self.reported_cold_until = -math.inf  # till when it is cold, as a beat that was taken has told
+        self.reported_cold_until = -math.inf  # as of the last acknowledged change
         self.reported_at = math.inf
         self.silent = False
         self.server_drain: ServerDrain | None = None
         self.max_in_flight = 0
-        self.restart_after_s = -1.0  # s after which a new life begins here once this one has left
-        self.attempts: dict[str, Arrival] = {}  # what it has begun, where it may be asked
-        self.refused_attempts: set[str] = set()  # tries that it has said it won't run
+        self.restart_after_s = -1.0  # after draining; negative: no restart
+        self.attempts: dict[str, Arrival] = {}  # started, for queries of their state
+        self.refused_attempts: set[str] = set()  # reported as not run, so never run later
 
     @property
     def address(self) -> Address:
@@ -193,7 +188,7 @@
     def cold(self) -> bool:
         return self.scheduler.now < self.cold_until
 
-    # Life.
+    # Lifecycle.
 
     def start(self) -> None:
         self.loop.create_task(self.loop.create_server(lambda: ServerConnection(self), *self.address))
@@ -209,7 +204,7 @@
             await asyncio.sleep(interval_s * rng.uniform(0.9, 1.1))
 
     async def send_heartbeat(self) -> str:
-        """Tell until somebody takes it; who did, by ip, or ''."""
+        """Send a heartbeat; returns the IP of the node that accepted it, or ''."""
         self.sequence += 1
         heartbeat = {
             "service": self.service.name,
@@ -221,15 +216,15 @@
             "callSequence": self.sequence,
             "coldRemainingS": round(max(self.cold_until - self.scheduler.now, 0.0), 3),
         }
-        until = self.cold_until
+        cold_until = self.cold_until
         accepted_by = await self.call_control("instances.heartbeat", msgspec.json.encode(heartbeat))
-        if accepted_by and until != self.reported_cold_until:
-            self.reported_cold_until, self.reported_at = until, self.scheduler.now
+        if accepted_by and cold_until != self.reported_cold_until:
+            self.reported_cold_until, self.reported_at = cold_until, self.scheduler.now
         return accepted_by
 
     @property
     def known_cold(self) -> bool:
-        """Cold, and the system has been told for a moment: before that it can't know."""
+        """Whether it is cold and gateways have had time to learn it."""
         return (
             self.cold
             and self.reported_cold_until >= self.cold_until
@@ -253,7 +248,7 @@
         return ""
 
     def begin_drain(self) -> None:
-        """In order."""
+        """Begin an orderly shutdown."""
         if self.state == "available":
             self.state = "draining"
             self.loop.create_task(self.drain())
@@ -273,7 +268,7 @@
         if server_drain.answered_by and await self.call_control("instances.deregister", None):
             server_drain.deregistered_at = self.scheduler.now
         for _ in range(40):
-            if not self.working and not self.queue:
+            if not self.in_flight and not self.queue:
                 break
             await asyncio.sleep(0.1)
         if self.restart_after_s >= 0:
@@ -282,18 +277,18 @@
             self.stop()
 
     def stop(self, power: bool = False) -> None:
-        """At once, as by a crash."""
+        """Stop at once, as in a crash."""
         if self.state == "ended":
             return
         self.state = "ended"
-        for job in [*self.working, *self.queue]:
+        for job in [*self.in_flight, *self.queue]:
             job.abandoned = True
-            job.arrival.broke = True
+            job.arrival.aborted = True
         self.loop.kill(power, self.server_fleet.rng)
         self.server_fleet.free_addresses.append((self.scheduler.now, self.ip, self.zone, self.service.name))
 
     def restart(self, delay: float) -> None:
-        """A new life at the same address."""
+        """Stop, and start a new instance at the same address after ``delay``."""
         self.stop()
         if self.server_fleet.free_addresses and self.server_fleet.free_addresses[-1][1] == self.ip:
             self.server_fleet.free_addresses.pop()
@@ -314,10 +309,10 @@
             job.abandoned = True
             if job in self.queue:
                 self.queue.remove(job)
-            elif job in self.working:
+            elif job in self.in_flight:
                 if job.timer is not None:
                     job.timer.cancel()
-                self.working.remove(job)
+                self.in_flight.remove(job)
                 job.arrival.ended = self.scheduler.now
                 self.start_queued()
 
@@ -328,7 +323,7 @@
             return
         assert connection.transport is not None
         if now - connection.idle_since > self.server_fleet.idle_limit(self):
-            connection.transport.abort()  # what comes on a connection that it has forgotten never runs
+            connection.transport.abort()  # the connection was dropped already
             return
         source = connection.transport.there[0]
         ident = headers.get(b"x-attempt-id", b"").decode("latin-1")
@@ -378,7 +373,7 @@
         job = connection.job = Job(
             connection, arrival, now + remaining_s, fault=fault.how if fault is not None else ""
         )
-        if len(self.working) < self.service.slots:
+        if len(self.in_flight) < self.service.slots:
             self.start_work(job)
         elif len(self.queue) < self.service.queue:
             self.queue.append(job)
@@ -387,7 +382,7 @@
             self.reply(connection, 503, not_run, arrival)
 
     def answer_query(self, connection: ServerConnection, url: str) -> None:
-        """Whether it is well, or what became of a try here; one that hasn't come won't be run after."""
+        """Answer a health check or a query of an attempt; an unknown attempt is refused from then on."""
         own = self.ident.encode()
         if url == "/health":
             self.reply(connection, 200 if self.state == "available" else 503, b"X-Instance-Id: %b\r\n" % own)
@@ -411,7 +406,7 @@
         )  # fmt: skip
 
     def overloaded(self, now: float) -> bool:
-        """Whether a cold server falls over with this."""
+        """Whether this request overloads a cold server."""
         recent_arrivals, bound = self.recent_arrivals, self.server_fleet.deployment.bound
         recent_arrivals.append(now)
         while recent_arrivals[0] < now - 1.0:
@@ -438,8 +433,8 @@
         job.arrival.ran = True
         if server_fleet.deployment.callers is not None:
             self.attempts[job.arrival.ident] = job.arrival
-        self.working.append(job)
-        self.max_in_flight = max(self.max_in_flight, len(self.working))
+        self.in_flight.append(job)
+        self.max_in_flight = max(self.max_in_flight, len(self.in_flight))
         job.timer = self.scheduler.at(
             min(now + duration_s, max(job.deadline, now)),
             self.work_finished,
@@ -450,13 +445,13 @@
     def work_finished(self, job: Job, late: bool) -> None:
         if job.abandoned or self.loop.dead:
             return
-        self.working.remove(job)
+        self.in_flight.remove(job)
         job.connection.job = None
         arrival, server_fleet = job.arrival, self.server_fleet
         arrival.ended = self.scheduler.now
         self.served += 1
         if late and job.fault == "hang":
-            arrival.broke = True  # it never says a word, and its slot is free once the deadline is over
+            arrival.aborted = True  # never answered; the slot is freed at the deadline
             self.start_queued()
             return
         arrival.seal = f"{self.ident}.{self.served:x}.{server_fleet.rng.getrandbits(24):06x}"
@@ -477,7 +472,7 @@
         self.start_queued()
 
     def start_queued(self) -> None:
-        while self.queue and len(self.working) < self.service.slots:
+        while self.queue and len(self.in_flight) < self.service.slots:
             job = self.queue.popleft()
             if self.scheduler.now >= job.deadline:
                 job.connection.job = None
@@ -520,10 +515,10 @@
         arrival.status = 200
         match fault.kind, fault.how:
             case "lost_answers", how:
-                arrival.broke = True
+                arrival.aborted = True
                 (transport.abort if how == "reset" else transport.close)()
             case "garbage", "cut":
-                arrival.broke = True
+                arrival.aborted = True
                 transport.write(response[: len(response) * 2 // 3])
                 transport.close()
             case "garbage", "extra":
@@ -539,11 +534,11 @@
                 arrival.status = 500
                 transport.write(self.answer(500, b"", arrival))
             case _:
-                arrival.broke = True
+                arrival.aborted = True
                 transport.write(b"\x00\x01 no answer \xff\r\n\r\n")
 
     def maybe_send_duplicate(self, connection: ServerConnection, arrival: Arrival) -> None:
-        """Perhaps answer a second time, late, whatever is under way on the connection by then."""
+        """Perhaps send a late duplicate response, whatever is in flight on the connection by then."""
         if connection.transport is None or self.server_fleet.fault_for(self, ("stutter",)) is None:
             return
         rng = self.server_fleet.rng
@@ -554,7 +549,7 @@
         )
 
     def duplicate_response(self, arrival: Arrival, status: int = 200) -> bytes:
-        """An extra answer to a request that has been answered."""
+        """An extra response to a request that has been answered."""
         body = b"stray;" * 20
         head = b"HTTP/1.1 %d X\r\nX-Attempt-Id: %b\r\nX-Server-Seal: %b\r\nContent-Length: %d\r\n\r\n"
         seal = b"stray." + arrival.seal.encode()
--- a/latchspoke/lab/system/size.py
+++ b/latchspoke/lab/system/size.py
@@ -1,4 +1,4 @@
-"""What the system's own messages cost: counted on a calm day, by kind and machine, beside their formulas."""
+"""Measures internal traffic on a day without faults, by message kind and machine, beside the formulas."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     "ack": "acknowledgements", "hot": "evidence of servers", "w": "callers",
 }  # fmt: skip
 OWN_KINDS = ("membership", "beats", *dict.fromkeys(KIND_NAMES.values()))
-SETTLE_S = 4.0  # s of traffic before it is counted
+SETTLE_S = 4.0  # of traffic before the measurement
 
 
 @dataclass
 class Sums:
-    """Of one span: pieces and bytes by kind, bytes between regions, and bytes by machine and way."""
+    """Messages and bytes by kind, bytes between regions, and bytes by machine and direction."""
 
     hosts: dict[str, Host] = field(default_factory=dict)
     messages: Counter[str] = field(default_factory=Counter)
@@ -40,6 +40,7 @@
     on: bool = False
 
     def meter(self, what: str, here: Address, there: Address, data: bytes) -> None:
+        """Count one message; ``what`` is stream or datagram."""
         if not self.on:
             return
         kind = kind_of(what, here, there, data)
@@ -53,7 +54,7 @@
 
 
 def kind_of(what: str, here: Address, there: Address, data: bytes) -> str:
-    """By the ports, and among the system's own by the message."""
+    """Classifies a message by its ports, and internal ones by their content."""
     if what == "datagram":
         return "membership"
     ports = {here[1], there[1]}
@@ -65,11 +66,11 @@
     match = KIND_PATTERN.search(data)
     if not ports & {INTERNAL_PORT, INTERNAL_PORT + 1}:
         return "other"
-    return KIND_NAMES.get(match[1].decode(), "other") if match else "counts"  # their answers name no kind
+    return KIND_NAMES.get(match[1].decode(), "other") if match else "counts"  # answers to counts have no kind
 
 
 def with_gateways(deployment: Deployment, gateways: int) -> Deployment:
-    """The same with so many gateways: servers and requests grow with them, control machines do not."""
+    """The deployment scaled to this number of gateways, with the same control-plane nodes."""
     now = sum(m.count for m in deployment.machines if m.kind == "edge")
     scale = gateways / now
     zones = [m.zone for m in deployment.machines if m.kind == "edge"]
@@ -89,7 +90,7 @@
 
 
 def expected(deployment: Deployment) -> dict[str, float]:
-    """Bytes a second by the formulas of docs/system-size.md, for what a calm day has."""
+    """Bytes/s by the formulas of docs/system-size.md."""
     gateways = sum(m.count for m in deployment.machines if m.kind == "edge")
     cores = sum(m.count for m in deployment.machines if m.kind == "core")
     servers = sum(sum(s.servers.values()) for s in deployment.services)
@@ -104,7 +105,7 @@
 
 @dataclass
 class Size:
-    """One deployment's figures, a second."""
+    """Measured traffic of one deployment."""
 
     gateways: int
     cores: int
@@ -112,14 +113,14 @@
     per_s: float
     seconds: float
     sums: Sums
-    worst: dict[str, float]  # kind of machine -> most bytes a second, out and in
+    worst: dict[str, float]  # kind of machine -> most bytes/s in both directions
     mean: dict[str, float]
     served: float
     formulas: dict[str, float]
 
 
 def measure(deployment: Deployment, seed: int, seconds: float) -> Size:
-    """A calm day of so many seconds, the first of them not counted."""
+    """Measures ``seconds`` of a day without faults, after SETTLE_S."""
     deployment = msgspec.structs.replace(deployment, length=SETTLE_S + seconds)
     sums = Sums()
     with tempfile.TemporaryDirectory(prefix="latchspoke-size-") as home:
@@ -134,7 +135,7 @@
     for kind, machines in (("edge", simulation.fleet.edges), ("core", simulation.fleet.cores)):
         totals = [(sums.out[m.ip] + sums.into[m.ip]) / seconds for m in machines]
         worst[kind], mean[kind] = max(totals), sum(totals) / len(totals)
-    requests = [w for w in result.record.requests if w.status not in (401, 404)]
+    requests = [r for r in result.record.requests if r.status not in (401, 404)]
     return Size(
         len(simulation.fleet.edges),
         len(simulation.fleet.cores),
@@ -144,13 +145,13 @@
         sums,
         worst,
         mean,
-        sum(w.served >= 0 for w in requests) / max(len(requests), 1),
+        sum(r.served >= 0 for r in requests) / max(len(requests), 1),
         expected(deployment),
     )
 
 
 def rows(size: Size) -> list[tuple[str, float, float, float, float | None]]:
-    """Kind, messages and bytes a second, those between regions, and the formula's bytes if there is one."""
+    """Kind, messages/s, bytes/s, bytes/s between regions, and bytes/s by the formula if there is one."""
     sums, seconds = size.sums, size.seconds
     return [
         (
--- a/tests/lab/test_reach.py
+++ b/tests/lab/test_reach.py
@@ -1,4 +1,4 @@
-"""What gateways tell of the servers that they reached, against what the servers saw: an emulated day."""
+"""Compares the gateways' reach statistics with the requests that simulated servers received."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_counts_are_true_to_what_servers_saw_and_a_sick_server_is_found(tmp_path: Path) -> None:
+def test_counts_match_the_servers_and_a_failing_server_is_found(tmp_path: Path) -> None:
     deployment = msgspec.structs.replace(scenario.read_deployment(TWO_SHORES), lead=3.0, length=10.0)
     simulation = DaySimulation(deployment, Day(6, TROUBLES), tmp_path)
     result = simulation.run(None)
@@ -48,4 +48,4 @@
     (sick, _), *_ = failed.most_common()
     assert [ident for code, ident, _ in findings(summary, len(views)) if code == "failing"] == [sick]
     state_changes = [c["codes"] for v in views.values() for c in v["changes"] if c["id"] == sick]
-    assert any("erring" in codes for codes in state_changes)  # and when it was turned from is told
+    assert any("erring" in codes for codes in state_changes)  # its ejection is recorded
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -1,4 +1,4 @@
-"""The emulator of the whole system: a day in virtual time, the same again, and every rule able to fail."""
+"""Simulated days of a whole deployment: regressions, reproducibility, and a mutation for every rule."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 )
 
 
-def test_a_quiet_day_is_served_and_a_rough_one_breaks_no_rule_and_goes_the_same_way_again() -> None:
+def test_days_with_and_without_faults_break_no_rule_and_are_reproducible() -> None:
     deployment = scenario.read_deployment(TWO_SHORES)
     quiet = hunt.judge_day(deployment, Day(1))
     assert not quiet.findings and quiet.worth > 0.98
@@ -40,8 +40,8 @@
     assert hunt.judge_day(deployment, Day(3, ROUGH_TROUBLES)).digest != rough[0].digest
 
 
-def test_gateways_go_on_when_the_whole_core_has_lost_power() -> None:
-    """RECOVER: a day that a hunt found; every server had ended for them 8 s after the core was back."""
+def test_gateways_keep_serving_after_the_control_plane_lost_power() -> None:
+    """RECOVER: gateways dropped all servers 8 s after the control plane had returned."""
     troubles = (
         Trouble(2.68, "release", count=4, x=0.873, where="meters"),
         Trouble(2.93, "seeds"),
@@ -53,27 +53,27 @@
     assert not outcome.findings and outcome.worth > 0.8
 
 
-def test_two_evacuations_of_one_zone_are_taken_back_one_by_one() -> None:
-    """EVAC: the end of the first took the second back as well, whose operator had asked for more time."""
+def test_overlapping_evacuations_of_a_zone_end_independently() -> None:
+    """EVAC: the end of the first evacuation also ended the second one."""
     troubles = tuple(Trouble(at, "evacuate", lasts=7.5, where="hill") for at in (0.5, 7.2))
     assert not hunt.judge_day(scenario.read_deployment(TWO_SHORES), Day(1, troubles)).findings
 
 
-def test_a_machine_that_begins_anew_between_two_evacuations_tells_them_apart() -> None:
-    """EVAC: it knew neither when the first was ordered nor that its caller had its answer."""
+def test_a_restarted_node_tells_two_evacuations_apart() -> None:
+    """EVAC: a restarted node mistook the second evacuation for a retry of the first."""
     troubles = (
         Trouble(1.0, "evacuate", lasts=7.0, where="quay"),
         Trouble(5.6, "kill", lasts=1.2, where="core-quay-2"),
         Trouble(5.62, "kill", lasts=1.2, where="core-hill-3"),
         Trouble(7.6, "evacuate", lasts=7.5, where="quay"),
     )
-    for seed in range(3):  # whom the second operator asks is drawn
+    for seed in range(3):  # the node that the second operator asks is random
         assert not hunt.judge_day(scenario.read_deployment(TWO_SHORES), Day(seed, troubles)).findings
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_orders_whose_answers_are_lost_are_taken_once(seed: int) -> None:
-    """A zone stayed evacuated: the begin that was sent again counted as another, which nobody took back."""
+def test_commands_whose_acknowledgements_are_lost_are_applied_once(seed: int) -> None:
+    """A zone stayed evacuated: a retried begin counted as a second evacuation, which nobody finished."""
     troubles = (
         Trouble(0.5, "lost_acks", lasts=9.0, x=0.5),
         Trouble(1.0, "evacuate", lasts=3.0, where="hill"),
@@ -88,16 +88,16 @@
     )
     assert len(begun) == len(finished) == 1
     after = [a for a in result.record.arrivals if a.zone == "hill" and a.at > finished[0].sent + 6.0]
-    assert len(after) > 20, "the zone serves again"
+    assert len(after) > 20, "the zone is not served again"
 
 
 @pytest.mark.parametrize("relays", [True, False])
-def test_gateways_relay_between_control_machines_that_are_cut_off_from_each_other(
+def test_gateways_relay_between_partitioned_control_plane_nodes(
     relays: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nobody has a majority: rights to act ended after ``revokeS``, and orders waited until it healed.
+    """Without relays gateways lose their leases after ``revokeS`` and commands wait for the healing.
 
-    Each of the four is cut off from each other one: of an odd number of votes, one of two halves has most.
+    All four nodes are cut off from each other: with an odd number, one half would keep a majority.
     """
     if not relays:
         monkeypatch.setattr(Relay, "handle_message", lambda self, wire, message: None)
@@ -124,8 +124,8 @@
         assert hunt.summarize(result, []).served < 0.6 and max(ack_delays) > 5.0
 
 
-def test_a_server_turns_cold_while_a_gateway_follows_a_machine_that_lost_power() -> None:
-    """FAILBACK: a day that a hunt found. Without the word straight to all gateways two of these break."""
+def test_a_server_turns_cold_while_the_leader_loses_power() -> None:
+    """FAILBACK: gateways were not notified directly that a server had turned cold."""
     troubles = (
         Trouble(2.08, "lost_answers", lasts=3.07, x=0.036, where="orders"),
         Trouble(2.31, "power", lasts=1.68, how="leader"),
@@ -155,8 +155,8 @@
 """
 
 
-def test_a_day_goes_the_same_way_whatever_seed_the_hashes_have() -> None:
-    """The order of a set of texts differs from process to process; none may be followed."""
+def test_days_do_not_depend_on_the_hash_seed() -> None:
+    """The iteration order of sets of strings differs between processes and must not matter."""
     runs = [
         subprocess.Popen(
             [sys.executable, "-W", "ignore", "-c", DIGEST_SCRIPT, str(TWO_SHORES)],
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("name", GUARDS)
-def test_without_this_guard_its_rule_is_found_broken(name: str) -> None:
+def test_removing_a_guard_breaks_its_rule(name: str) -> None:
     guard = GUARDS[name]
     deployment = msgspec.structs.replace(
         scenario.read_deployment(TWO_SHORES), lead=5.0, length=11.0, callers=guard.callers
@@ -180,7 +180,7 @@
         gateways = [m for m in deployment.machines if m.kind == "edge"]
         control_nodes = [MachineGroup("core", "quay", guard.cores - 2), MachineGroup("core", "hill", 2)]
         deployment = msgspec.structs.replace(deployment, machines=gateways + control_nodes)
-    # Days differ in the order of messages, on which some of these rest: one of twelve must find it.
+    # Some mutations show only under certain message orders: one of twelve seeds must expose it.
     days = (Day(seed, guard.troubles, guard.load) for seed in range(guard.seed, guard.seed + 12))
     day = next((day for day in days if guard.rule in hunt.judge_day(deployment, day, name).rules), None)
     assert day is not None
@@ -188,8 +188,8 @@
         assert not hunt.judge_day(deployment, day).findings
 
 
-def test_a_cut_among_control_machines_only_leaves_gateways_in_touch() -> None:
-    """Settled again ``contactS`` after it began, unsettled for as long once it is over; no rule breaks."""
+def test_a_partition_of_the_control_plane_leaves_gateways_in_contact() -> None:
+    """Gateways are out of contact for ``contactS`` after the cut and after it heals; no rule breaks."""
     deployment = msgspec.structs.replace(scenario.read_deployment(TWO_SHORES), lead=5.0, length=14.0)
     for how in ("halves", "deaf", "link"):
         cut = Trouble(1.0, "core_cut", how=how, lasts=6.0)
@@ -202,8 +202,8 @@
         assert all(found == [True, False, True, True, False, True] for found in calm.values()), how
 
 
-def test_callers_who_travel_keep_their_server_and_nothing_runs_twice() -> None:
-    """Answers are lost, a server and a gateway die, servers start anew in turn; half of the callers move."""
+def test_exchanges_of_moving_callers_run_once() -> None:
+    """Responses are lost, a server and a gateway crash, servers restart; half of the callers move."""
     troubles = (
         *GUARDS["fate"].troubles, Trouble(2.0, "rolling", 0.5, x=1.5, where="meters"),
         Trouble(3.0, "crash", 2.0, where="orders"), Trouble(5.0, "kill", 1.0, how="edge"),
@@ -211,8 +211,8 @@
     deployment = msgspec.structs.replace(
         scenario.read_deployment(TWO_SHORES), length=12.0, callers=scenario.CallerSettings(20, 0.5)
     )
-    unknown = 0  # of a life that has ended, as long as its answer was lost: not on every day
-    for seed in (3, 4, 5, 15, 17, 18):  # on the last three there are some
+    unknown = 0  # needs a lost response of a stopped server, which not every seed has
+    for seed in (3, 4, 5, 15, 17, 18):  # the last three have some
         result = run_day(deployment, Day(seed, troubles))
         assert not rules.judge(result)
         non_repeatable = [e for e in result.record.exchanges.values() if not e.repeatable]
@@ -224,15 +224,15 @@
     assert unknown
 
 
-def test_every_rule_is_shown_able_to_fail() -> None:
+def test_every_rule_has_a_mutation_that_breaks_it() -> None:
     assert {guard.rule for guard in GUARDS.values()} >= set(rules.CHECKS)
 
 
-def test_a_day_that_breaks_a_rule_is_shortened_to_the_trouble_that_matters() -> None:
+def test_a_failing_day_is_reduced_to_the_faults_that_it_needs() -> None:
     deployment = msgspec.structs.replace(scenario.read_deployment(TWO_SHORES), length=7.0)
     needed = GUARDS["drain"].troubles[0]
     others = Trouble(0.5, "change", how="idle"), Trouble(2.0, "loss", x=0.02, lasts=2.0)
-    # Whether a request is under way to a server that leaves is luck.
+    # Not every seed has a request in flight to the draining server.
     breaks = (Day(seed, (others[0], needed)) for seed in range(1, 9))
     seed = next(day.seed for day in breaks if "DRAIN" in hunt.judge_day(deployment, day, "drain").rules)
     day = Day(seed, (others[0], needed, others[1]))
@@ -240,7 +240,7 @@
     assert needed in shortest and len(shortest) < 3
 
 
-def test_records_are_checked_and_drawn_ones_are_sound(tmp_path: Path) -> None:
+def test_scenarios_are_validated_and_generated_ones_are_valid(tmp_path: Path) -> None:
     assert not scenario.find_problems(scenario.read_deployment(EXAMPLES / "two-rivers.toml"))
     for seed in range(20):
         deployment = scenario.draw_deployment(seed)
@@ -252,7 +252,7 @@
         scenario.read_deployment(wrong)
 
 
-def test_the_report_and_the_story_of_a_request(tmp_path: Path) -> None:
+def test_the_report_and_the_events_of_a_request(tmp_path: Path) -> None:
     deployment = msgspec.structs.replace(scenario.read_deployment(TWO_SHORES), length=4.0)
     result = run_day(deployment, Day(1, ROUGH_TROUBLES[:1]))
     report.write(tmp_path, result, rules.judge(result), hunt.summarize(result, []))
@@ -278,13 +278,13 @@
 
 
 @pytest.mark.parametrize("name", TROUBLE_CASES)
-def test_troubles_of_servers_and_disks_break_no_rule(name: str) -> None:
+def test_server_and_disk_faults_break_no_rule(name: str) -> None:
     deployment = msgspec.structs.replace(scenario.read_deployment(TWO_SHORES), length=9.0)
     outcome = hunt.judge_day(deployment, Day(4, TROUBLE_CASES[name]))
     assert not outcome.findings and outcome.served > 0.85
 
 
-def test_bytes_wait_for_a_narrow_link_and_datagrams_are_dropped_where_it_is_full() -> None:
+def test_narrow_links_delay_bytes_and_drop_datagrams() -> None:
     link = Link()
     link.rate = 1000.0
     assert link.transmit_end(460, 1.0) == pytest.approx(1.5)
@@ -297,7 +297,7 @@
         assert least <= outcome.served <= most
 
 
-def test_the_sizes_of_messages_are_as_their_formulas_say() -> None:
+def test_measured_traffic_matches_the_formulas() -> None:
     high_plains = scenario.read_deployment(EXAMPLES / "high-plains.toml")
     assert sum(m.count for m in high_plains.machines if m.kind == "edge") == 84
     small = msgspec.structs.replace(size.with_gateways(high_plains, 6), lead=6.0)
@@ -308,14 +308,14 @@
     for kind in ("membership", "beats", "who has beaten", "proofs"):
         octets, formula = sizes[kind]
         assert formula is not None and 0.4 < octets / formula < 2.0, kind
-    # Look-ups and clients stay in their zones; members of the register stand in three regions.
+    # Look-ups and clients stay in their zones; control-plane nodes are spread over three regions.
     assert between["look-ups"] == between["clients"] == 0.0
     assert 0.3 * sizes["register"][0] < between["register"] < sizes["register"][0]
-    assert found.worst["edge"] < 0.1 * 250_000  # of its link
+    assert found.worst["edge"] < 0.1 * 250_000  # of the link capacity
 
 
-def test_an_unsettled_core_stretches_bounds_so_far_and_no_farther() -> None:
-    """One control machine is killed again and again, so that no machine is ever in touch."""
+def test_an_unstable_control_plane_stretches_bounds_up_to_the_limit() -> None:
+    """One control-plane node is killed again and again, so that no machine is ever in contact."""
     deployment = scenario.read_deployment(TWO_SHORES)
     control_node = next(
         m.name for m in DaySimulation(deployment, Day(1), Path()).fleet.cores if m.host.zone == "hill"
@@ -330,8 +330,8 @@
 
 
 @pytest.mark.parametrize("seed", [3, 5])
-def test_control_machines_are_replaced_one_after_the_other(seed: int) -> None:
-    """RECOVER, CONFIG: a third loss found no majority, as the first one's vote was still nobody's."""
+def test_control_plane_nodes_are_replaced_in_turn(seed: int) -> None:
+    """RECOVER, CONFIG: the third loss left no majority, as the vote of the first had not been replaced."""
     deployment = scenario.read_deployment(TWO_SHORES)
     day = scenario.draw_losses(deployment, seed)
     assert any(trouble.kind == "replace" and trouble.count == 8 for trouble in day.troubles)
@@ -339,7 +339,7 @@
     assert not outcome.findings and outcome.worth > 0.9
 
 
-def test_replacements_that_get_their_votes_late_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_late_votes_of_replacements_break_a_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(voters, "MIN_LOST_AFTER_S", 15.0)
     deployment = scenario.read_deployment(TWO_SHORES)
     assert any(
@@ -348,10 +348,10 @@
 
 
 @pytest.mark.parametrize("seed", [0, 1, 3])
-def test_no_answer_goes_to_another_request(seed: int) -> None:
-    """MIXED: few connections, many second attempts, servers that fail late and answer twice.
+def test_responses_are_never_mixed_up(seed: int) -> None:
+    """MIXED: a late failure response was delivered to the next request on the client connection.
 
-    A failure that came for a request that was over was handed to the next one on its client's connection.
+    Few connections, many retries, servers that fail late and send duplicate responses.
     """
     deployment = scenario.read_deployment(TWO_SHORES)
     busy = msgspec.structs.replace(
