--- a/benchmarks/admin_cost.py
+++ b/benchmarks/admin_cost.py
@@ -22,7 +22,7 @@
 
 import aiohttp
 
-from latchspoke.agent.checks import fetch_view
+from latchspoke.agent.health_checks import fetch_view
 
 RATE = 100.0  # requests a second to each gateway
 CONNECTIONS = 40
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -22,7 +22,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from latchspoke.agent.holding import Holding, over_sockets
+from latchspoke.agent.holder_driver import HolderDriver, holder_over_sockets
 from latchspoke.agent.members import MemberStatus, clock
 from latchspoke.duties.records import Candidate, Define, Rule
 from latchspoke.lab.schedules.real import Trial
@@ -73,11 +73,11 @@
             await define(trial, "first")
             sockets = [trial.socket(n) for n in range(trial.agents)]
             async with contextlib.AsyncExitStack() as stack:
-                held: list[Holding] = []
+                held: list[HolderDriver] = []
                 for n in range(holders):
                     who = Candidate(f"h{n}", secrets.token_hex(4))
                     mine = sockets[n % 3 :] + sockets[: n % 3]
-                    held.append(await stack.enter_async_context(over_sockets(who, mine)))
+                    held.append(await stack.enter_async_context(holder_over_sockets(who, mine)))
                 while not count(held):
                     await asyncio.sleep(0.01)
                 first = clock() - began
@@ -91,7 +91,7 @@
             await trial.end()
 
 
-async def measure(trial: Trial, held: list[Holding], table: Table, first: float, busy: int) -> None:
+async def measure(trial: Trial, held: list[HolderDriver], table: Table, first: float, busy: int) -> None:
     await asyncio.sleep(3.0)
     before, used, since = await counters(trial), cpu(trial), clock()
     await asyncio.sleep(SPAN)
@@ -111,7 +111,7 @@
     )  # fmt: skip
 
 
-def count(held: list[Holding]) -> int:
+def count(held: list[HolderDriver]) -> int:
     return sum(len(one.holder.rights) for one in held)
 
 
--- a/latchspoke/agent/api.py
+++ b/latchspoke/agent/api.py
@@ -22,7 +22,7 @@
 import structlog
 from aiohttp import web
 
-from latchspoke.agent.checks import fetch_view
+from latchspoke.agent.health_checks import fetch_view
 from latchspoke.agent.members import MemberDriver, MembersChange
 from latchspoke.agent.store import StoreError
 from latchspoke.agent.supervisor import RefusalError, Supervisor, claim_info
--- a/latchspoke/agent/client.py
+++ b/latchspoke/agent/client.py
@@ -63,14 +63,14 @@
     return msgspec.structs.replace(told, agents=agents, identity=identity)
 
 
-def one_agent(socket: str) -> FleetRecord:
+def single_agent_fleet(socket: str) -> FleetRecord:
     """A fleet of the one agent behind this socket."""
     schema = schema_path("fleet").read_text()
     text = f"agents: here: socket: {msgspec.json.encode(os.path.abspath(socket)).decode()}"
     return load_text(text, "--socket", schema, DEFINITIONS["fleet"]).convert(FleetRecord)
 
 
-class UnheardError(Exception):
+class UnreachableError(Exception):
     """No answer, or none that can be understood: what is asked about is unknown."""
 
 
@@ -127,30 +127,32 @@
             ) as answer:  # fmt: skip
                 return self.understand(kind, answer, await answer.read())
         except TimeoutError:
-            raise UnheardError(f"agent {self.name}: silent for {limit:g} s") from None
+            raise UnreachableError(f"agent {self.name}: silent for {limit:g} s") from None
         except aiohttp.ClientConnectorCertificateError as e:
             why = getattr(e.certificate_error, "verify_message", "") or e.certificate_error
-            raise UnheardError(f"agent {self.name}: its certificate is not trusted ({why})") from None
+            raise UnreachableError(f"agent {self.name}: its certificate is not trusted ({why})") from None
         except aiohttp.ClientConnectorError as e:
-            raise UnheardError(f"agent {self.name}: not there ({e.os_error.strerror or e})") from None
+            raise UnreachableError(f"agent {self.name}: not there ({e.os_error.strerror or e})") from None
         except (aiohttp.ClientError, OSError, ValueError) as e:
             if self.entry.address and refused_by_tls(e):
                 why = "it ends the connection after the handshake; its history tells why"
-                raise UnheardError(f"agent {self.name}: refuses this certificate, it seems ({why})") from None
+                raise UnreachableError(
+                    f"agent {self.name}: refuses this certificate, it seems ({why})"
+                ) from None
             what = type(e).__name__
-            raise UnheardError(f"agent {self.name}: answers what is not understood ({what})") from None
+            raise UnreachableError(f"agent {self.name}: answers what is not understood ({what})") from None
 
     def understand(self, kind: type[T], answer: aiohttp.ClientResponse, told: bytes) -> T:
         spoken = answer.headers.get(wire.HEADER)
         if spoken != str(wire.INTERFACE):
             other = f"interface {spoken}" if spoken else "no interface of ours"
-            raise UnheardError(f"agent {self.name}: speaks {other}, this tool speaks {wire.INTERFACE}")
+            raise UnreachableError(f"agent {self.name}: speaks {other}, this tool speaks {wire.INTERFACE}")
         try:
             if answer.status == 200:
                 return wire.decode(kind, told)
             problem = wire.decode(wire.Problem, told)
         except msgspec.MsgspecError as e:
-            raise UnheardError(f"agent {self.name}: answers what is not understood ({e})") from None
+            raise UnreachableError(f"agent {self.name}: answers what is not understood ({e})") from None
         raise RefusedError(problem)
 
     async def listing(self) -> wire.Listing:
@@ -215,21 +217,21 @@
 
     async def ask(
         self, question: Callable[[AgentClient], Coroutine[Any, Any, T]], names: Iterable[str] | None = None
-    ) -> dict[str, T | UnheardError | RefusedError]:
+    ) -> dict[str, T | UnreachableError | RefusedError]:
         """Ask agents side by side; each answers, refuses or is unheard, and none holds up another."""
 
-        async def one(client: AgentClient) -> T | UnheardError | RefusedError:
+        async def one(client: AgentClient) -> T | UnreachableError | RefusedError:
             async with self.gate:
                 try:
                     return await question(client)
-                except (UnheardError, RefusedError) as e:
+                except (UnreachableError, RefusedError) as e:
                     return e
 
         chosen = sorted(self.clients if names is None else names)
         told = await asyncio.gather(*(one(self.clients[name]) for name in chosen))
         return dict(zip(chosen, told, strict=True))
 
-    async def look(self, view: FleetView, now: Callable[[], float]) -> FleetView:
+    async def refresh_view(self, view: FleetView, now: Callable[[], float]) -> FleetView:
         """The next version of the view."""
         for name, told in (await self.ask(lambda client: client.listing())).items():
             if isinstance(told, wire.Listing):
--- a/latchspoke/agent/own.py
+++ b/latchspoke/agent/duty_runner.py
@@ -17,9 +17,9 @@
 import structlog
 
 from latchspoke import __version__
-from latchspoke.agent.client import Fleet, RefusedError, UnheardError
+from latchspoke.agent.client import Fleet, RefusedError, UnreachableError
 from latchspoke.agent.config import DutiesRecord
-from latchspoke.agent.holding import LIMIT, Holding
+from latchspoke.agent.holder_driver import LIMIT, HolderDriver
 from latchspoke.agent.members import MemberDriver, clock
 from latchspoke.agent.operations import Operation, Refusal, resume
 from latchspoke.duties import findings
@@ -41,11 +41,11 @@
 RESUME, CENSUS = "resume", "census"
 
 
-class LostError(Refusal):
+class DutyLostError(Refusal):
     """The duty is no longer held here."""
 
 
-class OwnDuties:
+class DutyRunner:
     """This agent as a holder; ``note`` puts an event on its record."""
 
     def __init__(
@@ -63,7 +63,7 @@
             wanted[CENSUS] = self.census_always
         self.wanted = wanted
         who = Candidate(driver.name, secrets.token_hex(4), "", __version__, tuple(wanted))
-        self.holding = Holding(who, self.ask, STOP)
+        self.holding = HolderDriver(who, self.ask, STOP)
         self.defined: set[str] = set()
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.task = asyncio.get_running_loop().create_task(self.work())
@@ -152,7 +152,7 @@
         """For an act that begins now. Raises LostError."""
         token = self.holding.token(duty)
         if token is None:
-            raise LostError(f"the duty {duty} was lost")
+            raise DutyLostError(f"the duty {duty} was lost")
         return token
 
     def fence(self) -> dict[str, int]:
@@ -174,7 +174,7 @@
     async def resume(self, ident: str) -> bool:
         """Whether it has come to an end, good or bad."""
         token = self.token(RESUME)
-        view = await self.fleet.look(FleetView(), time.time)
+        view = await self.fleet.refresh_view(FleetView(), time.time)
         self.note("resumes", ident, f"under token {token}")
         try:
             ttl = TTL_GRANTS * float(self.record.length)
@@ -212,7 +212,7 @@
                 listing = await client.listing()
                 up = [status.name for status in listing.instances if status.goal == "up"]
                 told = await client.views(up) if up else wire.ViewAnswer()
-            except (UnheardError, RefusedError) as e:
+            except (UnreachableError, RefusedError) as e:
                 silent[agent] = str(e)
                 continue
             for name in up:
--- a/latchspoke/agent/checks.py
+++ b/latchspoke/agent/health_checks.py
@@ -16,7 +16,7 @@
 ANSWERS = (aiohttp.ClientError, OSError, asyncio.TimeoutError, ValueError)
 
 
-class Checks:
+class HealthChecks:
     """One loop for each instance, so that a silent one holds up no other."""
 
     def __init__(self, supervisor: Supervisor) -> None:
--- a/latchspoke/agent/holding.py
+++ b/latchspoke/agent/holder_driver.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import AsyncIterator, Awaitable, Callable, Iterable
 
-from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnheardError
+from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnreachableError
 from latchspoke.agent.members import clock
 from latchspoke.duties.holder import Holder
 from latchspoke.duties.records import Answer, Beat, Candidate
@@ -16,7 +16,7 @@
 Ask = Callable[[Beat, int], Awaitable[Answer | None]]  # the beat, and the place of whom to ask
 
 
-class Holding:
+class HolderDriver:
     """Use ``async with``. Beats go on from a task of their own; nobody waits for them."""
 
     def __init__(self, who: Candidate, ask: Ask, stop: float = 0.0) -> None:
@@ -24,7 +24,7 @@
         self.task: asyncio.Task[None] | None = None
         self.heard_at = 0.0
 
-    async def __aenter__(self) -> Holding:
+    async def __aenter__(self) -> HolderDriver:
         self.task = asyncio.get_running_loop().create_task(self.work())
         return self
 
@@ -64,18 +64,20 @@
 
 
 @contextlib.asynccontextmanager
-async def over_sockets(who: Candidate, sockets: Iterable[str], stop: float = 0.0) -> AsyncIterator[Holding]:
+async def holder_over_sockets(
+    who: Candidate, sockets: Iterable[str], stop: float = 0.0
+) -> AsyncIterator[HolderDriver]:
     """A holder that asks whichever of these agents answers."""
     clients = [AgentClient(path, AgentEntry(path), LIMIT, None) for path in sockets]
 
     async def ask(beat: Beat, place: int) -> Answer | None:
         try:
             return await clients[place % len(clients)].call(Answer, "POST", "/v1/duties/beat", beat)
-        except (UnheardError, RefusedError):
+        except (UnreachableError, RefusedError):
             return None
 
     try:
-        async with Holding(who, ask, stop) as holding:
+        async with HolderDriver(who, ask, stop) as holding:
             yield holding
     finally:
         await asyncio.gather(*(client.close() for client in clients))
--- a/latchspoke/agent/members.py
+++ b/latchspoke/agent/members.py
@@ -19,8 +19,16 @@
 import structlog
 
 from latchspoke.agent.config import MembersRecord, TlsRecord
-from latchspoke.agent.ledger import Ledger, LedgerError
-from latchspoke.agent.links import AskFrame, Frame, Greet, Links, ReplyFrame, Said, Tls
+from latchspoke.agent.peer_transport import (
+    AskFrame,
+    ConsensusMessage,
+    Frame,
+    Hello,
+    PeerTls,
+    PeerTransport,
+    ReplyFrame,
+)
+from latchspoke.agent.raft_store import RaftStore, RaftStoreError
 from latchspoke.consensus import records
 from latchspoke.consensus.member import ChangeError, Member, NotLeaderError, Output, Role, Timing
 from latchspoke.consensus.records import Members, name_of
@@ -70,8 +78,8 @@
     def __init__(self, name: str, record: MembersRecord, home: Path, tls: TlsRecord | None = None) -> None:
         """Raises LedgerError, KeysError."""
         self.name, self.record = name, record
-        trust = Tls(tls) if record.tls and tls is not None else None
-        self.ledger = Ledger(home / "members.db")
+        trust = PeerTls(tls) if record.tls and tls is not None else None
+        self.ledger = RaftStore(home / "members.db")
         stored = self.ledger.start(name, secrets.token_hex(4), record.first)
         timing = Timing(record.beat, record.election)
         self.office = Office(Member(stored, timing, random.Random(), clock()), record.drift)
@@ -83,7 +91,7 @@
         self.known: dict[str, str] = {}  # identities that have greeted, by name
         self.disk = ""
         self.counters: Counter[str] = Counter()
-        self.links = Links(Greet(name, stored.identity), record.peers, self.heard, trust)
+        self.links = PeerTransport(Hello(name, stored.identity), record.peers, self.heard, trust)
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -115,9 +123,9 @@
 
     def heard(self, name: str, frame: Frame) -> None:
         match frame:
-            case Greet(_, identity):
+            case Hello(_, identity):
                 self.known[name] = identity
-            case Said(data):
+            case ConsensusMessage(data):
                 message = records.decode(data)
                 self.give(lambda now: self.office.member.receive(message, now))
             case AskFrame(number):
@@ -247,7 +255,7 @@
             for note in output.notes:
                 self.tell(note.code, note.detail)
             for message in output.messages:
-                self.links.send(name_of(message.target), Said(records.encode(message)))
+                self.links.send(name_of(message.target), ConsensusMessage(records.encode(message)))
             self.counters["messages"] += len(output.messages)
             self.counters["entries"] += len(output.committed)
             self.office.apply(output, clock())
@@ -256,7 +264,7 @@
                     self.tell(*notes.popleft())
             snapshot = self.office.compacted()
             if snapshot is not None:
-                with contextlib.suppress(LedgerError):  # the longer log is as good, and it is tried again
+                with contextlib.suppress(RaftStoreError):  # the longer log is as good, and it is tried again
                     await asyncio.to_thread(self.ledger.compact, snapshot)
         answers, self.office.answers = self.office.answers, []
         for number, reply in answers:
@@ -276,7 +284,7 @@
             try:
                 began = clock()
                 await asyncio.to_thread(self.ledger.save, output)
-            except LedgerError as e:
+            except RaftStoreError as e:
                 self.counters["disk.refused"] += 1
                 if not self.disk:
                     log.error("disk", error=str(e))
--- a/latchspoke/agent/operations.py
+++ b/latchspoke/agent/operations.py
@@ -17,7 +17,7 @@
 import msgspec
 import structlog
 
-from latchspoke.agent.client import Fleet, RefusedError, UnheardError
+from latchspoke.agent.client import Fleet, RefusedError, UnreachableError
 from latchspoke.fleet import wire
 from latchspoke.fleet.rollout import Act, Done, Move, Stand, StepSeen, Stop, Wait, next_move
 from latchspoke.fleet.view import FleetView
@@ -149,7 +149,7 @@
         for agent in sorted(self.targets):
             try:
                 await self.claim(agent)
-            except (RefusedError, UnheardError) as e:
+            except (RefusedError, UnreachableError) as e:
                 raise Refusal(f"{self.before()}: {e}") from None
         self.fresh = False
 
@@ -183,7 +183,7 @@
 
     async def go_on(self) -> Stop | Done:
         while True:
-            await self.look()
+            await self.refresh()
             now = self.clock()
             move = next_move(self.plan, self.steps, self.available(), now, self.short_since)
             self.on_progress(self, move)
@@ -206,9 +206,9 @@
         seen = self.view.instances
         return {ident: ident in seen and seen[ident].available for ident in self.plan.members}
 
-    async def look(self) -> None:
+    async def refresh(self) -> None:
         """The fleet, and how the steps stand by their agents' records."""
-        self.view = await self.fleet.look(self.view, self.clock)
+        self.view = await self.fleet.refresh_view(self.view, self.clock)
         told = await self.fleet.ask(lambda client: client.operation(self.plan.id), self.targets)
         for agent, answer in told.items():
             if isinstance(answer, wire.OperationStatus):
@@ -249,7 +249,7 @@
         agent, name = agent_of(ident)
         try:
             info = await self.ask_step(agent, name)
-        except UnheardError as e:
+        except UnreachableError as e:
             self.set(ident, Stand.UNKNOWN, self.clock(), str(e))
         except RefusedError as e:
             self.set(ident, Stand.FAILED, self.clock(), str(e))
@@ -273,7 +273,7 @@
             if held.token != self.tokens[agent][name]:
                 raise Refusal(f"another tool has taken over: {e}") from None
             # Ours has lapsed while the agent was away, and nobody came in between.
-            with contextlib.suppress(UnheardError):
+            with contextlib.suppress(UnreachableError):
                 await self.claim(agent)
             return await client.step(request())
 
@@ -312,7 +312,7 @@
     """The plan as recorded, and which agents have it; raises Refusal where none has."""
     held = {agent: told for agent, told in answers.items() if isinstance(told, wire.OperationStatus)}
     if not held:
-        unheard = [str(told) for told in answers.values() if isinstance(told, UnheardError)]
+        unheard = [str(told) for told in answers.values() if isinstance(told, UnreachableError)]
         more = f"; not heard: {'; '.join(unheard)}" if unheard else ""
         raise Refusal(f"no agent has operation {ident}{more}")
     return next(iter(held.values())).plan, held
--- a/latchspoke/agent/links.py
+++ b/latchspoke/agent/peer_transport.py
@@ -31,14 +31,14 @@
 FOLLOW = 1.0  # s between looks at the certificate's files
 
 
-class Greet(msgspec.Struct, frozen=True, tag="greet"):
+class Hello(msgspec.Struct, frozen=True, tag="greet"):
     """The first frame of a connection."""
 
     name: str
     identity: str
 
 
-class Said(msgspec.Struct, frozen=True, tag="said"):
+class ConsensusMessage(msgspec.Struct, frozen=True, tag="said"):
     """A message of the log's own."""
 
     data: bytes
@@ -65,7 +65,7 @@
     rules: RulesAnswer | None = None
 
 
-Frame = Greet | Said | AskFrame | ReplyFrame
+Frame = Hello | ConsensusMessage | AskFrame | ReplyFrame
 ENCODER = msgspec.msgpack.Encoder()
 DECODER: msgspec.msgpack.Decoder[Frame] = msgspec.msgpack.Decoder(Frame)
 
@@ -75,7 +75,7 @@
     return host.strip("[]"), int(port)
 
 
-class Tls:
+class PeerTls:
     """This member's certificate, for both ends of a connection; renewed files are taken up."""
 
     def __init__(self, record: TlsRecord) -> None:
@@ -100,10 +100,10 @@
     return peer(writer.get_extra_info("peercert")) == ("agent", name)
 
 
-class Link:
+class PeerConnection:
     """What goes to one other member."""
 
-    def __init__(self, name: str, where: str, greet: Greet, tls: Tls | None) -> None:
+    def __init__(self, name: str, where: str, greet: Hello, tls: PeerTls | None) -> None:
         self.name, self.where, self.greet = name, address(where), greet
         self.context = tls.there.context if tls is not None else None
         self.refused = ""
@@ -167,19 +167,21 @@
     writer.write(len(data).to_bytes(4, "big") + data)
 
 
-class Links:
+class PeerTransport:
     """All of one member's. ``heard`` gets each frame with its sender's name."""
 
     def __init__(
         self,
-        greet: Greet,
+        greet: Hello,
         peers: dict[str, str],
         heard: Callable[[str, Frame], None],
-        tls: Tls | None = None,
+        tls: PeerTls | None = None,
     ) -> None:
         self.heard, self.tls = heard, tls
         self.links = {
-            name: Link(name, where, greet, tls) for name, where in peers.items() if name != greet.name
+            name: PeerConnection(name, where, greet, tls)
+            for name, where in peers.items()
+            if name != greet.name
         }
         self.server: asyncio.Server | None = None
         self.following: asyncio.Task[None] | None = None
@@ -201,7 +203,7 @@
                 if size > FRAME_MOST:
                     raise records.RecordsError(f"a frame of {size} bytes")
                 frame = DECODER.decode(await reader.readexactly(size))
-                if isinstance(frame, Greet):
+                if isinstance(frame, Hello):
                     name = frame.name
                     if not certified(writer, name):
                         raise records.RecordsError(f"its certificate is not that of agent {name}")
--- a/latchspoke/agent/ledger.py
+++ b/latchspoke/agent/raft_store.py
@@ -25,11 +25,11 @@
 """
 
 
-class LedgerError(Exception):
+class RaftStoreError(Exception):
     """The ledger can't be used, or not now; one line says why."""
 
 
-class Start(msgspec.Struct, frozen=True):
+class StartRecord(msgspec.Struct, frozen=True):
     """Who this store belongs to, and how often it was started."""
 
     identity: str
@@ -41,17 +41,17 @@
     try:
         yield
     except (sqlite3.Error, OSError) as e:
-        raise LedgerError(f"{path} can't be used: {e}") from None
+        raise RaftStoreError(f"{path} can't be used: {e}") from None
     except msgspec.MsgspecError as e:
-        raise LedgerError(f"{path} holds what can't be read: {e}") from None
+        raise RaftStoreError(f"{path} holds what can't be read: {e}") from None
 
 
-class Ledger:
+class RaftStore:
     """One open file. Its calls may come from any thread, one at a time."""
 
-    def __init__(self, path: Path, alone: bool = False) -> None:
+    def __init__(self, path: Path, exclusive: bool = False) -> None:
         """``alone``: no other process opens the file, so no memory is shared by way of a mapped one."""
-        self.path, self.note, self.alone = path, path.with_suffix(".start"), alone
+        self.path, self.note, self.exclusive = path, path.with_suffix(".start"), exclusive
         with told(path):
             self.db = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
             try:
@@ -61,20 +61,20 @@
                 raise
 
     def prepare(self) -> None:
-        if self.alone:
+        if self.exclusive:
             for pragma in ("locking_mode = EXCLUSIVE", "mmap_size = 0", "temp_store = MEMORY"):
                 self.db.execute(f"PRAGMA {pragma}")
         self.db.execute("PRAGMA journal_mode = WAL")
         self.db.execute("PRAGMA synchronous = FULL")
         (layout,) = self.db.execute("PRAGMA user_version").fetchone()
         if layout not in (0, LAYOUT):
-            raise LedgerError(f"{self.path}: its layout is {layout}, this program knows {LAYOUT}")
+            raise RaftStoreError(f"{self.path}: its layout is {layout}, this program knows {LAYOUT}")
         (sound,) = self.db.execute("PRAGMA quick_check(1)").fetchone()
         if sound != "ok":
-            raise LedgerError(f"{self.path} is damaged: {sound}")
+            raise RaftStoreError(f"{self.path} is damaged: {sound}")
         names = {row[0] for row in self.db.execute("SELECT name FROM sqlite_master WHERE type = 'table'")}
         if names - {"facts", "entries"}:
-            raise LedgerError(f"{self.path} is no ledger: its tables are {', '.join(sorted(names))}")
+            raise RaftStoreError(f"{self.path} is no ledger: its tables are {', '.join(sorted(names))}")
         self.db.executescript(TABLES)
         self.db.execute(f"PRAGMA user_version = {LAYOUT}")
 
@@ -84,15 +84,17 @@
     def start(self, name: str, draw: str, founder: bool, first: Snapshot | None = None) -> Stored:
         """Count a start and give all there is; a new store gets its identity, and a founder's ``first``.
 
-        Without ``first`` a founder votes alone. Raises LedgerError.
+        Without ``first`` a founder votes alone. Raises RaftStoreError.
         """
         with told(self.path):
             body = self.fact("start")
-            old = msgspec.msgpack.decode(body, type=Start) if body else Start(f"{name}#{draw}", 0)
-            noted = msgspec.json.decode(self.note.read_bytes(), type=Start) if self.note.exists() else None
+            old = msgspec.msgpack.decode(body, type=StartRecord) if body else StartRecord(f"{name}#{draw}", 0)
+            noted = (
+                msgspec.json.decode(self.note.read_bytes(), type=StartRecord) if self.note.exists() else None
+            )
             if noted is not None:
                 self.compare(old, noted)
-            new = Start(old.identity, old.boot + 1)
+            new = StartRecord(old.identity, old.boot + 1)
             with self.transaction():
                 self.put("start", new)
                 if not old.boot and founder:
@@ -100,15 +102,15 @@
             self.write_note(new)
             return self.read(new)
 
-    def compare(self, old: Start, noted: Start) -> None:
+    def compare(self, old: StartRecord, noted: StartRecord) -> None:
         """The note is written after the file: behind by a start that was cut short, and never ahead."""
         if old.identity != noted.identity or old.boot not in (noted.boot, noted.boot + 1):
-            raise LedgerError(
+            raise RaftStoreError(
                 f"{self.path} is of start {old.boot} of {old.identity}, but {self.note.name} tells of start"
                 f" {noted.boot} of {noted.identity}: an older copy; take this member out and in as a new one"
             )
 
-    def write_note(self, start: Start) -> None:
+    def write_note(self, start: StartRecord) -> None:
         new = self.note.with_suffix(".new")
         with open(new, "wb") as file:
             file.write(msgspec.json.encode(start))
@@ -121,22 +123,22 @@
         finally:
             os.close(folder)
 
-    def read(self, start: Start) -> Stored:
+    def read(self, start: StartRecord) -> Stored:
         hard_state, snapshot = self.fact("vow"), self.fact("snapshot")
         entries: list[Entry] = []
         for place, body, crc in self.db.execute("SELECT place, body, crc FROM entries ORDER BY place"):
             entry: Entry = msgspec.msgpack.decode(self.sound(body, crc, f"entry {place}"), type=Entry)
             if entries and entry.index != entries[-1].index + 1:
-                raise LedgerError(f"{self.path}: entry {entries[-1].index + 1} is missing")
+                raise RaftStoreError(f"{self.path}: entry {entries[-1].index + 1} is missing")
             entries.append(entry)
         found = msgspec.msgpack.decode(snapshot, type=Snapshot) if snapshot else Snapshot()
         if entries and entries[0].index != found.index + 1:
-            raise LedgerError(f"{self.path}: entry {found.index + 1} is missing")
+            raise RaftStoreError(f"{self.path}: entry {found.index + 1} is missing")
         kept = msgspec.msgpack.decode(hard_state, type=HardState) if hard_state else HardState()
         return Stored(start.identity, start.boot, kept, found, tuple(entries))
 
     def save(self, output: Output) -> None:
-        """All of it is on the disk when this ends well, and none of it otherwise. Raises LedgerError."""
+        """All of it is on the disk when this ends well, and none of it otherwise. Raises RaftStoreError."""
         with told(self.path), self.transaction():
             if output.hard_state is not None:
                 self.put("vow", output.hard_state)
@@ -148,7 +150,7 @@
                 self.db.executemany("INSERT INTO entries VALUES (?, ?, ?)", rows)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Raises LedgerError."""
+        """Raises RaftStoreError."""
         with told(self.path), self.transaction():
             self.replace(snapshot)
 
@@ -169,7 +171,7 @@
         self.put("snapshot", snapshot)
         self.db.execute("DELETE FROM entries WHERE place <= ?", (snapshot.index,))
 
-    def put(self, name: str, value: Start | HardState | Snapshot) -> None:
+    def put(self, name: str, value: StartRecord | HardState | Snapshot) -> None:
         body = msgspec.msgpack.encode(value)
         self.db.execute("INSERT OR REPLACE INTO facts VALUES (?, ?, ?)", (name, body, zlib.crc32(body)))
 
@@ -179,5 +181,5 @@
 
     def sound(self, body: bytes, crc: int, what: str) -> bytes:
         if zlib.crc32(body) != crc:
-            raise LedgerError(f"{self.path}: {what} is damaged")
+            raise RaftStoreError(f"{self.path}: {what} is damaged")
         return body
--- a/latchspoke/agent/serve.py
+++ b/latchspoke/agent/serve.py
@@ -16,12 +16,12 @@
 from aiohttp import web
 
 from latchspoke.agent.api import Api, by_socket
-from latchspoke.agent.checks import Checks
 from latchspoke.agent.client import Fleet, read_fleet
 from latchspoke.agent.config import AgentRecord, TlsRecord
-from latchspoke.agent.ledger import LedgerError
+from latchspoke.agent.duty_runner import DutyRunner
+from latchspoke.agent.health_checks import HealthChecks
 from latchspoke.agent.members import MemberDriver
-from latchspoke.agent.own import OwnDuties
+from latchspoke.agent.raft_store import RaftStoreError
 from latchspoke.agent.store import Store, StoreError
 from latchspoke.agent.supervisor import Supervisor
 from latchspoke.agent.tls import TlsSite, by_certificate
@@ -96,7 +96,7 @@
     store, why = open_store(config.home)
     supervisor = Supervisor(config, store, why)
     await supervisor.start()
-    checks = Checks(supervisor)
+    checks = HealthChecks(supervisor)
     members = await open_member(config)
     own = open_duties(config, supervisor, members)
     api = Api(supervisor, by_certificate(by_socket), members)
@@ -133,7 +133,7 @@
     try:
         members = MemberDriver(config.name, config.members, config.home, config.tls)
         await members.start()
-    except (LedgerError, KeysError) as e:
+    except (RaftStoreError, KeysError) as e:
         raise AgentError(str(e)) from None
     except OSError as e:
         raise AgentError(f"can't listen at {config.members.peers[config.name]}: {e}") from None
@@ -143,7 +143,7 @@
 
 def open_duties(
     config: AgentRecord, supervisor: Supervisor, members: MemberDriver | None
-) -> OwnDuties | None:
+) -> DutyRunner | None:
     if members is None or config.members is None or config.members.duties is None:
         return None
     told = config.members.duties
@@ -158,7 +158,7 @@
     def note(kind: str, operation: str, detail: str) -> None:
         supervisor.record(kind, operation=operation, detail=detail)
 
-    return OwnDuties(members, told, fleet, note)
+    return DutyRunner(members, told, fleet, note)
 
 
 def open_tls(record: TlsRecord, supervisor: Supervisor, runner: web.AppRunner) -> TlsSite:
--- a/latchspoke/configstore/replica.py
+++ b/latchspoke/configstore/replica.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from latchspoke.agent.ledger import Ledger, LedgerError
+from latchspoke.agent.raft_store import RaftStore, RaftStoreError
 from latchspoke.configstore.messages import Message
 from latchspoke.configstore.orders import UNKNOWN, Command, Orders, Patch, Verdict
 from latchspoke.configstore.register import Answer, Register, draw_of, founding
@@ -56,13 +56,13 @@
     ) -> None:
         """``founders``: the seeds; ``first``: the whole system's first start; ``catch_up`` (s): see Register.
 
-        Raises LedgerError.
+        Raises RaftStoreError.
         """
         self.draw = draw or random.Random()
         self.me, self.send, self.on_applied, self.clock, self.log = me, send, on_applied, clock, log
         self.founders, self.first, self.apply_patch = founders, first, apply_patch
         self.catch_up = catch_up
-        self.ledger = Ledger(home / FILE, alone=True)
+        self.ledger = RaftStore(home / FILE, exclusive=True)
         try:
             self.register = self.begin()
         except BaseException:
@@ -80,7 +80,7 @@
         self.closed = False
 
     def begin(self) -> Register:
-        """From what the disk holds, as after a kill. Raises LedgerError."""
+        """From what the disk holds, as after a kill. Raises RaftStoreError."""
         draw = draw_of(self.me, self.founders, self.first, secrets.token_hex(4))
         image = founding(self.founders, Orders(self.apply_patch))
         stored = self.ledger.start(self.me, draw, draw == "first", image)
@@ -258,7 +258,7 @@
         known = {name: self.register.places[name] for name in self.register.alive}
         try:
             self.register = self.begin()
-        except LedgerError as e:
+        except RaftStoreError as e:
             self.log("disk-refuses", {"error": str(e)})
             self.set_timer(REVIVE)
             return
@@ -283,14 +283,14 @@
             if snapshot is not None:
                 try:
                     self.ledger.compact(snapshot)
-                except LedgerError as e:  # the longer log is as good, and the next snapshot covers it
+                except RaftStoreError as e:  # the longer log is as good, and the next snapshot covers it
                     self.log("disk-refuses", {"error": str(e)})
 
     def store(self, output: Output) -> bool:
         """Sync an output; False where the disk refuses."""
         try:
             self.ledger.save(output)
-        except LedgerError as e:
+        except RaftStoreError as e:
             if not self.disk:
                 self.log("disk-refuses", {"error": str(e)})
             self.refused, self.disk = output, str(e)
--- a/latchspoke/console/duty.py
+++ b/latchspoke/console/duty.py
@@ -59,8 +59,8 @@
 
 from latchspoke import __version__
 from latchspoke.agent.api import DutiesShown
-from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnheardError
-from latchspoke.agent.holding import Holding, over_sockets
+from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnreachableError
+from latchspoke.agent.holder_driver import HolderDriver, holder_over_sockets
 from latchspoke.agent.members import clock
 from latchspoke.console.usage import UsageError, read_duration, read_usage
 from latchspoke.duties.findings import Findings
@@ -87,7 +87,7 @@
     except UsageError as e:
         print(f"latchspoke duty: {e}", file=sys.stderr)
         return 2
-    except UnheardError as e:
+    except UnreachableError as e:
         print(f"latchspoke duty: {e}", file=sys.stderr)
         return 1
     except RefusedError as e:
@@ -133,7 +133,7 @@
         client = clients[n % len(clients)]
         try:
             return await client.call(Done, "POST", path, body)
-        except UnheardError as e:
+        except UnreachableError as e:
             # It may have been done; another member, or the same one later, knows.
             if n == tries - 1:
                 raise RefusedError(wire.Problem("unknown", f"it may have been done: {e}")) from None
@@ -199,7 +199,7 @@
     loop, ending = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ending.set)
-    async with over_sockets(who, sockets(args), read_duration(args, "--grace")) as holding:
+    async with holder_over_sockets(who, sockets(args), read_duration(args, "--grace")) as holding:
         while True:
             code = await work.look(holding, ending.is_set())
             if code is not None or (ending.is_set() and work.process is None):
@@ -227,7 +227,7 @@
         self.until = 0.0
         self.kill_at = 0.0
 
-    async def look(self, holding: Holding, ending: bool) -> int | None:
+    async def look(self, holding: HolderDriver, ending: bool) -> int | None:
         """What is due now; the command's own exit code once it has ended by itself."""
         holder, now = holding.holder, clock()
         if ending:
@@ -246,7 +246,7 @@
             return await self.begin(holding, token)
         return None
 
-    async def begin(self, holding: Holding, token: int) -> int | None:
+    async def begin(self, holding: HolderDriver, token: int) -> int | None:
         more = {"LATCHSPOKE_DUTY": self.duty, "LATCHSPOKE_TOKEN": str(token)}
         try:
             self.process = await asyncio.create_subprocess_exec(
@@ -259,7 +259,7 @@
         self.group = self.process.pid
         return None
 
-    def ended(self, holding: Holding) -> int | None:
+    def ended(self, holding: HolderDriver) -> int | None:
         """By itself, or because its duty ended: then it is begun again with the next grant."""
         assert self.process is not None
         code, asked, self.process = self.process.returncode, self.kill_at > 0, None
--- a/latchspoke/console/fleet.py
+++ b/latchspoke/console/fleet.py
@@ -71,7 +71,7 @@
 import structlog
 from rich.console import Console
 
-from latchspoke.agent.client import Fleet, FleetRecord, one_agent, read_fleet
+from latchspoke.agent.client import Fleet, FleetRecord, read_fleet, single_agent_fleet
 from latchspoke.agent.operations import Operation, Refusal, Report, resume
 from latchspoke.console import tables
 from latchspoke.console.usage import UsageError, read_duration, read_usage, read_whole
@@ -113,7 +113,7 @@
             show()
 
     async def look(self) -> FleetView:
-        return await self.fleet.look(FleetView(), time.time)
+        return await self.fleet.refresh_view(FleetView(), time.time)
 
     async def chosen(self) -> tuple[FleetView, list[Seen]]:
         view = await self.look()
@@ -198,7 +198,7 @@
     view, names = FleetView(), session.args["SELECTOR"]
     end = time.time() + read_duration(session.args, "--for") if session.args["--for"] else float("inf")
     while time.time() < end:
-        later = await session.fleet.look(view, time.time)
+        later = await session.fleet.refresh_view(view, time.time)
         fitting = {s.id for version in (view, later) for s in select(version, names)}
         for change in changes(view, later):
             if change.id in fitting:
@@ -426,7 +426,7 @@
 
 def read_record(args: dict[str, Any]) -> FleetRecord:
     if args["--socket"]:
-        return one_agent(args["--socket"])
+        return single_agent_fleet(args["--socket"])
     path = args["--fleet"] or os.environ.get(FLEET_VARIABLE)
     if not path:
         raise UsageError(f"name the fleet's file with --fleet or {FLEET_VARIABLE}, or an agent with --socket")
--- a/latchspoke/console/members.py
+++ b/latchspoke/console/members.py
@@ -30,7 +30,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnheardError
+from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnreachableError
 from latchspoke.agent.members import MembersChange, MemberStatus
 from latchspoke.console.duty import LIMIT, sockets
 from latchspoke.console.usage import UsageError, read_usage
@@ -42,7 +42,7 @@
         return 2
     try:
         return asyncio.run(run(args))
-    except (UsageError, UnheardError, RefusedError) as e:
+    except (UsageError, UnreachableError, RefusedError) as e:
         print(f"latchspoke members: {e}", file=sys.stderr)
         return 2 if isinstance(e, UsageError) else 1
 
@@ -67,7 +67,7 @@
 async def change_by_leader(clients: list[AgentClient], change: MembersChange) -> MemberStatus:
     """Whoever leads; raises what the last of them said where none does."""
     for client in clients[:-1]:
-        with contextlib.suppress(RefusedError, UnheardError):
+        with contextlib.suppress(RefusedError, UnreachableError):
             return await client.call(MemberStatus, "POST", "/v1/members", change)
     return await clients[-1].call(MemberStatus, "POST", "/v1/members", change)
 
@@ -75,7 +75,7 @@
 async def look(client: AgentClient) -> MemberStatus | str:
     try:
         return await client.call(MemberStatus, "GET", "/v1/members")
-    except (UnheardError, RefusedError) as e:
+    except (UnreachableError, RefusedError) as e:
         return str(e)
 
 
--- a/latchspoke/console/rules.py
+++ b/latchspoke/console/rules.py
@@ -54,7 +54,7 @@
 from rich.table import Table
 
 from latchspoke.agent.api import RulesShown
-from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnheardError
+from latchspoke.agent.client import AgentClient, AgentEntry, RefusedError, UnreachableError
 from latchspoke.console.duty import LIMIT, insist, moment, sockets
 from latchspoke.console.usage import UsageError, read_duration, read_usage, read_whole
 from latchspoke.records import RecordError, load
@@ -122,7 +122,7 @@
     except (UsageError, RecordError, DocumentError) as e:
         print(f"latchspoke rules: {e}", file=sys.stderr)
         return 2
-    except (UnheardError, RefusedError) as e:
+    except (UnreachableError, RefusedError) as e:
         print(f"latchspoke rules: {e}", file=sys.stderr)
         return 4 if isinstance(e, RefusedError) and e.problem.code == "unknown" else 1
 
@@ -140,7 +140,7 @@
         for client in self.clients[:-1]:
             try:
                 return await client.call(kind, method, path, body, limit=LARGE)
-            except (UnheardError, RefusedError):
+            except (UnreachableError, RefusedError):
                 continue
         return await self.clients[-1].call(kind, method, path, body, limit=LARGE)
 
@@ -309,7 +309,7 @@
         try:
             one = known(await session.summaries(), name)
             told: Holders = await session.ask(Holders, "GET", "/v1/rules/holders")
-        except (UnheardError, RefusedError):
+        except (UnreachableError, RefusedError):
             await asyncio.sleep(LOOK)
             continue
         late = [
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from latchspoke import node_process
-from latchspoke.agent.ledger import LedgerError
+from latchspoke.agent.raft_store import RaftStoreError
 from latchspoke.configstore.orders import UNCHECKED, Verdict
 from latchspoke.configstore.orders import Orders as Kept
 from latchspoke.configstore.replica import Replica
@@ -80,7 +80,7 @@
     PORT_OFFSET = CONTROL_PORT_OFFSET
 
     def build(self) -> None:
-        """Raises LedgerError."""
+        """Raises RaftStoreError."""
         s = self.settings
         self.me = self.internal_endpoint
         founders = tuple(f"{host}:{port}" for host, port in self.seed_addresses())
@@ -629,4 +629,4 @@
 
 def main(path: str | None = None) -> int:
     """Exit codes: 0 ended in order, 1 the register's store can't be used, 2 settings that can't be used."""
-    return node_process.main("controlplane", Node, path, LedgerError)
+    return node_process.main("controlplane", Node, path, RaftStoreError)
--- a/latchspoke/ctl/stores.py
+++ b/latchspoke/ctl/stores.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from latchspoke.agent.ledger import LAYOUT, Ledger, LedgerError
+from latchspoke.agent.raft_store import LAYOUT, RaftStore, RaftStoreError
 from latchspoke.configstore import copies
 from latchspoke.configstore.orders import Orders
 from latchspoke.configstore.replica import FILE
@@ -77,14 +77,14 @@
                 names = {row[0] for row in db.execute("SELECT name FROM sqlite_master WHERE type = 'table'")}
                 if not {"facts", "entries"} <= names:
                     raise StoreError(f"{path} is no register: its tables are {', '.join(sorted(names))}")
-            ledger = Ledger(copied)
-        except (sqlite3.Error, LedgerError) as e:
+            ledger = RaftStore(copied)
+        except (sqlite3.Error, RaftStoreError) as e:
             raise StoreError(f"{path} can't be used: {str(e).replace(str(copied), path.name)}") from None
         with contextlib.closing(ledger):
             try:
                 # A start on the copy reads all, and compares with the note beside it.
                 return ledger.start("nobody", "nothing", False)
-            except LedgerError as e:
+            except RaftStoreError as e:
                 raise StoreError(f"{path} can't be used: {str(e).replace(str(copied), path.name)}") from None
 
 
@@ -188,9 +188,9 @@
         raise StoreError(f"{home} holds {', '.join(there)}: move it away first")
     try:
         home.mkdir(parents=True, exist_ok=True)
-        ledger = Ledger(home / FILE)
+        ledger = RaftStore(home / FILE)
         with contextlib.closing(ledger):
             ledger.start(me, beginning.draw, True, beginning.snapshot)
-    except (OSError, LedgerError) as e:
+    except (OSError, RaftStoreError) as e:
         raise StoreError(str(e)) from None
     return beginning.snapshot
--- a/latchspoke/lab/schedules/agent.py
+++ b/latchspoke/lab/schedules/agent.py
@@ -11,20 +11,20 @@
 import sys
 import time
 
-from latchspoke.agent.ledger import Ledger
+from latchspoke.agent.raft_store import RaftStore
 from latchspoke.cli import main
 from latchspoke.consensus.member import Output
 
 SLOW = "slow"
-SAVE = Ledger.save
+SAVE = RaftStore.save
 
 
-def save(self: Ledger, output: Output) -> None:
+def save(self: RaftStore, output: Output) -> None:
     with contextlib.suppress(OSError, ValueError):
         time.sleep(float((self.path.parent / SLOW).read_text()))
     SAVE(self, output)
 
 
 if __name__ == "__main__":
-    Ledger.save = save  # type: ignore[method-assign]
+    RaftStore.save = save  # type: ignore[method-assign]
     sys.exit(main(["agent", *sys.argv[1:]]))
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -14,7 +14,7 @@
 
 from barleyhub.interface import Code
 from barleyhub.line import balancer, budget, dispatch, quota
-from latchspoke.agent.ledger import LedgerError
+from latchspoke.agent.raft_store import RaftStoreError
 from latchspoke.configstore.orders import Orders
 from latchspoke.configuration.routes import Route
 from latchspoke.controlplane import node as controlplane
@@ -166,7 +166,7 @@
 
 def says_saved(old: Any) -> Any:
     def save(self: Any, output: Any) -> None:
-        with contextlib.suppress(LedgerError):
+        with contextlib.suppress(RaftStoreError):
             old(self, output)
 
     return save
--- a/latchspoke/lab/system/machines.py
+++ b/latchspoke/lab/system/machines.py
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest import mock
 
-from latchspoke.agent.ledger import LedgerError
+from latchspoke.agent.raft_store import RaftStoreError
 from latchspoke.configstore import replica
 from latchspoke.configstore.simulation import Disk
 from latchspoke.consensus.member import Output
@@ -34,7 +34,7 @@
 
 
 class SimLedger:
-    """``Ledger`` on such a disk. Power may go right before a sync, or right after it."""
+    """``RaftStore`` on such a disk. Power may go right before a sync, or right after it."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine, self.open = machine, True
@@ -50,9 +50,9 @@
     def save(self, output: Output) -> None:
         machine = self.machine
         if machine.refuses:
-            raise LedgerError("the disk refuses")
+            raise RaftStoreError("the disk refuses")
         if machine.full and (output.entries or output.snapshot is not None):
-            raise LedgerError("database or disk is full")
+            raise RaftStoreError("database or disk is full")
         world = machine.fleet.world
         if machine.hangs_until > world.now and machine.loop is not None:
             machine.loop.busy = max(machine.loop.busy, machine.hangs_until)  # a sync stops the whole process
@@ -62,7 +62,7 @@
         if armed:
             machine.fleet.power_off(machine)
             machine.fleet.world.after(machine.down, machine.fleet.power_on, machine)
-            raise LedgerError("the machine has lost power")
+            raise RaftStoreError("the machine has lost power")
 
     def compact(self, snapshot: Snapshot) -> None:
         self.machine.disk.compact(snapshot)
@@ -440,11 +440,11 @@
     """Meanwhile registers keep their word on the emulated disks, and logs go into the record."""
     shim: Any = replica_draw
 
-    def ledger(path: Path, alone: bool = False) -> SimLedger:
+    def ledger(path: Path, exclusive: bool = False) -> SimLedger:
         return SimLedger(next(m for m in fleet.machines if fleet.home / m.name / replica.FILE == path))
 
     fakes = {
-        "Ledger": ledger,
+        "RaftStore": ledger,
         "random": shim,
         "secrets": shim,
     }
--- a/tests/agent/test_members.py
+++ b/tests/agent/test_members.py
@@ -19,9 +19,9 @@
 import pytest
 
 from latchspoke.agent.config import MembersRecord, read_agent
-from latchspoke.agent.ledger import Ledger, LedgerError, Start
-from latchspoke.agent.links import Frame, Greet, Links
 from latchspoke.agent.members import MemberDriver
+from latchspoke.agent.peer_transport import Frame, Hello, PeerTransport
+from latchspoke.agent.raft_store import RaftStore, RaftStoreError, StartRecord
 from latchspoke.consensus.member import Output
 from latchspoke.consensus.records import Entry, HardState, Kind, Members
 from latchspoke.duties.machine import NAME as DUTIES
@@ -321,42 +321,42 @@
 
 
 def test_the_ledger_gives_back_what_was_saved_and_refuses_damage(tmp_path: Path) -> None:
-    ledger = Ledger(tmp_path / "members.db")
+    ledger = RaftStore(tmp_path / "members.db")
     assert ledger.start("a1", "77", founder=True).snapshot.members == Members(("a1#77",))
     entries = tuple(Entry(n, 1, Kind.DATA, b"x") for n in range(1, 6))
     ledger.save(Output(hard_state=HardState(1, "a1#77"), first=1, entries=entries))
     ledger.save(Output(first=4, entries=(Entry(4, 2),)))
     ledger.close()
-    again = Ledger(tmp_path / "members.db")
+    again = RaftStore(tmp_path / "members.db")
     stored = again.start("a1", "88", founder=True)
     assert (stored.identity, stored.boot, stored.hard_state) == ("a1#77", 2, HardState(1, "a1#77"))
     assert [(e.index, e.term) for e in stored.entries] == [(1, 1), (2, 1), (3, 1), (4, 2)]
     again.db.execute("UPDATE entries SET body = x'00' WHERE place = 2")
-    with pytest.raises(LedgerError, match="entry 2 is damaged"):
+    with pytest.raises(RaftStoreError, match="entry 2 is damaged"):
         again.start("a1", "", founder=False)
     again.db.execute("DELETE FROM entries WHERE place = 2")
-    with pytest.raises(LedgerError, match="entry 2 is missing"):
+    with pytest.raises(RaftStoreError, match="entry 2 is missing"):
         again.start("a1", "", founder=False)
 
 
 def test_a_start_cut_short_between_note_and_file_is_no_older_copy(tmp_path: Path) -> None:
-    ledger = Ledger(tmp_path / "members.db")
+    ledger = RaftStore(tmp_path / "members.db")
     ledger.start("a1", "77", founder=False)
     ledger.start("a1", "77", founder=False)
-    ledger.write_note(Start("a1#77", 1))
+    ledger.write_note(StartRecord("a1#77", 1))
     assert ledger.start("a1", "", founder=False).boot == 3
-    ledger.write_note(Start("a1#77", 5))
-    with pytest.raises(LedgerError, match="older copy"):
+    ledger.write_note(StartRecord("a1#77", 5))
+    with pytest.raises(RaftStoreError, match="older copy"):
         ledger.start("a1", "", founder=False)
 
 
 def test_a_full_disk_refuses_and_takes_it_later(tmp_path: Path) -> None:
-    ledger = Ledger(tmp_path / "members.db")
+    ledger = RaftStore(tmp_path / "members.db")
     ledger.start("a1", "77", founder=False)
     (pages,) = ledger.db.execute("PRAGMA page_count").fetchone()
     ledger.db.execute(f"PRAGMA max_page_count = {pages}")
     large = Output(first=1, entries=(Entry(1, 1, Kind.DATA, b"x" * 100_000),))
-    with pytest.raises(LedgerError, match="full"):
+    with pytest.raises(RaftStoreError, match="full"):
         ledger.save(large)
     ledger.db.execute("PRAGMA max_page_count = 100000")
     ledger.save(large)
@@ -382,12 +382,12 @@
         port = free_port()
         broken = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", port)
         peers = {"a1": f"127.0.0.1:{port}", "a2": f"127.0.0.1:{free_port()}"}
-        silent = Links(Greet("a2", "a2#1"), peers, lambda name, frame: None)
+        silent = PeerTransport(Hello("a2", "a2#1"), peers, lambda name, frame: None)
         await asyncio.sleep(0.05)
         broken.close()
-        there = Links(Greet("a1", "a1#1"), peers, lambda name, frame: heard.put_nowait(frame))
+        there = PeerTransport(Hello("a1", "a1#1"), peers, lambda name, frame: heard.put_nowait(frame))
         await there.listen(peers["a1"])
-        assert await asyncio.wait_for(heard.get(), 10) == Greet("a2", "a2#1")
+        assert await asyncio.wait_for(heard.get(), 10) == Hello("a2", "a2#1")
         silent.stop()
         there.stop()
 
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from latchspoke.agent.ledger import Ledger, LedgerError
+from latchspoke.agent.raft_store import RaftStore, RaftStoreError
 from latchspoke.configstore.messages import Message
 from latchspoke.configstore.orders import TAKEN, UNKNOWN
 from latchspoke.configstore.register import Register
@@ -120,7 +120,7 @@
         save = leader.ledger.save
 
         def refuse(output: Output) -> None:
-            raise LedgerError("no room")
+            raise RaftStoreError("no room")
 
         monkeypatch.setattr(leader.ledger, "save", refuse)
         assert (await leader.submit(replace(1, 0))).kind == UNKNOWN
@@ -160,7 +160,7 @@
         save, term = full.ledger.save, full.register.member.term
 
         def refuse(output: Output) -> None:
-            raise LedgerError("database or disk is full")
+            raise RaftStoreError("database or disk is full")
 
         monkeypatch.setattr(full.ledger, "save", refuse)
         loop = asyncio.get_running_loop()
@@ -185,11 +185,11 @@
 
 
 def test_a_damaged_file_and_an_older_copy_are_refused_in_one_line(tmp_path: Path) -> None:
-    ledger = Ledger(tmp_path / FILE, alone=True)
+    ledger = RaftStore(tmp_path / FILE, exclusive=True)
     ledger.start("a", "x", founder=False)
     ledger.close()
     older = (tmp_path / FILE).read_bytes()
-    again = Ledger(tmp_path / FILE, alone=True)
+    again = RaftStore(tmp_path / FILE, exclusive=True)
     for _ in range(2):
         again.start("a", "y", founder=False)
     again.close()
@@ -200,7 +200,7 @@
         (b"x" * 9000, "not a database"),
     ):
         (tmp_path / FILE).write_bytes(content)
-        with pytest.raises(LedgerError, match=why) as caught:
+        with pytest.raises(RaftStoreError, match=why) as caught:
             Replica("a", NAMES, False, tmp_path, lambda *_: None, patch, lambda _: None)
         assert "\n" not in str(caught.value)
 
--- a/tests/configstore/test_store.py
+++ b/tests/configstore/test_store.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from latchspoke.agent.ledger import LAYOUT, Ledger, LedgerError
+from latchspoke.agent.raft_store import LAYOUT, RaftStore, RaftStoreError
 from latchspoke.configstore.orders import Orders, Verdict
 from latchspoke.configstore.register import Register, founding
 from latchspoke.configstore.simulation import modify, patch, replace
@@ -23,11 +23,11 @@
 MOST = 256 * 1024 * 1024  # bytes, of the disk
 
 
-def opened(folder: Path) -> tuple[Ledger, Stored]:
-    made = Ledger(folder / "register.db", alone=True)
+def opened(folder: Path) -> tuple[RaftStore, Stored]:
+    made = RaftStore(folder / "register.db", exclusive=True)
     try:
         return made, made.start(ME, "first", True, founding([ME], Orders(patch)))
-    except LedgerError:
+    except RaftStoreError:
         made.close()
         raise
 
@@ -150,7 +150,7 @@
 def test_a_harmed_or_foreign_file_is_refused_in_one_line(harm: str, tmp_path: Path) -> None:
     harmed(tmp_path, harm)
     for _ in range(2):
-        with pytest.raises(LedgerError, match=HARMS[harm][1]) as caught:
+        with pytest.raises(RaftStoreError, match=HARMS[harm][1]) as caught:
             begun(tmp_path)
         assert "\n" not in str(caught.value)
 
@@ -166,6 +166,6 @@
     harm: str, guard: str, without: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What the tests above find is what these guards keep out."""
-    monkeypatch.setattr(Ledger, guard, without)
+    monkeypatch.setattr(RaftStore, guard, without)
     harmed(tmp_path, harm)
     assert begun(tmp_path).entries
