--- a/latchspoke/agent/api.py
+++ b/latchspoke/agent/api.py
@@ -230,7 +230,7 @@
     async def content(self, request: web.Request) -> web.Response:
         """From what this member itself holds: its digest tells the asker whether it is right."""
         asked = await self.read(request, FetchRules)
-        found: Content | None = self.driver().office.rules.content(asked)
+        found: Content | None = self.driver().replica.rules.content(asked)
         if found is None:
             raise RefusalError(404, "no-content", f"{asked.name} {asked.version} is not here")
         return answer(found)
@@ -272,12 +272,12 @@
             wait = min(float(request.query.get("wait", "0")), WAIT_MOST)
         except ValueError:
             raise RefusalError(400, "bad-request", "after and wait are numbers") from None
-        news = self.supervisor.news
-        store = self.supervisor.write()
+        events_changed = self.supervisor.events_changed
+        store = self.supervisor.require_operations_store()
         events = store.events(after, EVENTS_MOST)
         if not events and wait > 0:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(news.wait(), wait)
+                await asyncio.wait_for(events_changed.wait(), wait)
             events = store.events(after, EVENTS_MOST)
         revision = events[-1].revision if events else max(after, self.supervisor.revision)
         return answer(wire.Events(events, revision))
--- a/latchspoke/agent/holder_driver.py
+++ b/latchspoke/agent/holder_driver.py
@@ -1,4 +1,4 @@
-"""A holder of duties as part of a process: it beats; its caller asks for the token before each act."""
+"""Holds duties for a process: sends heartbeats, and gives out fencing tokens for what it currently holds."""
 
 from __future__ import annotations
 
@@ -11,21 +11,23 @@
 from latchspoke.duties.holder import Holder
 from latchspoke.duties.records import Answer, Beat, Candidate
 
-LIMIT = 1.5  # s for one beat; the next member is asked after it
+HEARTBEAT_TIMEOUT_S = 1.5  # for one member; the next heartbeat goes to another one
 
-Ask = Callable[[Beat, int], Awaitable[Answer | None]]  # the beat, and the place of whom to ask
+SendHeartbeat = Callable[
+    [Beat, int], Awaitable[Answer | None]
+]  # arguments: the heartbeat, the index of the member
 
 
 class HolderDriver:
-    """Use ``async with``. Beats go on from a task of their own; nobody waits for them."""
+    """A holder of duties; use ``async with``. A task of its own sends the heartbeats."""
 
-    def __init__(self, who: Candidate, ask: Ask, stop: float = 0.0) -> None:
-        self.holder, self.ask = Holder(who, stop), ask
+    def __init__(self, candidate: Candidate, ask: SendHeartbeat, stop: float = 0.0) -> None:
+        self.holder, self.ask = Holder(candidate, stop), ask
         self.task: asyncio.Task[None] | None = None
-        self.heard_at = 0.0
+        self.answered_at = 0.0
 
     async def __aenter__(self) -> HolderDriver:
-        self.task = asyncio.get_running_loop().create_task(self.work())
+        self.task = asyncio.get_running_loop().create_task(self.run())
         return self
 
     async def __aexit__(self, *exc: object) -> None:
@@ -35,49 +37,49 @@
                 await self.task
 
     def token(self, duty: str) -> int | None:
-        """For an act that begins now."""
+        """The fencing token for an action that begins now, or None if the duty is not held."""
         return self.holder.token(duty, clock())
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         while True:
             began = clock()
-            await self.beat()
+            await self.send_heartbeat()
             await asyncio.sleep(max(self.holder.beat_every - (clock() - began), 0.02))
 
-    async def beat(self) -> bool:
-        """Whether it was answered."""
-        beat: Beat = self.holder.beat(clock())
-        answer = await self.ask(beat, self.holder.place)
+    async def send_heartbeat(self) -> bool:
+        """Send one heartbeat; returns whether it was answered."""
+        heartbeat: Beat = self.holder.beat(clock())
+        answer = await self.ask(heartbeat, self.holder.place)
         if answer is None:
             return False
-        self.heard_at = clock()
-        self.holder.answered(answer, self.heard_at)
+        self.answered_at = clock()
+        self.holder.answered(answer, self.answered_at)
         return True
 
-    async def tell(self, tries: int = 10) -> None:
-        """What was stopped is told until the members know it, or so often."""
-        for _ in range(tries):
+    async def report_stopped(self, attempts: int = 10) -> None:
+        """Send heartbeats until the members know which duties have stopped, at most ``attempts`` times."""
+        for _ in range(attempts):
             if not self.holder.untold:
                 return
-            await self.beat()
+            await self.send_heartbeat()
             await asyncio.sleep(0.05)
 
 
 @contextlib.asynccontextmanager
 async def holder_over_sockets(
-    who: Candidate, sockets: Iterable[str], stop: float = 0.0
+    candidate: Candidate, sockets: Iterable[str], stop: float = 0.0
 ) -> AsyncIterator[HolderDriver]:
-    """A holder that asks whichever of these agents answers."""
-    clients = [AgentClient(path, AgentEntry(path), LIMIT, None) for path in sockets]
+    """A holder that sends its heartbeats to whichever of these agents answers."""
+    clients = [AgentClient(path, AgentEntry(path), HEARTBEAT_TIMEOUT_S, None) for path in sockets]
 
-    async def ask(beat: Beat, place: int) -> Answer | None:
+    async def ask(heartbeat: Beat, index: int) -> Answer | None:
         try:
-            return await clients[place % len(clients)].call(Answer, "POST", "/v1/duties/beat", beat)
+            return await clients[index % len(clients)].call(Answer, "POST", "/v1/duties/beat", heartbeat)
         except (UnreachableError, RefusedError):
             return None
 
     try:
-        async with HolderDriver(who, ask, stop) as holding:
-            yield holding
+        async with HolderDriver(candidate, ask, stop) as driver:
+            yield driver
     finally:
         await asyncio.gather(*(client.close() for client in clients))
--- a/latchspoke/agent/members.py
+++ b/latchspoke/agent/members.py
@@ -1,7 +1,8 @@
-"""Drives a member of the replicated log on sockets, with its ledger, in the order that ``Office`` asks for.
+"""Runs one member of the replicated log on sockets, with its on-disk store.
 
-Inputs gather while the disk works and are taken together, so that a busy group syncs once for many. While the
-disk refuses, nothing that relies on it is said, and what comes is dropped; the member is back by itself.
+Inputs that arrive during a disk sync are processed together, so that one sync serves many of them. While the
+disk refuses writes, the member sends nothing that depends on them and drops its inputs; it resumes by itself
+once a write succeeds.
 """
 
 from __future__ import annotations
@@ -39,13 +40,13 @@
 
 log = structlog.get_logger("agent.members")
 
-TICK = 0.05  # s between looks at what is due by the time alone
-RETRY = 0.5  # s until a write that the disk refused is tried again
-LIMIT = 2.0  # s; a question without a reply by then has none
+TICK_INTERVAL_S = 0.05
+DISK_RETRY_S = 0.5
+REPLY_TIMEOUT_S = 2.0
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """A member as it sees itself; ``leader`` is '' where it knows of none."""
+    """A member's own state; ``leader`` is '' if it knows of none."""
 
     identity: str
     role: str
@@ -56,102 +57,102 @@
     commit: int
     last: int
     mute: bool
-    disk: str = ""  # why it can't write, if so
+    disk: str = ""  # the error while writes fail
     counters: dict[str, int] = {}
 
 
 class MembersChange(msgspec.Struct, frozen=True):
-    """By name; one of the two."""
+    """A change of the membership; exactly one of the two is the name of an agent."""
 
     add: str = ""
     remove: str = ""
 
 
 def clock() -> float:
-    """Goes on while the machine sleeps, which the ordinary monotonic clock does not."""
+    """Monotonic seconds that also count while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class MemberDriver:
-    """One member as part of a process."""
+    """One member of the replicated log as part of a process."""
 
     def __init__(self, name: str, record: MembersRecord, home: Path, tls: TlsRecord | None = None) -> None:
         """Raises LedgerError, KeysError."""
         self.name, self.record = name, record
-        trust = PeerTls(tls) if record.tls and tls is not None else None
-        self.ledger = RaftStore(home / "members.db")
-        stored = self.ledger.start(name, secrets.token_hex(4), record.first)
+        peer_tls = PeerTls(tls) if record.tls and tls is not None else None
+        self.raft_store = RaftStore(home / "members.db")
+        stored = self.raft_store.start(name, secrets.token_hex(4), record.first)
         timing = Timing(record.beat, record.election)
-        self.office = Office(Member(stored, timing, random.Random(), clock()), record.drift)
+        self.replica = Office(Member(stored, timing, random.Random(), clock()), record.drift)
         self.inputs: deque[Callable[[float], None]] = deque()
-        self.news = asyncio.Event()
-        self.replies: dict[int, Callable[[Reply], None]] = {}
+        self.input_ready = asyncio.Event()
+        self.pending_replies: dict[int, Callable[[Reply], None]] = {}
         self.forwarded: dict[int, asyncio.Future[Reply]] = {}
-        self.number = first_request_id(secrets.token_hex(8))
-        self.known: dict[str, str] = {}  # identities that have greeted, by name
-        self.disk = ""
+        self.last_number = first_request_id(secrets.token_hex(8))
+        self.known_identities: dict[str, str] = {}  # by name, from the hello frames received
+        self.disk_error = ""
         self.counters: Counter[str] = Counter()
-        self.links = PeerTransport(Hello(name, stored.identity), record.peers, self.heard, trust)
+        self.transport = PeerTransport(Hello(name, stored.identity), record.peers, self.on_frame, peer_tls)
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Raises OSError."""
-        await self.links.listen(self.record.peers[self.name])
-        self.task = asyncio.get_running_loop().create_task(self.work())
+        await self.transport.listen(self.record.peers[self.name])
+        self.task = asyncio.get_running_loop().create_task(self.run())
 
     async def stop(self) -> None:
-        """A leader hands over first, so that nobody waits for an election."""
-        if self.office.member.role is Role.LEADER:
-            self.give(self.hand_over)
-            await asyncio.sleep(2 * TICK)
+        """Stop the member; a leader transfers its leadership first, to avoid an election timeout."""
+        if self.replica.member.role is Role.LEADER:
+            self.enqueue(self.hand_over)
+            await asyncio.sleep(2 * TICK_INTERVAL_S)
         if self.task is not None:
             self.task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self.task
-        self.links.stop()
-        self.ledger.close()
+        self.transport.stop()
+        self.raft_store.close()
 
     def hand_over(self, now: float) -> None:
         with contextlib.suppress(NotLeaderError):
-            self.office.member.hand_over(now)
+            self.replica.member.hand_over(now)
 
-    # What comes.
+    # Inputs.
 
-    def give(self, call: Callable[[float], None]) -> None:
-        self.inputs.append(call)
-        self.news.set()
+    def enqueue(self, handle: Callable[[float], None]) -> None:
+        self.inputs.append(handle)
+        self.input_ready.set()
 
-    def heard(self, name: str, frame: Frame) -> None:
+    def on_frame(self, name: str, frame: Frame) -> None:
         match frame:
             case Hello(_, identity):
-                self.known[name] = identity
+                self.known_identities[name] = identity
             case ConsensusMessage(data):
                 message = records.decode(data)
-                self.give(lambda now: self.office.member.receive(message, now))
+                self.enqueue(lambda now: self.replica.member.receive(message, now))
             case AskFrame(number):
-                self.put(frame, lambda reply: self.links.send(name, to_frame(number, reply)))
+                self.submit(frame, lambda reply: self.transport.send(name, to_frame(number, reply)))
             case ReplyFrame(number):
                 future = self.forwarded.pop(number, None)
                 if future is not None and not future.done():
                     future.set_result(from_frame(frame))
 
-    def put(self, asked: AskFrame, back: Callable[[Reply], None]) -> None:
-        self.number += 1
-        number, office = self.number, self.office
-        self.replies[number] = back
-        beat, put, look, question = asked.beat, asked.put, asked.look, asked.question
+    def submit(self, request: AskFrame, reply_to: Callable[[Reply], None]) -> None:
+        self.last_number += 1
+        number, replica = self.last_number, self.replica
+        self.pending_replies[number] = reply_to
+        beat, put, look, question = request.beat, request.put, request.look, request.question
         if beat is not None:
             self.counters["beats"] += 1
-            self.give(lambda now: office.beat(number, beat, now))
+            self.enqueue(lambda now: replica.beat(number, beat, now))
         elif question is not None:
             self.counters["questions"] += 1
-            self.give(lambda now: office.question(number, question, now))
+            self.enqueue(lambda now: replica.question(number, question, now))
         elif put is not None:
             self.counters["commands"] += 1
-            self.give(lambda now: office.put(number, put, now))
+            self.enqueue(lambda now: replica.put(number, put, now))
         elif look is not None:
             self.counters["looks"] += 1
-            self.give(lambda now: office.look(number, look, now))
+            self.enqueue(lambda now: replica.look(number, look, now))
 
     async def ask(
         self,
@@ -160,48 +161,51 @@
         look: Look | None = None,
         question: RulesQuestion | None = None,
     ) -> Reply:
-        """Here, or of the leader by way of here. No reply in time is ``Refused``, and a command under way."""
-        asked = AskFrame(0, beat, put, look, question)
-        none = Refused("", under_way=put is not None)
-        if self.office.member.role is Role.HALTED:
+        """Ask this member, or the leader through it.
+
+        ``Refused`` after the timeout; for a command the outcome is then unknown (``under_way``).
+        """
+        request = AskFrame(0, beat, put, look, question)
+        no_reply = Refused("", under_way=put is not None)
+        if self.replica.member.role is Role.HALTED:
             return Refused("")
         loop = asyncio.get_running_loop()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 future: asyncio.Future[Reply] = loop.create_future()
-                self.put(asked, lambda reply: None if future.done() else future.set_result(reply))
+                self.submit(request, lambda reply: None if future.done() else future.set_result(reply))
                 reply = await future
-                if not isinstance(reply, Refused) or reply.leader in ("", self.office.member.identity):
+                if not isinstance(reply, Refused) or reply.leader in ("", self.replica.member.identity):
                     return reply
-                self.number += 1
-                number, future = self.number, loop.create_future()
+                self.last_number += 1
+                number, future = self.last_number, loop.create_future()
                 self.forwarded[number] = future
                 try:
-                    to = name_of(reply.leader)
-                    self.links.send(to, msgspec.structs.replace(asked, number=number))
+                    leader_name = name_of(reply.leader)
+                    self.transport.send(leader_name, msgspec.structs.replace(request, number=number))
                     return await future
                 finally:
                     self.forwarded.pop(number, None)
-        return none
+        return no_reply
 
     async def change(self, add: str = "", remove: str = "") -> str:
-        """By name, on the leader; '' where it is under way, else why not."""
+        """Propose a membership change, by name, on the leader; returns '' or the reason for refusal."""
         future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        self.give(lambda now: future.set_result(self.alter(add, remove, now)))
+        self.enqueue(lambda now: future.set_result(self.apply_change(add, remove, now)))
         return await future
 
-    def alter(self, add: str, remove: str, now: float) -> str:
-        member = self.office.member
-        old = member.members
-        if add and add not in self.known:
-            return f"{add} has not been heard here"
-        if remove and not any(name_of(identity) == remove for identity in old.all):
-            return f"{remove} is no member"
-        voters = tuple(n for n in old.voters if name_of(n) != remove)
-        learners = tuple(n for n in old.learners if name_of(n) != remove)
-        former = tuple(sorted({*old.former, remove} - {add, ""}))
-        if add and self.known[add] not in old.all:
-            learners += (self.known[add],)
+    def apply_change(self, add: str, remove: str, now: float) -> str:
+        member = self.replica.member
+        current = member.members
+        if add and add not in self.known_identities:
+            return f"{add} has not connected to this member"
+        if remove and not any(name_of(identity) == remove for identity in current.all):
+            return f"{remove} is not a member"
+        voters = tuple(n for n in current.voters if name_of(n) != remove)
+        learners = tuple(n for n in current.learners if name_of(n) != remove)
+        former = tuple(sorted({*current.former, remove} - {add, ""}))
+        if add and self.known_identities[add] not in current.all:
+            learners += (self.known_identities[add],)
         try:
             member.change(Members(voters, learners, former), now)
         except (ChangeError, NotLeaderError) as e:
@@ -209,107 +213,107 @@
         return ""
 
     def status(self) -> MemberStatus:
-        member = self.office.member
+        member = self.replica.member
         return MemberStatus(
             member.identity, member.role.value, member.term, member.leader, member.members.voters,
-            member.members.learners, member.commit, member.log.last, member.mute, self.disk,
+            member.members.learners, member.commit, member.log.last, member.mute, self.disk_error,
             dict(sorted(self.counters.items())),
         )  # fmt: skip
 
-    # What is done.
+    # Processing.
 
-    async def work(self) -> None:
-        """A fault of the program ends this member, for all to see: it must not go on half right."""
+    async def run(self) -> None:
+        """Process inputs; an unexpected exception halts this member, visibly in its status."""
         try:
-            await self.go_on()
+            await self.process_inputs()
         except Exception as e:
-            self.disk = f"failed: {e!r}"
-            log.exception("member-failed", member=self.office.member.identity)
-            self.office.member.role = Role.HALTED
-            self.links.stop()
-            self.refuse()
-
-    def refuse(self) -> None:
-        """Nothing is known of what waits here."""
-        replies, self.replies = self.replies, {}
-        for back in replies.values():
-            back(Refused("", under_way=True))
-
-    async def go_on(self) -> None:
+            self.disk_error = f"failed: {e!r}"
+            log.exception("member-failed", member=self.replica.member.identity)
+            self.replica.member.role = Role.HALTED
+            self.transport.stop()
+            self.fail_pending()
+
+    def fail_pending(self) -> None:
+        """Answer all pending requests as refused with an unknown outcome."""
+        pending, self.pending_replies = self.pending_replies, {}
+        for reply_to in pending.values():
+            reply_to(Refused("", under_way=True))
+
+    async def process_inputs(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK):
-                    await self.news.wait()
-            self.news.clear()
+                async with asyncio.timeout(TICK_INTERVAL_S):
+                    await self.input_ready.wait()
+            self.input_ready.clear()
             now = clock()
             while self.inputs:
                 self.inputs.popleft()(now)
-            self.office.tick(now)
-            self.welcome(now)
-            await self.turn()
+            self.replica.tick(now)
+            self.add_known_members(now)
+            await self.process_outputs()
 
-    async def turn(self) -> None:
-        while (output := self.office.take()) is not None:
+    async def process_outputs(self) -> None:
+        while (output := self.replica.take()) is not None:
             if output.to_store:
-                await self.store(output)
+                await self.persist(output)
             for note in output.notes:
-                self.tell(note.code, note.detail)
+                self.record_note(note.code, note.detail)
             for message in output.messages:
-                self.links.send(name_of(message.target), ConsensusMessage(records.encode(message)))
+                self.transport.send(name_of(message.target), ConsensusMessage(records.encode(message)))
             self.counters["messages"] += len(output.messages)
             self.counters["entries"] += len(output.committed)
-            self.office.apply(output, clock())
-            for notes in (self.office.duties.notes, self.office.rules.notes):
+            self.replica.apply(output, clock())
+            for notes in (self.replica.duties.notes, self.replica.rules.notes):
                 while notes:
-                    self.tell(*notes.popleft())
-            snapshot = self.office.compacted()
+                    self.record_note(*notes.popleft())
+            snapshot = self.replica.compacted()
             if snapshot is not None:
-                with contextlib.suppress(RaftStoreError):  # the longer log is as good, and it is tried again
-                    await asyncio.to_thread(self.ledger.compact, snapshot)
-        answers, self.office.answers = self.office.answers, []
+                with contextlib.suppress(RaftStoreError):  # compaction is tried again later
+                    await asyncio.to_thread(self.raft_store.compact, snapshot)
+        answers, self.replica.answers = self.replica.answers, []
         for number, reply in answers:
-            back = self.replies.pop(number, None)
+            reply_to = self.pending_replies.pop(number, None)
             self.counters["refused"] += isinstance(reply, Refused)
-            if back is not None:
-                back(reply)
+            if reply_to is not None:
+                reply_to(reply)
 
-    def tell(self, code: str, detail: str) -> None:
-        """Elections, grants, ends, refusals: each has its code, and is counted by it."""
+    def record_note(self, code: str, detail: str) -> None:
+        """Count and log a note such as an election, a grant or a refusal."""
         self.counters[f"note.{code}"] += 1
-        log.info(code, member=self.office.member.identity, detail=detail)
+        log.info(code, member=self.replica.member.identity, detail=detail)
 
-    async def store(self, output: Output) -> None:
-        """Synced when it returns, however long that takes."""
+    async def persist(self, output: Output) -> None:
+        """Write and sync ``output``, and retry until that succeeds."""
         while True:
             try:
                 began = clock()
-                await asyncio.to_thread(self.ledger.save, output)
+                await asyncio.to_thread(self.raft_store.save, output)
             except RaftStoreError as e:
                 self.counters["disk.refused"] += 1
-                if not self.disk:
+                if not self.disk_error:
                     log.error("disk", error=str(e))
-                self.disk = str(e)
+                self.disk_error = str(e)
                 self.inputs.clear()
-                self.refuse()
-                await asyncio.sleep(RETRY)
+                self.fail_pending()
+                await asyncio.sleep(DISK_RETRY_S)
                 continue
-            if self.disk:
+            if self.disk_error:
                 log.info("disk-back")
-                self.disk = ""
+                self.disk_error = ""
             self.counters["disk.syncs"] += 1
             self.counters["disk.slow"] += clock() - began > self.record.election / 2
             return
 
-    def welcome(self, now: float) -> None:
-        """Whom the settings name is taken in as soon as it is heard, unless a person has taken it out."""
-        member = self.office.member
-        if not self.office.leads or member.log.members_index() > member.commit:
+    def add_known_members(self, now: float) -> None:
+        """As the leader, add a configured agent once it has said hello, unless an operator removed it."""
+        member = self.replica.member
+        if not self.replica.leads or member.log.members_index() > member.commit:
             return
         members = member.members
         names = {name_of(identity) for identity in members.all} | set(members.former)
-        for name in self.known:
+        for name in self.known_identities:
             if name not in names:
-                self.alter(name, "", now)
+                self.apply_change(name, "", now)
                 return
 
 
--- a/latchspoke/agent/operations.py
+++ b/latchspoke/agent/operations.py
@@ -1,9 +1,8 @@
 """Carries out an operation over many agents, from its plan to its report.
 
-Nothing is kept here alone: the plan is with every agent that it touches before the first step, each step
-is recorded by its agent before it is done, and what is to come follows from those records and the state of
-the fleet. So another tool can go on at any moment (``resume``), and a step that was begun is never begun
-again: an agent asked twice for one step answers how it stands.
+All state is kept by the agents: each agent involved stores the plan before the first step, and records a step
+before carrying it out. The next step follows from these records and the state of the fleet, so another tool
+can resume the operation at any time. Steps are idempotent: a repeated request returns the step's state.
 """
 
 from __future__ import annotations
@@ -24,14 +23,14 @@
 
 log = structlog.get_logger("operation")
 
-TTL = 20.0  # s; a tool that dies holds up others no longer than this
-RENEW_PART = 0.25  # of that; then they are renewed
-LOOK = 0.2  # s between looks while steps are under way
-STANDS = {"doing": Stand.DOING, "done": Stand.DONE, "failed": Stand.FAILED}
+CLAIM_TTL_S = 20.0  # for so long a tool that has died blocks others
+RENEW_FRACTION = 0.25  # of a claim's lifetime; then it is renewed
+POLL_INTERVAL_S = 0.2
+STEP_STATES = {"doing": Stand.DOING, "done": Stand.DONE, "failed": Stand.FAILED}
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What became of one instance: ``done``, ``failed``, ``unknown`` or ``not begun``."""
+    """The outcome for one instance: ``done``, ``failed``, ``unknown`` or ``not begun``."""
 
     id: str
     outcome: str
@@ -44,7 +43,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Exactly what happened. ``state`` is done, stopped, refused or interrupted."""
+    """The result of an operation. ``state`` is done, stopped, refused or interrupted."""
 
     operation: str
     action: str
@@ -54,7 +53,7 @@
     took: float
 
     def exit_code(self) -> int:
-        """0 all done, 1 refused or not begun, 3 some failed, 4 some unknown (which outweighs failed)."""
+        """0: all done, 1: refused or not begun, 3: some failed, 4: some unknown (takes precedence over 3)."""
         outcomes = {item.outcome for item in self.instances}
         if self.state == "refused":
             return 1
@@ -65,17 +64,17 @@
         return 0 if outcomes <= {"done"} and self.state == "done" else 1
 
 
-class Refusal(Exception):  # noqa: N818  (an outcome that is told, not a fault)
-    """The operation was not begun, or can't go on; one line says why."""
+class Refusal(Exception):  # noqa: N818  (an outcome, not an error)
+    """The operation was not begun, or can't continue; the message is one line with the reason."""
 
 
-def agent_of(ident: str) -> tuple[str, str]:
+def split_id(ident: str) -> tuple[str, str]:
     agent, _, name = ident.partition("/")
     return agent, name
 
 
 class Operation:
-    """One operation in the hands of this tool."""
+    """One operation as carried out by this process."""
 
     def __init__(
         self,
@@ -87,43 +86,45 @@
         fence: Callable[[], dict[str, int]] = dict,
         ttl: float | None = None,
     ) -> None:
-        """``ttl``: s that its claims last. ``fence`` gives the token of the duty under which this runs, at
-        each act; it raises Refusal once that is lost.
+        """``ttl`` is the lifetime of its claims in seconds.
+
+        ``fence`` is called before each action and returns the fencing token of the duty under which the
+        operation runs; it raises Refusal if the duty was lost.
         """
-        self.fence, self.ttl = fence, TTL if ttl is None else ttl
-        self.personal = True  # an end from outside is a person's word
+        self.fence, self.ttl = fence, CLAIM_TTL_S if ttl is None else ttl
+        self.interactive = True  # run by a person: cancellation closes the operation as interrupted
         self.fleet, self.plan, self.view, self.clock = fleet, plan, view, clock
         self.on_progress = on_progress
         self.steps: dict[str, StepSeen] = {}
-        self.infos: dict[str, wire.StepInfo] = {}
-        self.tokens: dict[str, dict[str, int]] = {}  # by agent, by instance
-        self.short_since: float | None = None
-        self.began = clock()
-        self.fresh = True  # nothing of it has been begun, by this tool or another
+        self.step_infos: dict[str, wire.StepInfo] = {}
+        self.tokens: dict[str, dict[str, int]] = {}  # by agent, then by instance
+        self.unavailable_since: float | None = None
+        self.started_at = clock()
+        self.not_begun = True  # by this process or an earlier one
         self.log = log.bind(operation=plan.id, action=plan.action)
         self.targets: dict[str, list[str]] = {}
         for ident in [ident for wave in plan.waves for ident in wave]:
-            agent, name = agent_of(ident)
+            agent, name = split_id(ident)
             self.targets.setdefault(agent, []).append(name)
 
     async def run(self) -> Report:
-        """From the plan to the report; also when interrupted, what is under way is told as it stands."""
+        """Run the operation; the report is made in any case, also when interrupted."""
         renewing: asyncio.Task[None] | None = None
         try:
             await self.put_plan()
             await self.claim_all()
-            renewing = asyncio.get_running_loop().create_task(self.renew_always())
-            move = await self.go_on()
+            renewing = asyncio.get_running_loop().create_task(self.renew_loop())
+            move = await self.run_steps()
         except Refusal as e:
-            # What was begun stays open: whoever holds it, or resumes it, goes on.
-            await (self.close("abandoned", str(e)) if self.fresh else self.give_back())
+            # An operation that was begun stays open, to be continued or resumed by another process.
+            await (self.close("abandoned", str(e)) if self.not_begun else self.release_claims())
             return self.report("refused", str(e))
         except asyncio.CancelledError:
-            # A person's word: nobody goes on with it but by another one. Else it stays open for the next.
+            # Interrupted by a person, it is resumed on request only; otherwise the next holder continues it.
             await asyncio.shield(
-                self.close("interrupted", "by its operator") if self.personal else self.give_back()
+                self.close("interrupted", "by its operator") if self.interactive else self.release_claims()
             )
-            return self.report("interrupted", f"go on with: latchspoke fleet resume {self.plan.id}")
+            return self.report("interrupted", f"resume with: latchspoke fleet resume {self.plan.id}")
         finally:
             if renewing is not None:
                 renewing.cancel()
@@ -131,75 +132,75 @@
         await self.close(state, detail)
         return self.report(state, detail)
 
-    # Before the first step.
+    # Preparation.
 
     async def put_plan(self) -> None:
-        """All agents that it touches know the plan before anything is done."""
-        told = await self.fleet.ask(lambda client: client.put_operation(self.plan), self.targets)
-        for agent, answer in told.items():
+        """Store the plan with all agents involved."""
+        answers = await self.fleet.ask(lambda client: client.put_operation(self.plan), self.targets)
+        for agent, answer in answers.items():
             if isinstance(answer, wire.OperationStatus):
                 if answer.state != "open":
                     raise Refusal(f"operation {self.plan.id} is {answer.state} at agent {agent}")
-                self.take(agent, answer)
+                self.apply_status(agent, answer)
             else:
-                raise Refusal(f"{self.before()}: {answer}")
+                raise Refusal(f"{self.refusal_prefix()}: {answer}")
 
     async def claim_all(self) -> None:
-        """Agent after agent in one order; whoever refuses ends it, and what was taken is given back."""
+        """Claim the instances agent by agent, in a fixed order; the first refusal ends the operation."""
         for agent in sorted(self.targets):
             try:
                 await self.claim(agent)
             except (RefusedError, UnreachableError) as e:
-                raise Refusal(f"{self.before()}: {e}") from None
-        self.fresh = False
+                raise Refusal(f"{self.refusal_prefix()}: {e}") from None
+        self.not_begun = False
 
-    def before(self) -> str:
-        return "nothing was begun" if self.fresh else "can't go on"
+    def refusal_prefix(self) -> str:
+        return "nothing was begun" if self.not_begun else "can't continue"
 
     async def claim(self, agent: str) -> None:
         client = self.fleet.clients[agent]
         self.tokens[agent] = await client.claim(self.targets[agent], self.plan.id, self.ttl, self.fence())
 
-    async def renew_always(self) -> None:
+    async def renew_loop(self) -> None:
         while True:
-            await asyncio.sleep(RENEW_PART * self.ttl)
+            await asyncio.sleep(RENEW_FRACTION * self.ttl)
             with contextlib.suppress(Refusal):
                 self.fence()
-                await self.renew()
+                await self.renew_claims()
 
-    async def renew(self) -> None:
+    async def renew_claims(self) -> None:
         await self.fleet.ask(lambda client: client.renew(self.tokens[client.name], self.ttl), self.tokens)
 
-    async def give_back(self) -> None:
+    async def release_claims(self) -> None:
         await self.fleet.ask(lambda client: client.release(self.tokens[client.name]), self.tokens)
 
     async def close(self, state: str, detail: str) -> None:
-        """Agents that are not heard keep it open; their claims end by themselves."""
-        await self.give_back()
+        """Release the claims and close the operation; unreachable agents keep it open until resumed."""
+        await self.release_claims()
         await self.fleet.ask(lambda c: c.close_operation(self.plan.id, state, detail), self.targets)
         self.log.info("closed", state=state, detail=detail)
 
-    # Step by step.
+    # Steps.
 
-    async def go_on(self) -> Stop | Done:
+    async def run_steps(self) -> Stop | Done:
         while True:
             await self.refresh()
             now = self.clock()
-            move = next_move(self.plan, self.steps, self.available(), now, self.short_since)
+            move = next_move(self.plan, self.steps, self.available(), now, self.unavailable_since)
             self.on_progress(self, move)
-            self.short_since = self.still_short(move, now)
+            self.unavailable_since = self.update_unavailable_since(move, now)
             match move:
                 case Act(names):
-                    await self.begin(names)
+                    await self.begin_steps(names)
                 case Wait():
-                    await asyncio.sleep(LOOK)
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 case Stop() | Done():
                     return move
 
-    def still_short(self, move: Move, now: float) -> float | None:
-        """Since when too few have been available with nothing under way that could change it."""
+    def update_unavailable_since(self, move: Move, now: float) -> float | None:
+        """Since when too few instances have been available, with no step under way that could change that."""
         if isinstance(move, Wait) and "must be left" in move.why:
-            return self.short_since if self.short_since is not None else now
+            return self.unavailable_since if self.unavailable_since is not None else now
         return None
 
     def available(self) -> dict[str, bool]:
@@ -207,57 +208,57 @@
         return {ident: ident in seen and seen[ident].available for ident in self.plan.members}
 
     async def refresh(self) -> None:
-        """The fleet, and how the steps stand by their agents' records."""
+        """Update the view of the fleet and the state of the steps from the agents' records."""
         self.view = await self.fleet.refresh_view(self.view, self.clock)
-        told = await self.fleet.ask(lambda client: client.operation(self.plan.id), self.targets)
-        for agent, answer in told.items():
+        answers = await self.fleet.ask(lambda client: client.operation(self.plan.id), self.targets)
+        for agent, answer in answers.items():
             if isinstance(answer, wire.OperationStatus):
-                self.take(agent, answer)
+                self.apply_status(agent, answer)
             else:
-                self.lose(agent, str(answer))
+                self.mark_unknown(agent, str(answer))
 
-    def take(self, agent: str, told: wire.OperationStatus) -> None:
-        known = {info.instance: info for info in told.steps}
+    def apply_status(self, agent: str, status: wire.OperationStatus) -> None:
+        known = {info.instance: info for info in status.steps}
         for name in self.targets[agent]:
             ident = f"{agent}/{name}"
             info = known.get(name)
             if info is not None:
-                self.infos[ident] = info
-                self.set(ident, STANDS[info.state], info.ended_at or info.since, info.detail)
+                self.step_infos[ident] = info
+                self.set_step(ident, STEP_STATES[info.state], info.ended_at or info.since, info.detail)
             elif ident in self.steps and self.steps[ident].stand is Stand.UNKNOWN:
-                # It was asked for, and the agent's record says that it was never begun.
+                # The request failed, and the agent's record shows that the step was never begun.
                 del self.steps[ident]
 
-    def lose(self, agent: str, why: str) -> None:
-        """Steps that were under way there, or may be, are unknown from now on; those over are over."""
+    def mark_unknown(self, agent: str, why: str) -> None:
+        """Mark the steps under way at an unreachable agent as unknown; finished ones stay as they are."""
         for name in self.targets[agent]:
             ident = f"{agent}/{name}"
             if self.steps.get(ident, StepSeen()).stand is Stand.DOING:
-                self.set(ident, Stand.UNKNOWN, self.clock(), why)
+                self.set_step(ident, Stand.UNKNOWN, self.clock(), why)
 
-    def set(self, ident: str, stand: Stand, at: float, detail: str) -> None:
+    def set_step(self, ident: str, stand: Stand, at: float, detail: str) -> None:
         old = self.steps.get(ident)
         if old is None or (old.stand, old.detail) != (stand, detail):
             self.steps[ident] = StepSeen(stand, at, detail)
             self.log.info("step", instance=ident, stand=stand.value, detail=detail)
 
-    async def begin(self, names: tuple[str, ...]) -> None:
-        """Ask for the steps side by side. One whose agent did not answer may have been begun."""
-        await asyncio.gather(*(self.begin_one(ident) for ident in names))
+    async def begin_steps(self, names: tuple[str, ...]) -> None:
+        """Request steps concurrently. A step whose agent did not answer may have been begun."""
+        await asyncio.gather(*(self.begin_step(ident) for ident in names))
 
-    async def begin_one(self, ident: str) -> None:
-        agent, name = agent_of(ident)
+    async def begin_step(self, ident: str) -> None:
+        agent, name = split_id(ident)
         try:
-            info = await self.ask_step(agent, name)
+            info = await self.request_step(agent, name)
         except UnreachableError as e:
-            self.set(ident, Stand.UNKNOWN, self.clock(), str(e))
+            self.set_step(ident, Stand.UNKNOWN, self.clock(), str(e))
         except RefusedError as e:
-            self.set(ident, Stand.FAILED, self.clock(), str(e))
+            self.set_step(ident, Stand.FAILED, self.clock(), str(e))
         else:
-            self.infos[ident] = info
-            self.set(ident, STANDS[info.state], info.ended_at or info.since, info.detail)
+            self.step_infos[ident] = info
+            self.set_step(ident, STEP_STATES[info.state], info.ended_at or info.since, info.detail)
 
-    async def ask_step(self, agent: str, name: str) -> wire.StepInfo:
+    async def request_step(self, agent: str, name: str) -> wire.StepInfo:
         client, plan = self.fleet.clients[agent], self.plan
 
         def request() -> wire.StepRequest:
@@ -267,38 +268,38 @@
         try:
             return await client.step(request())
         except RefusedError as e:
-            held = e.problem.claim
-            if e.problem.code != "claimed" or held is None:
+            claim = e.problem.claim
+            if e.problem.code != "claimed" or claim is None:
                 raise
-            if held.token != self.tokens[agent][name]:
-                raise Refusal(f"another tool has taken over: {e}") from None
-            # Ours has lapsed while the agent was away, and nobody came in between.
+            if claim.token != self.tokens[agent][name]:
+                raise Refusal(f"another tool has claimed the instance: {e}") from None
+            # Our claim expired while the agent was unreachable, and nobody else has claimed the instance.
             with contextlib.suppress(UnreachableError):
                 await self.claim(agent)
             return await client.step(request())
 
-    # What happened.
+    # Report.
 
     def report(self, state: str, detail: str) -> Report:
         outcomes = [self.outcome(f"{agent}/{name}") for agent in self.targets for name in self.targets[agent]]
         outcomes.sort(key=lambda item: item.id)
-        took = round(self.clock() - self.began, 3)
+        took = round(self.clock() - self.started_at, 3)
         return Report(self.plan.id, self.plan.action, state, detail, outcomes, took)
 
     def outcome(self, ident: str) -> Outcome:
-        seen, step, info = self.view.instances.get(ident), self.steps.get(ident), self.infos.get(ident)
+        seen, step, info = self.view.instances.get(ident), self.steps.get(ident), self.step_infos.get(ident)
         stand = step.stand if step is not None else Stand.TODO
-        words = {
+        outcomes = {
             Stand.TODO: "not begun", Stand.DOING: "unknown", Stand.DONE: "done", Stand.FAILED: "failed",
             Stand.UNKNOWN: "unknown",
         }  # fmt: skip
-        told = step.detail if step is not None else ""
+        detail = step.detail if step is not None else ""
         if stand is Stand.DOING:
-            told = f"still under way: {seen.status.state if seen else 'never heard'}"
+            detail = f"still under way: {seen.status.state if seen else 'no status received'}"
             if seen and "silent" in seen.status.state:
-                told += f", last answered {self.clock() - seen.status.answered_at:.1f} s ago"
+                detail += f", last answered {self.clock() - seen.status.answered_at:.1f} s ago"
         return Outcome(
-            ident, words[stand], told,
+            ident, outcomes[stand], detail,
             state=seen.state if seen else "unknown",
             last_known=seen.status.state if seen else "",
             heard_ago=round(max(self.clock() - seen.heard_at, 0.0), 1) if seen else -1.0,
@@ -309,13 +310,15 @@
 def find_operation(
     answers: Mapping[str, Any], ident: str
 ) -> tuple[wire.OperationPlan, dict[str, wire.OperationStatus]]:
-    """The plan as recorded, and which agents have it; raises Refusal where none has."""
-    held = {agent: told for agent, told in answers.items() if isinstance(told, wire.OperationStatus)}
-    if not held:
-        unheard = [str(told) for told in answers.values() if isinstance(told, UnreachableError)]
-        more = f"; not heard: {'; '.join(unheard)}" if unheard else ""
-        raise Refusal(f"no agent has operation {ident}{more}")
-    return next(iter(held.values())).plan, held
+    """The recorded plan, and the status by agent; raises Refusal if no agent has the operation."""
+    recorded = {
+        agent: status for agent, status in answers.items() if isinstance(status, wire.OperationStatus)
+    }
+    if not recorded:
+        unreachable = [str(status) for status in answers.values() if isinstance(status, UnreachableError)]
+        suffix = f"; unreachable: {'; '.join(unreachable)}" if unreachable else ""
+        raise Refusal(f"no agent has operation {ident}{suffix}")
+    return next(iter(recorded.values())).plan, recorded
 
 
 async def resume(
@@ -326,14 +329,14 @@
     fence: Callable[[], dict[str, int]] = dict,
     ttl: float | None = None,
 ) -> Operation:
-    """The operation as it stands, ready to run. Steps that were begun are not begun again."""
-    plan, held = find_operation(await fleet.ask(lambda client: client.operation(ident)), ident)
-    over = {told.state for told in held.values()} - {"open", "interrupted"}
-    if over:
-        raise Refusal(f"operation {ident} is {', '.join(sorted(over))} already")
+    """Load a recorded operation, ready to run. Steps that were begun are not begun again."""
+    plan, recorded = find_operation(await fleet.ask(lambda client: client.operation(ident)), ident)
+    closed_states = {status.state for status in recorded.values()} - {"open", "interrupted"}
+    if closed_states:
+        raise Refusal(f"operation {ident} is {', '.join(sorted(closed_states))} already")
     operation = Operation(fleet, plan, view, on_progress=on_progress, fence=fence, ttl=ttl)
-    operation.fresh = False
-    for agent, told in held.items():
+    operation.not_begun = False
+    for agent, status in recorded.items():
         if agent in operation.targets:
-            operation.take(agent, told)
+            operation.apply_status(agent, status)
     return operation
--- a/latchspoke/agent/serve.py
+++ b/latchspoke/agent/serve.py
@@ -137,7 +137,7 @@
         raise AgentError(str(e)) from None
     except OSError as e:
         raise AgentError(f"can't listen at {config.members.peers[config.name]}: {e}") from None
-    log.info("member", agent=config.name, identity=members.office.member.identity)
+    log.info("member", agent=config.name, identity=members.replica.member.identity)
     return members
 
 
--- a/latchspoke/agent/supervisor.py
+++ b/latchspoke/agent/supervisor.py
@@ -1,8 +1,9 @@
-"""Carries out what the pure parts decide: one runtime for each instance, one store, one record of events.
+"""Runs all gateway instances of one host: applies lifecycle decisions, stores state and records events.
 
-Order of things: a new state is written, then its effects are carried out. Where the store refuses, what
-was asked is refused; what was merely seen (an end, an answer) is kept in memory and written later, and no
-process is made meanwhile, as a launch that is not on record could not be found again.
+A new state is written to the store before its effects are carried out. If the write fails, a requested
+operation is refused, while an observation (a process exit, a health-check answer) is kept in memory and
+written later. No process is started meanwhile, since a launch that is not stored could not be found again
+after a restart of the agent.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 
 log = structlog.get_logger("agent")
 
-TICK = 0.1  # s between looks at what is due by the time alone
-HELD_UP = 0.5  # s; a longer gap between two looks says that this agent itself did not run
-SILENCE = (Phase.READY, Phase.UNREADY, Phase.STARTING)  # phases that silence alone can end
+TICK_INTERVAL_S = 0.1
+STALL_THRESHOLD_S = 0.5  # a longer gap between two ticks means that the agent itself was not running
+PHASES_ENDED_BY_SILENCE = (Phase.READY, Phase.UNREADY, Phase.STARTING)
 SIGNALS = {Signal.TERM: signal.SIGTERM, Signal.KILL: signal.SIGKILL, Signal.HUP: signal.SIGHUP}
-VIEW_KEPT = ("version", "settings", "file")
+VIEW_FIELDS_KEPT = ("version", "settings", "file")
 
 
 class RefusalError(Exception):
-    """What was asked is not done; ``status`` is HTTP's, ``code`` is for programs."""
+    """A request was refused; ``status`` is the HTTP status, ``code`` identifies the reason to programs."""
 
     def __init__(self, status: int, code: str, text: str, claim: claims.Claim | None = None) -> None:
         super().__init__(text)
@@ -43,7 +44,7 @@
 
 
 class Runtime:
-    """One instance as this agent runs it."""
+    """One instance: its configuration, its lifecycle state and its process."""
 
     def __init__(self, record: InstanceRecord, state: Instance) -> None:
         self.record, self.state = record, state
@@ -61,31 +62,31 @@
         self,
         config: AgentRecord,
         store: Store | None,
-        why_no_store: str = "",
+        store_error: str = "",
         clock: Callable[[], float] = time.time,
-        draw: Callable[[], float] = random.random,
+        random_fraction: Callable[[], float] = random.random,
     ) -> None:
-        self.config, self.store, self.why_no_store = config, store, why_no_store
-        self.clock, self.draw = clock, draw
+        self.config, self.store, self.store_error = config, store, store_error
+        self.clock, self.random_fraction = clock, random_fraction
         self.launcher = Launcher(config.home)
         self.runtimes: dict[str, Runtime] = {}
         self.claims: claims.Claims = claims.EMPTY
         self.fences: dict[str, int] = {}
-        self.open: dict[tuple[str, str], Step] = {}
+        self.open_steps: dict[tuple[str, str], Step] = {}
         self.revision = 0
         self.certificate_until = 0.0
-        self.ticked_at, self.woke_at = clock(), 0.0
-        self.news = asyncio.Event()
+        self.last_tick_at, self.resumed_at = clock(), 0.0
+        self.events_changed = asyncio.Event()
         self.tasks: set[asyncio.Task[Any]] = set()
 
-    # From start to end.
+    # Startup and shutdown.
 
     async def start(self) -> None:
-        """Take up what is on record: find the processes that still run, then start what should."""
+        """Restore the stored state, find the processes that still run, then start new instances."""
         known: dict[str, Instance] = {}
         if self.store is not None:
             known, self.claims = self.store.instances(), self.store.claims()
-            self.open = {(s.info.operation, s.info.instance): s for s in self.store.open_steps()}
+            self.open_steps = {(s.info.operation, s.info.instance): s for s in self.store.open_steps()}
             self.revision, self.fences = self.store.revision(), self.store.fences()
         for name, record in self.config.instances.items():
             state = known.get(name) or Instance(name, since=self.clock())
@@ -95,12 +96,12 @@
         await asyncio.gather(*(self.find(runtime) for runtime in self.runtimes.values()))
         for name, runtime in self.runtimes.items():
             if self.store is not None and name not in known and runtime.record.start:
-                self.give(runtime, lifecycle.AskStart())
-        self.ticked_at = self.clock()
-        self.spend(self.tick_always())
+                self.handle_event(runtime, lifecycle.AskStart())
+        self.last_tick_at = self.clock()
+        self.start_task(self.tick_loop())
 
     def stop(self) -> None:
-        """The agent ends; its gateways go on."""
+        """Stop the agent; its gateways keep running."""
         for task in self.tasks:
             task.cancel()
         for runtime in self.runtimes.values():
@@ -109,14 +110,14 @@
         if self.store is not None:
             self.store.close()
 
-    def spend(self, work: Any) -> asyncio.Task[Any]:
-        task = asyncio.get_running_loop().create_task(work)
+    def start_task(self, coroutine: Any) -> asyncio.Task[Any]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     async def find(self, runtime: Runtime) -> None:
-        """Whether the process on record still runs, and if not how it ended."""
+        """Adopt the recorded process if it still runs; otherwise handle its exit."""
         state = runtime.state
         if not state.alive:
             return
@@ -127,70 +128,74 @@
             if self.store is None:
                 runtime.state = replace(state, pid=process.pid, started=process.started)
             elif not state.pid:
-                self.give(runtime, Spawned(process.pid, process.started))
+                self.handle_event(runtime, Spawned(process.pid, process.started))
             return
         if self.store is None:
             runtime.state = replace(state, phase=Phase.STOPPED)
             return
         status = await self.launcher.status(state.name, state.launch)
-        self.give(runtime, Exited(status))
+        self.handle_event(runtime, Exited(status))
 
     def adopt(self, runtime: Runtime, process: Process) -> None:
         runtime.process = process
         launch = runtime.state.launch
-        process.on_end(lambda: self.spend(self.gone(runtime, process, launch)))
+        process.on_end(lambda: self.start_task(self.process_ended(runtime, process, launch)))
 
-    async def gone(self, runtime: Runtime, process: Process, launch: int) -> None:
-        """A process has ended; its keeper writes how."""
+    async def process_ended(self, runtime: Runtime, process: Process, launch: int) -> None:
+        """Handle the end of a process; its wrapper shell writes the exit status."""
         status = await self.launcher.status(runtime.state.name, launch)
         if runtime.process is process:
             runtime.process = None
-            self.give(runtime, Exited(status))
+            self.handle_event(runtime, Exited(status))
 
     # Events.
 
-    def give(self, runtime: Runtime, event: lifecycle.Event, **record: Any) -> None:
-        """What was seen: never refused, at worst unsaved."""
-        state, effects = lifecycle.handle(runtime.state, event, self.clock(), runtime.limits, self.draw())
+    def handle_event(self, runtime: Runtime, event: lifecycle.Event, **record: Any) -> None:
+        """Apply an observed event. If the write fails, the new state is applied and marked as unsaved."""
+        state, effects = lifecycle.handle(
+            runtime.state, event, self.clock(), runtime.limits, self.random_fraction()
+        )
         if state == runtime.state and not effects:
             return
         if not effects and replace(state, answered_at=0) == replace(runtime.state, answered_at=0):
-            runtime.state = state  # an answer like the last: not worth the disk
+            runtime.state = state  # only the time of the last answer changed: not written
             return
         try:
             self.save(state, effects, **record)
         except StoreError as e:
-            self.lost_store(e)
-            state, effects = self.without_launch(state, effects)
+            self.note_store_error(e)
+            state, effects = self.postpone_launch(state, effects)
             runtime.unsaved = True
         else:
             runtime.unsaved = False
         runtime.state = state
-        self.act(runtime, effects)
-        self.judge(runtime)
+        self.carry_out(runtime, effects)
+        self.finish_steps(runtime)
 
-    def without_launch(
+    def postpone_launch(
         self, state: Instance, effects: list[lifecycle.Effect]
     ) -> tuple[Instance, list[lifecycle.Effect]]:
-        """A launch waits until it can be put on record."""
+        """Postpone a launch that could not be stored."""
         if not any(isinstance(e, Spawn) for e in effects):
             return state, effects
         waiting = replace(state, phase=Phase.WAITING, launch=state.launch - 1, retry_at=self.clock() + 1.0)
         return waiting, [e for e in effects if not isinstance(e, Spawn)]
 
     def save(self, state: Instance, effects: Iterable[lifecycle.Effect], step: Step | None = None) -> None:
-        store = self.need_store()
+        store = self.require_store()
         with store.transaction() as writer:
             writer.instance(state)
             if step is not None:
                 writer.step(step)
-            for note in effects:
-                if isinstance(note, Note):
+            for effect in effects:
+                if isinstance(effect, Note):
                     info = step.info if step is not None else None
-                    self.note(writer, note.kind, state.name, note.detail, info.operation if info else "")
-        self.told_news()
+                    self.append_event(
+                        writer, effect.kind, state.name, effect.detail, info.operation if info else ""
+                    )
+        self.notify_watchers()
 
-    def note(
+    def append_event(
         self, writer: Writer, kind: str, instance: str = "", detail: str = "", operation: str = "",
         operator: str = "",
     ) -> None:  # fmt: skip
@@ -198,34 +203,34 @@
         self.revision = writer.event(event)
         log.info(kind, instance=instance, operation=operation, operator=operator, detail=detail)
 
-    def record(self, kind: str, **more: str) -> None:
-        """An event of its own, such as a refusal; one that can't be written is at least logged."""
+    def record(self, kind: str, **fields: str) -> None:
+        """Record an event, such as a refusal, in a transaction of its own; log it if the write fails."""
         try:
-            with self.need_store().transaction() as writer:
-                self.note(writer, kind, **more)
-            self.told_news()
+            with self.require_store().transaction() as writer:
+                self.append_event(writer, kind, **fields)
+            self.notify_watchers()
         except (StoreError, RefusalError) as e:
-            log.warning(kind, unrecorded=str(e), **more)
+            log.warning(kind, unrecorded=str(e), **fields)
 
-    def told_news(self) -> None:
-        news, self.news = self.news, asyncio.Event()
-        news.set()
+    def notify_watchers(self) -> None:
+        events_changed, self.events_changed = self.events_changed, asyncio.Event()
+        events_changed.set()
 
-    def need_store(self) -> Store:
+    def require_store(self) -> Store:
         if self.store is None:
-            raise StoreError(self.why_no_store)
+            raise StoreError(self.store_error)
         return self.store
 
-    def lost_store(self, error: StoreError) -> None:
-        if str(error) != self.why_no_store:
+    def note_store_error(self, error: StoreError) -> None:
+        if str(error) != self.store_error:
             log.error("store", error=str(error))
-        self.why_no_store = str(error)
+        self.store_error = str(error)
 
-    def act(self, runtime: Runtime, effects: Iterable[lifecycle.Effect]) -> None:
+    def carry_out(self, runtime: Runtime, effects: Iterable[lifecycle.Effect]) -> None:
         for effect in effects:
             match effect:
                 case Spawn(launch):
-                    self.spend(self.spawn(runtime, launch))
+                    self.start_task(self.spawn(runtime, launch))
                 case Signal():
                     if runtime.process is not None:
                         runtime.process.signal(SIGNALS[effect])
@@ -233,183 +238,192 @@
     async def spawn(self, runtime: Runtime, launch: int) -> None:
         name = runtime.state.name
         self.launcher.tidy(name, launch)
-        told = await self.launcher.start(
+        launched = await self.launcher.start(
             name, launch, self.config.command(name), self.config.environment(name)
         )
-        if isinstance(told, str):
-            self.give(runtime, lifecycle.SpawnFailed(told))
+        if isinstance(launched, str):
+            self.handle_event(runtime, lifecycle.SpawnFailed(launched))
             return
-        self.adopt(runtime, told)
-        self.give(runtime, Spawned(told.pid, told.started))
+        self.adopt(runtime, launched)
+        self.handle_event(runtime, Spawned(launched.pid, launched.started))
 
-    async def tick_always(self) -> None:
+    async def tick_loop(self) -> None:
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL_S)
             self.tick()
 
     def tick(self) -> None:
         now = self.clock()
-        if now - self.ticked_at > HELD_UP:
-            # This process stood still; that no gateway was heard meanwhile is no fault of theirs.
-            log.warning("held-up", seconds=round(now - self.ticked_at, 1))
-            self.woke_at = now
-        self.ticked_at = now
+        if now - self.last_tick_at > STALL_THRESHOLD_S:
+            # The agent itself was suspended, so gateways are not blamed for silence in that time.
+            log.warning("held-up", seconds=round(now - self.last_tick_at, 1))
+            self.resumed_at = now
+        self.last_tick_at = now
         for runtime in self.runtimes.values():
             if runtime.unsaved:
-                self.save_late(runtime)
+                self.save_unsaved(runtime)
             due = lifecycle.due(runtime.state, runtime.limits)
-            excused = runtime.state.phase in SILENCE and now < self.woke_at + runtime.limits.silent
-            if due is not None and due <= now and self.store is not None and not excused:
-                self.give(runtime, lifecycle.Tick())
-        for step in list(self.open.values()):
+            silence_excused = (
+                runtime.state.phase in PHASES_ENDED_BY_SILENCE
+                and now < self.resumed_at + runtime.limits.silent
+            )
+            if due is not None and due <= now and self.store is not None and not silence_excused:
+                self.handle_event(runtime, lifecycle.Tick())
+        for step in list(self.open_steps.values()):
             if now >= step.info.until and step.info.instance in self.runtimes:
-                self.judge(self.runtimes[step.info.instance])
+                self.finish_steps(self.runtimes[step.info.instance])
 
-    def save_late(self, runtime: Runtime) -> None:
+    def save_unsaved(self, runtime: Runtime) -> None:
         try:
             self.save(runtime.state, [Note("recorded-late", runtime.state.phase.value)])
         except StoreError as e:
-            self.lost_store(e)
+            self.note_store_error(e)
             return
-        runtime.unsaved, self.why_no_store = False, ""
-        self.judge(runtime)
+        runtime.unsaved, self.store_error = False, ""
+        self.finish_steps(runtime)
 
     def answered(self, runtime: Runtime, ready: bool, view: dict[str, Any] | None = None) -> None:
-        """A check had an answer."""
+        """Handle the answer to a health check."""
         if view is not None:
-            runtime.view = {key: view[key] for key in VIEW_KEPT if key in view}
-        self.give(runtime, Answered(ready))
+            runtime.view = {key: view[key] for key in VIEW_FIELDS_KEPT if key in view}
+        self.handle_event(runtime, Answered(ready))
 
     # Operations.
 
-    def judge(self, runtime: Runtime) -> None:
-        """Whether steps on this instance are over."""
-        for step in [s for s in self.open.values() if s.info.instance == runtime.state.name]:
+    def finish_steps(self, runtime: Runtime) -> None:
+        """Record the outcome of this instance's open steps that have finished."""
+        for step in [s for s in self.open_steps.values() if s.info.instance == runtime.state.name]:
             info, now = step.info, self.clock()
             verdict = steps.verdict(info.action, step.base, runtime.state, info.until, now, runtime.limits)
             if verdict.state == "doing" or runtime.unsaved:
                 continue
-            over = msgspec.structs.replace(info, state=verdict.state, detail=verdict.detail, ended_at=now)
+            finished = msgspec.structs.replace(info, state=verdict.state, detail=verdict.detail, ended_at=now)
             try:
-                with self.need_store().transaction() as writer:
-                    writer.step(Step(over, step.base))
-                    self.note(writer, f"step-{over.state}", info.instance, verdict.detail, info.operation)
+                with self.require_store().transaction() as writer:
+                    writer.step(Step(finished, step.base))
+                    self.append_event(
+                        writer, f"step-{finished.state}", info.instance, verdict.detail, info.operation
+                    )
             except StoreError as e:
-                self.lost_store(e)
+                self.note_store_error(e)
                 continue
-            del self.open[info.operation, info.instance]
-            self.told_news()
+            del self.open_steps[info.operation, info.instance]
+            self.notify_watchers()
 
     def runtime(self, name: str) -> Runtime:
         if name not in self.runtimes:
             raise RefusalError(404, "no-instance", f"agent {self.config.name} has no instance {name}")
         return self.runtimes[name]
 
-    def write(self) -> Store:
-        """For what is asked: without a store nothing can be promised."""
+    def require_operations_store(self) -> Store:
+        """The store, for a requested operation. Raises RefusalError where there is none."""
         if self.store is None:
-            raise RefusalError(503, "store", self.why_no_store)
+            raise RefusalError(503, "store", self.store_error)
         return self.store
 
-    def heed(self, fence: dict[str, int], who: str) -> None:
-        """Refuse what comes under an older token of a duty than was seen here; remember a newer one first."""
+    def check_fence(self, fence: dict[str, int], operator: str) -> None:
+        """Refuse a fencing token older than the newest one seen for its duty; store a newer one first."""
         for duty, token in fence.items():
             newest = self.fences.get(duty, 0)
             if token < newest:
-                self.record("fenced", operator=who, detail=f"{duty}: token {token} after {newest}")
+                self.record("fenced", operator=operator, detail=f"{duty}: token {token} after {newest}")
                 raise RefusalError(409, "fenced", f"token {token} of {duty} is not the newest, {newest} is")
             if token > newest:
-                with self.write().transaction() as writer:
+                with self.require_operations_store().transaction() as writer:
                     writer.fence(duty, token)
                 self.fences[duty] = token
 
-    def claim(self, asked: wire.ClaimRequest, who: str) -> list[claims.Claim]:
-        store = self.write()
-        self.heed(asked.fence, who)
-        for name in asked.instances:
+    def claim(self, request: wire.ClaimRequest, operator: str) -> list[claims.Claim]:
+        store = self.require_operations_store()
+        self.check_fence(request.fence, operator)
+        for name in request.instances:
             self.runtime(name)
         try:
-            new = claims.acquire(self.claims, asked.instances, who, asked.operation, asked.ttl, self.clock())
+            new = claims.acquire(
+                self.claims, request.instances, operator, request.operation, request.ttl, self.clock()
+            )
         except claims.ClaimRefusedError as e:
             self.record("claim-refused", instance=e.claim.instance if e.claim else "",
-                        operation=asked.operation, operator=who, detail=e.reason)  # fmt: skip
-            raise self.claimed(e) from None
+                        operation=request.operation, operator=operator, detail=e.reason)  # fmt: skip
+            raise self.claim_refusal(e) from None
         except ValueError as e:
             raise RefusalError(400, "bad-request", str(e)) from None
         with store.transaction() as writer:
             writer.claims(self.claims, new)
-            for name in asked.instances:
-                self.note(writer, "claimed", name, f"token {new[name].token}", asked.operation, who)
+            for name in request.instances:
+                self.append_event(
+                    writer, "claimed", name, f"token {new[name].token}", request.operation, operator
+                )
         self.claims = new
-        self.told_news()
-        return [new[name] for name in asked.instances]
+        self.notify_watchers()
+        return [new[name] for name in request.instances]
 
-    def claimed(self, error: claims.ClaimRefusedError) -> RefusalError:
+    def claim_refusal(self, error: claims.ClaimRefusedError) -> RefusalError:
         text = error.reason
         if error.claim is not None:
-            held = error.claim
-            text += f": {held.holder} holds it for {held.operation} since {held.since:.3f}"
+            claim = error.claim
+            text += f": {claim.holder} holds it for {claim.operation} since {claim.since:.3f}"
         return RefusalError(409, "claimed", text, error.claim)
 
-    def renew(self, asked: wire.TokenRequest) -> list[claims.Claim]:
-        store = self.write()
+    def renew(self, request: wire.TokenRequest) -> list[claims.Claim]:
+        store = self.require_operations_store()
         try:
-            new = claims.renew(self.claims, asked.tokens, asked.ttl, self.clock())
+            new = claims.renew(self.claims, request.tokens, request.ttl, self.clock())
         except claims.ClaimRefusedError as e:
-            raise self.claimed(e) from None
+            raise self.claim_refusal(e) from None
         with store.transaction() as writer:
             writer.claims(self.claims, new)
         self.claims = new
-        return [new[name] for name in asked.tokens]
+        return [new[name] for name in request.tokens]
 
-    def release(self, asked: wire.TokenRequest) -> None:
-        store = self.write()
-        new = claims.release(self.claims, asked.tokens)
+    def release(self, request: wire.TokenRequest) -> None:
+        store = self.require_operations_store()
+        new = claims.release(self.claims, request.tokens)
         with store.transaction() as writer:
             writer.claims(self.claims, new)
         self.claims = new
-        self.told_news()
+        self.notify_watchers()
 
-    def step(self, asked: wire.StepRequest, who: str) -> wire.StepInfo:
-        """Begin a step, once: asked again, the answer is how it stands."""
-        store, runtime, now = self.write(), self.runtime(asked.instance), self.clock()
-        self.heed(asked.fence, who)
-        event = steps.EVENTS.get(asked.action)
+    def step(self, request: wire.StepRequest, operator: str) -> wire.StepInfo:
+        """Begin a step, idempotently: a repeated request returns the step's current state."""
+        store, runtime, now = self.require_operations_store(), self.runtime(request.instance), self.clock()
+        self.check_fence(request.fence, operator)
+        event = steps.EVENTS.get(request.action)
         if event is None:
-            raise RefusalError(400, "bad-request", f"no such action: {asked.action}")
+            raise RefusalError(400, "bad-request", f"no such action: {request.action}")
         try:
-            claim = claims.check(self.claims, asked.instance, asked.token, now)
+            claim = claims.check(self.claims, request.instance, request.token, now)
         except claims.ClaimRefusedError as e:
-            self.record("step-refused", instance=asked.instance, operation=asked.operation, operator=who,
-                        detail=e.reason)  # fmt: skip
-            raise self.claimed(e) from None
-        if (claim.operation, claim.holder) != (asked.operation, who):
-            raise RefusalError(409, "claimed", f"{asked.instance} is claimed for another operation", claim)
-        if (known := store.step(asked.operation, asked.instance)) is not None:
+            self.record("step-refused", instance=request.instance, operation=request.operation,
+                        operator=operator, detail=e.reason)  # fmt: skip
+            raise self.claim_refusal(e) from None
+        if (claim.operation, claim.holder) != (request.operation, operator):
+            raise RefusalError(409, "claimed", f"{request.instance} is claimed for another operation", claim)
+        if (known := store.step(request.operation, request.instance)) is not None:
             return known.info
         base = runtime.state
         info = wire.StepInfo(
-            asked.operation, asked.instance, asked.action, "doing", asked.token, now, now + asked.limit,
-            base_launch=base.launch,
+            request.operation, request.instance, request.action, "doing", request.token, now,
+            now + request.limit, base_launch=base.launch,
         )  # fmt: skip
         try:
-            state, effects = lifecycle.handle(base, event, now, runtime.limits, self.draw())
+            state, effects = lifecycle.handle(base, event, now, runtime.limits, self.random_fraction())
         except lifecycle.NotNowError as e:
-            # On record too: whoever goes on with the operation must not try it again and again.
-            over = msgspec.structs.replace(info, state="failed", detail=str(e), ended_at=now)
-            self.save(base, [Note("step-failed", str(e))], step=Step(over, base))
-            return over
-        begun = Step(info, base)
-        self.save(state, [Note("step-begun", f"{asked.action} by {who}"), *effects], step=begun)
-        self.open[asked.operation, asked.instance] = begun
+            # Stored as well, so that a tool that resumes the operation does not retry the step.
+            failed = msgspec.structs.replace(info, state="failed", detail=str(e), ended_at=now)
+            self.save(base, [Note("step-failed", str(e))], step=Step(failed, base))
+            return failed
+        begun_step = Step(info, base)
+        self.save(state, [Note("step-begun", f"{request.action} by {operator}"), *effects], step=begun_step)
+        self.open_steps[request.operation, request.instance] = begun_step
         runtime.state, runtime.unsaved = state, False
-        self.act(runtime, effects)
-        self.judge(runtime)
-        return (store.step(asked.operation, asked.instance) or begun).info
+        self.carry_out(runtime, effects)
+        self.finish_steps(runtime)
+        return (store.step(request.operation, request.instance) or begun_step).info
 
-    def put_operation(self, plan: wire.OperationPlan, who: str) -> wire.OperationStatus:
-        """Store a plan, once: one id never stands for two plans."""
-        store = self.write()
+    def put_operation(self, plan: wire.OperationPlan, operator: str) -> wire.OperationStatus:
+        """Store a plan, idempotently; refuse another plan under the same ID."""
+        store = self.require_operations_store()
         known = store.operation(plan.id)
         if known is not None:
             if known.plan != plan:
@@ -418,45 +432,47 @@
                 known = msgspec.structs.replace(known, state="open", detail="")
                 with store.transaction() as writer:
                     writer.operation(known)
-                    self.note(writer, "operation-resumed", "", "", plan.id, who)
-                self.told_news()
-            return self.with_steps(known)
-        made = wire.OperationStatus(plan)
+                    self.append_event(writer, "operation-resumed", "", "", plan.id, operator)
+                self.notify_watchers()
+            return self.with_recorded_steps(known)
+        status = wire.OperationStatus(plan)
         with store.transaction() as writer:
-            writer.operation(made)
-            self.note(writer, "operation", "", f"{plan.action}: {plan.reason}", plan.id, who)
-        self.told_news()
-        return made
-
-    def close_operation(self, ident: str, asked: wire.CloseOperation, who: str) -> wire.OperationStatus:
-        store = self.write()
+            writer.operation(status)
+            self.append_event(writer, "operation", "", f"{plan.action}: {plan.reason}", plan.id, operator)
+        self.notify_watchers()
+        return status
+
+    def close_operation(
+        self, ident: str, request: wire.CloseOperation, operator: str
+    ) -> wire.OperationStatus:
+        store = self.require_operations_store()
         known = self.operation(ident)
         now = self.clock()
         for claim in self.claims.values():
-            if claim.operation == ident and claim.holder != who and claim.live(now):
-                # A tool that woke up late must not end what another has gone on with.
+            if claim.operation == ident and claim.holder != operator and claim.live(now):
+                # A tool that was suspended must not close an operation that another one has resumed.
                 raise RefusalError(409, "claimed", f"{claim.holder} is going on with {ident}", claim)
-        closed = msgspec.structs.replace(known, state=asked.state, detail=asked.detail, steps=[])
+        closed = msgspec.structs.replace(known, state=request.state, detail=request.detail, steps=[])
         with store.transaction() as writer:
             writer.operation(closed)
-            self.note(writer, f"operation-{asked.state}", "", asked.detail, ident, who)
-        self.told_news()
-        return self.with_steps(closed)
+            self.append_event(writer, f"operation-{request.state}", "", request.detail, ident, operator)
+        self.notify_watchers()
+        return self.with_recorded_steps(closed)
 
     def operation(self, ident: str) -> wire.OperationStatus:
-        known = self.write().operation(ident)
+        known = self.require_operations_store().operation(ident)
         if known is None:
             raise RefusalError(404, "no-operation", f"agent {self.config.name} has no operation {ident}")
-        return self.with_steps(known)
+        return self.with_recorded_steps(known)
 
     def operations(self) -> list[wire.OperationStatus]:
-        return [self.with_steps(known) for known in self.write().operations()]
+        return [self.with_recorded_steps(known) for known in self.require_operations_store().operations()]
 
-    def with_steps(self, known: wire.OperationStatus) -> wire.OperationStatus:
-        infos = [step.info for step in self.write().steps(known.plan.id)]
-        return msgspec.structs.replace(known, steps=infos)
+    def with_recorded_steps(self, known: wire.OperationStatus) -> wire.OperationStatus:
+        step_infos = [step.info for step in self.require_operations_store().steps(known.plan.id)]
+        return msgspec.structs.replace(known, steps=step_infos)
 
-    # What is told.
+    # Status.
 
     def listing(self) -> wire.Listing:
         names = sorted(self.runtimes)
@@ -465,14 +481,14 @@
     def agent_status(self) -> wire.AgentStatus:
         return wire.AgentStatus(
             self.config.name, self.config.name, __version__, self.clock(), revision=self.revision,
-            store=self.why_no_store, certificate_until=self.certificate_until,
+            store=self.store_error, certificate_until=self.certificate_until,
         )  # fmt: skip
 
     def status(self, name: str) -> wire.InstanceStatus:
         runtime, now = self.runtime(name), self.clock()
         state, view = runtime.state, runtime.view if runtime.state.alive else {}
         claim = self.claims.get(name)
-        step = max((s.info for s in self.open.values() if s.info.instance == name),
+        step = max((s.info for s in self.open_steps.values() if s.info.instance == name),
                    key=lambda info: info.since, default=None)  # fmt: skip
         return wire.InstanceStatus(
             name, runtime.record.zone, state.word(now, runtime.limits), state.phase.value, state.goal.value,
--- a/latchspoke/console/duty.py
+++ b/latchspoke/console/duty.py
@@ -203,7 +203,7 @@
         while True:
             code = await work.look(holding, ending.is_set())
             if code is not None or (ending.is_set() and work.process is None):
-                await holding.tell()
+                await holding.report_stopped()
                 return 0 if code is None else code
             await asyncio.sleep(LOOK)
 
--- a/tests/agent/test_members.py
+++ b/tests/agent/test_members.py
@@ -405,7 +405,7 @@
     record = MembersRecord({"a1": f"127.0.0.1:{free_port()}"}, True, Seconds(0.02), Seconds(0.1), 0.02)
     driver = MemberDriver("a1", record, base)
     await driver.start()
-    while not driver.office.leads:
+    while not driver.replica.leads:
         await asyncio.sleep(0.01)
     return driver
 
@@ -419,7 +419,7 @@
             raise ZeroDivisionError
 
         waiting = asyncio.ensure_future(driver.ask(look=Look(DUTIES)))
-        driver.give(fault)
+        driver.enqueue(fault)
         assert isinstance(await waiting, Refused | Shown)
         while driver.status().role != "halted":
             await asyncio.sleep(0.01)
@@ -433,12 +433,12 @@
 def test_a_member_whose_disk_is_full_says_nothing_and_is_back_by_itself(tmp_path: Path) -> None:
     async def play() -> None:
         driver = await alone(tmp_path)
-        (pages,) = driver.ledger.db.execute("PRAGMA page_count").fetchone()
-        driver.ledger.db.execute(f"PRAGMA max_page_count = {pages}")
+        (pages,) = driver.raft_store.db.execute("PRAGMA page_count").fetchone()
+        driver.raft_store.db.execute(f"PRAGMA max_page_count = {pages}")
         large = Define("census", Rule(names=("x" * 200_000,)))
         assert await driver.ask(put=put_duty(large)) == Refused("", under_way=True)
         assert "full" in driver.status().disk
-        driver.ledger.db.execute("PRAGMA max_page_count = 100000")
+        driver.raft_store.db.execute("PRAGMA max_page_count = 100000")
         while driver.status().disk:
             await asyncio.sleep(0.01)
         shown = await driver.ask(look=Look(DUTIES))
--- a/tests/agent/test_own.py
+++ b/tests/agent/test_own.py
@@ -19,7 +19,7 @@
 from tests.agent.world import ROOT, World, ask, free_port, until
 
 # A tool as an operator's, but for its claims, which lapse so much sooner after its death.
-TOOL = "import sys; from latchspoke.agent import operations as o; o.TTL = 1.5; "
+TOOL = "import sys; from latchspoke.agent import operations as o; o.CLAIM_TTL_S = 1.5; "
 TOOL += "from latchspoke.cli import main; sys.exit(main(sys.argv[1:]))"
 
 
