--- a/latchspoke/agent/api.py
+++ b/latchspoke/agent/api.py
@@ -1,8 +1,8 @@
-"""The agent's interface: HTTP with JSON, version 1, the schema in ``latchspoke.fleet.wire``.
+"""The agent's HTTP interface: JSON, version 1, with the schema in ``latchspoke.fleet.wire``.
 
-Every answer that is no success is a ``Problem``. Who asks is known by the transport: the user at the
-other end of the Unix socket, or the certificate on TCP. A viewer may look; only an operator may act, and
-what is refused is recorded.
+Every error response is a ``Problem``. The caller is identified by the transport: the user of a Unix socket,
+or the client certificate on TCP. A viewer may read, only an operator may change anything, and refused
+requests are recorded as events.
 """
 
 from __future__ import annotations
@@ -38,22 +38,22 @@
 log = structlog.get_logger("agent.api")
 T = TypeVar("T")
 
-BODY_MOST = 4 * 1024 * 1024
-WAIT_MOST = 30.0  # s that a question for news may be held
-EVENTS_MOST = 1000
-VIEWS_AT_ONCE = 32
+BODY_MAX_BYTES = 4 * 1024 * 1024
+EVENTS_WAIT_MAX_S = 30.0  # longest long poll for new events
+EVENTS_MAX = 1000
+VIEWS_MAX_CONCURRENT = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who asks; ``role`` is operator, viewer or '' for nobody that is known."""
+    """The caller of a request; ``role`` is operator, viewer, or '' if unknown."""
 
     name: str
     role: str
 
 
 def unix_caller(peer: socket.socket) -> Caller:
-    """The socket's file lets only its owner in; root comes in anyway."""
+    """Identify the user at the other end of a Unix socket; the agent's own user and root are operators."""
     _, uid, _ = struct.unpack("3i", peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     try:
         name = pwd.getpwuid(uid).pw_name
@@ -63,14 +63,14 @@
 
 
 class DutiesShown(msgspec.Struct, frozen=True):
-    """The duties as they were at some moment after the question, with all up to ``index``."""
+    """The duties after applying the log up to ``index``, read after the request arrived."""
 
     index: int
     duties: dict[str, DutyState]
 
 
 class RulesShown(msgspec.Struct, frozen=True):
-    """The rules' documents without their contents."""
+    """Summaries of the rules documents, without contents."""
 
     index: int
     documents: dict[str, Summary]
@@ -79,7 +79,7 @@
 Identify = Callable[[web.Request], Caller]
 
 
-def by_socket(request: web.Request) -> Caller:
+def caller_by_socket(request: web.Request) -> Caller:
     transport = request.transport
     peer = transport.get_extra_info("socket") if transport is not None else None
     return unix_caller(peer) if peer is not None else Caller("?", "")
@@ -93,16 +93,16 @@
 
 
 class Api:
-    """The routes of one agent."""
+    """The routes of one agent's HTTP interface."""
 
     def __init__(
         self, supervisor: Supervisor, identify: Identify, members: MemberDriver | None = None
     ) -> None:
         self.supervisor, self.identify, self.members = supervisor, identify, members
-        self.viewing = asyncio.Semaphore(VIEWS_AT_ONCE)
+        self.view_slots = asyncio.Semaphore(VIEWS_MAX_CONCURRENT)
 
     def app(self) -> web.Application:
-        app = web.Application(middlewares=[self.guard], client_max_size=BODY_MOST)
+        app = web.Application(middlewares=[self.guard], client_max_size=BODY_MAX_BYTES)
         app.add_routes(
             [
                 web.get("/v1/instances", self.instances),
@@ -135,15 +135,15 @@
     async def guard(
         self, request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
     ) -> web.StreamResponse:
-        """Version, caller and role first; then every refusal as one kind of answer."""
+        """Check interface version, caller and role, and turn refusals into ``Problem`` responses."""
         try:
             self.check_version(request)
             request["caller"] = caller = self.identify(request)
             if caller.role == "" or (request.method != "GET" and caller.role != "operator"):
-                what = f"{request.method} {request.path}"
-                self.supervisor.record("forbidden", operator=caller.name, detail=what)
+                action = f"{request.method} {request.path}"
+                self.supervisor.record("forbidden", operator=caller.name, detail=action)
                 role = caller.role or "without a role"
-                raise RefusalError(403, "forbidden", f"{caller.name} is {role} and may not {what}")
+                raise RefusalError(403, "forbidden", f"{caller.name} is {role} and may not {action}")
             return await handler(request)
         except RefusalError as e:
             info = claim_info(e.claim) if e.claim is not None else None
@@ -157,10 +157,12 @@
 
     @staticmethod
     def check_version(request: web.Request) -> None:
-        told = request.headers.get(wire.HEADER, "")
-        if told != str(wire.INTERFACE):
+        version = request.headers.get(wire.HEADER, "")
+        if version != str(wire.INTERFACE):
             raise RefusalError(
-                426, "interface", f"this agent speaks interface {wire.INTERFACE}, not {told or 'one unnamed'}"
+                426,
+                "interface",
+                f"this agent speaks interface {wire.INTERFACE}, not {version or 'an unnamed one'}",
             )
 
     async def read(self, request: web.Request, kind: type[T]) -> T:
@@ -168,20 +170,22 @@
 
     def driver(self) -> MemberDriver:
         if self.members is None:
-            raise RefusalError(404, "no-member", "this agent is no member")
+            raise RefusalError(404, "no-member", "this agent is not a member")
         return self.members
 
     @staticmethod
-    def known(reply: Reply) -> Reply:
-        """What a majority stands behind; raises that nothing can be known here and now."""
+    def require_answer(reply: Reply) -> Reply:
+        """The reply, unless it is ``Refused``; then raises RefusalError."""
         if isinstance(reply, Refused):
             code = "unknown" if reply.under_way else "no-leader"
-            text = "it may have been done, or may yet be" if reply.under_way else "no leader is heard here"
+            text = (
+                "outcome unknown: the command may still be applied" if reply.under_way else "no known leader"
+            )
             raise RefusalError(503, code, text)
         return reply
 
     async def look(self, look: Look) -> Shown:
-        shown = self.known(await self.driver().ask(look=look))
+        shown = self.require_answer(await self.driver().ask(look=look))
         assert isinstance(shown, Shown)
         return shown
 
@@ -190,9 +194,9 @@
 
     async def change_members(self, request: web.Request) -> web.Response:
         asked = await self.read(request, MembersChange)
-        why = await self.driver().change(asked.add, asked.remove)
-        if why:
-            raise RefusalError(409, "not-changed", why)
+        reason = await self.driver().change(asked.add, asked.remove)
+        if reason:
+            raise RefusalError(409, "not-changed", reason)
         return answer(self.driver().status())
 
     async def duties(self, request: web.Request) -> web.Response:
@@ -209,50 +213,52 @@
         return answer(RulesShown(shown.index, summaries))
 
     async def holders(self, request: web.Request) -> web.Response:
-        """As the leader knows them."""
+        """The gateways that hold rules, as the leader knows them."""
         shown = await self.look(Look(HOLDERS))
         return answer(msgspec.msgpack.decode(shown.body, type=Holders))
 
     async def put_rules(self, request: web.Request) -> web.Response:
-        """``?ident=`` as with duties."""
+        """Store rules; ``?ident=`` makes a repeated request idempotent."""
         command = await self.read(request, PutRules)
         detail = f"{command.name} on {command.parent}: {command.reason}"
         self.supervisor.record("rules", operator=request["caller"].name, detail=detail)
         command = msgspec.structs.replace(command, author=request["caller"].name)
         put = put_rules(command, request.query.get("ident", ""))
-        return answer(self.known(await self.driver().ask(put=put)))
+        return answer(self.require_answer(await self.driver().ask(put=put)))
 
     async def question(self, request: web.Request) -> web.Response:
-        """A gateway's."""
+        """Answer a gateway's question about the rules it may act by."""
         asked = await self.read(request, RulesQuestion)
-        return answer(self.known(await self.driver().ask(question=asked)))
+        return answer(self.require_answer(await self.driver().ask(question=asked)))
 
     async def content(self, request: web.Request) -> web.Response:
-        """From what this member itself holds: its digest tells the asker whether it is right."""
+        """The content of a rules document, from this member's own copy; the caller verifies its digest."""
         asked = await self.read(request, FetchRules)
         found: Content | None = self.driver().replica.rules.content(asked)
         if found is None:
-            raise RefusalError(404, "no-content", f"{asked.name} {asked.version} is not here")
+            raise RefusalError(
+                404, "no-content", f"{asked.name} {asked.version} is not stored on this member"
+            )
         return answer(found)
 
     async def command(self, request: web.Request) -> web.Response:
-        """``?ident=`` is drawn by who asks: asked again under it, nothing is done twice."""
+        """Apply a command on duties; ``?ident=`` makes a repeated request idempotent."""
         command: Define | Remove | Move = wire.decode(Define | Remove | Move, await request.read())  # type: ignore[arg-type]
         self.supervisor.record("duty", operator=request["caller"].name, detail=str(command))
         put = put_duty(command, request.query.get("ident", ""))
-        return answer(self.known(await self.driver().ask(put=put)))
+        return answer(self.require_answer(await self.driver().ask(put=put)))
 
     async def beat(self, request: web.Request) -> web.Response:
-        return answer(self.known(await self.driver().ask(beat=await self.read(request, Beat))))
+        return answer(self.require_answer(await self.driver().ask(beat=await self.read(request, Beat))))
 
     async def instances(self, request: web.Request) -> web.Response:
         return answer(self.supervisor.listing())
 
     async def views(self, request: web.Request) -> web.Response:
-        """The gateways' own views, asked for side by side; ``?name=`` may stand several times."""
+        """The gateways' own views, requested concurrently; ``?name=`` may be given several times."""
         names = request.query.getall("name", None) or sorted(self.supervisor.runtimes)
-        told = await asyncio.gather(*(self.view(name) for name in names))
-        pairs = list(zip(names, told, strict=True))
+        answers = await asyncio.gather(*(self.view(name) for name in names))
+        pairs = list(zip(names, answers, strict=True))
         views = {name: view for name, view in pairs if not isinstance(view, str)}
         missing = {name: view for name, view in pairs if isinstance(view, str)}
         return answer(wire.ViewAnswer(views, missing))
@@ -262,23 +268,23 @@
         if not runtime.state.alive:
             return f"is {runtime.state.word(self.supervisor.clock(), runtime.limits)}"
         timeout = aiohttp.ClientTimeout(total=self.supervisor.config.checks.limit)
-        async with self.viewing:
+        async with self.view_slots:
             return await fetch_view(str(self.supervisor.config.admin_path(name)), timeout)
 
     async def events(self, request: web.Request) -> web.Response:
-        """Those after a revision; with ``wait`` held until there is one, or so many seconds."""
+        """Events after a revision; ``wait`` is the time to wait for one, in seconds."""
         try:
             after = int(request.query.get("after", "0"))
-            wait = min(float(request.query.get("wait", "0")), WAIT_MOST)
+            wait = min(float(request.query.get("wait", "0")), EVENTS_WAIT_MAX_S)
         except ValueError:
             raise RefusalError(400, "bad-request", "after and wait are numbers") from None
         events_changed = self.supervisor.events_changed
         store = self.supervisor.require_operations_store()
-        events = store.events(after, EVENTS_MOST)
+        events = store.events(after, EVENTS_MAX)
         if not events and wait > 0:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(events_changed.wait(), wait)
-            events = store.events(after, EVENTS_MOST)
+            events = store.events(after, EVENTS_MAX)
         revision = events[-1].revision if events else max(after, self.supervisor.revision)
         return answer(wire.Events(events, revision))
 
@@ -291,7 +297,7 @@
     async def put_operation(self, request: web.Request) -> web.Response:
         plan = await self.read(request, wire.OperationPlan)
         if plan.id != request.match_info["id"]:
-            raise RefusalError(400, "bad-request", "the plan's id is not the address's")
+            raise RefusalError(400, "bad-request", "the plan's id differs from the one in the path")
         return answer(self.supervisor.put_operation(plan, request["caller"].name))
 
     async def close_operation(self, request: web.Request) -> web.Response:
@@ -302,12 +308,12 @@
 
     async def claim(self, request: web.Request) -> web.Response:
         asked = await self.read(request, wire.ClaimRequest)
-        made = self.supervisor.claim(asked, request["caller"].name)
-        return answer(wire.Claimed([claim_info(claim) for claim in made]))
+        claims = self.supervisor.claim(asked, request["caller"].name)
+        return answer(wire.Claimed([claim_info(claim) for claim in claims]))
 
     async def renew(self, request: web.Request) -> web.Response:
-        made = self.supervisor.renew(await self.read(request, wire.TokenRequest))
-        return answer(wire.Claimed([claim_info(claim) for claim in made]))
+        claims = self.supervisor.renew(await self.read(request, wire.TokenRequest))
+        return answer(wire.Claimed([claim_info(claim) for claim in claims]))
 
     async def release(self, request: web.Request) -> web.Response:
         self.supervisor.release(await self.read(request, wire.TokenRequest))
--- a/latchspoke/agent/client.py
+++ b/latchspoke/agent/client.py
@@ -1,7 +1,7 @@
-"""Asking agents: one client an agent, and all of them side by side.
+"""Clients of the agents' HTTP interface: one for each agent, and concurrent requests to all of them.
 
-An agent that gives no answer that can be understood raises ``UnheardError``, whatever the way in which it
-does not: nothing may be concluded from it about its instances. One that says no raises ``RefusedError``.
+``UnreachableError`` means that an agent gave no valid answer, so the state of its instances is unknown.
+``RefusedError`` means that it refused the request.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class AgentEntry(msgspec.Struct, frozen=True):
-    """Where an agent is: a Unix socket here, or an address with TLS."""
+    """The address of an agent: a local Unix socket, or a TCP address with TLS."""
 
     socket: str = ""
     address: str = ""
@@ -40,7 +40,7 @@
 
 
 class FleetRecord(msgspec.Struct, frozen=True):
-    """What a tool is told of a fleet."""
+    """The settings of a fleet, for tools."""
 
     agents: dict[str, AgentEntry]
     limit: Seconds
@@ -49,33 +49,33 @@
 
 
 def read_fleet(path: str) -> FleetRecord:
-    """Raises RecordError; paths are meant from the file's own folder."""
+    """Read a fleet file; relative paths start at its folder. Raises RecordError."""
     record = load(path, schema=schema_path("fleet"), definition=DEFINITIONS["fleet"])
-    told = record.convert(FleetRecord)
+    settings = record.convert(FleetRecord)
     base = os.path.dirname(os.path.abspath(path))
     agents = {
         name: msgspec.structs.replace(entry, socket=entry.socket and os.path.join(base, entry.socket))
-        for name, entry in told.agents.items()
+        for name, entry in settings.agents.items()
     }
-    identity = told.identity and Identity(
-        *(os.path.join(base, p) for p in msgspec.structs.astuple(told.identity))
+    identity = settings.identity and Identity(
+        *(os.path.join(base, p) for p in msgspec.structs.astuple(settings.identity))
     )
-    return msgspec.structs.replace(told, agents=agents, identity=identity)
+    return msgspec.structs.replace(settings, agents=agents, identity=identity)
 
 
 def single_agent_fleet(socket: str) -> FleetRecord:
-    """A fleet of the one agent behind this socket."""
+    """A fleet that consists of the agent behind this socket."""
     schema = schema_path("fleet").read_text()
     text = f"agents: here: socket: {msgspec.json.encode(os.path.abspath(socket)).decode()}"
     return load_text(text, "--socket", schema, DEFINITIONS["fleet"]).convert(FleetRecord)
 
 
 class UnreachableError(Exception):
-    """No answer, or none that can be understood: what is asked about is unknown."""
+    """An agent gave no answer, or an invalid one; the state of its instances is unknown."""
 
 
 class RefusedError(Exception):
-    """A clear no."""
+    """An agent refused a request."""
 
     def __init__(self, problem: wire.Problem) -> None:
         super().__init__(problem.error)
@@ -83,9 +83,10 @@
 
 
 def refused_by_tls(error: BaseException | None) -> bool:
-    """With TLS 1.3 a client is done with its handshake before the other side has looked at its certificate.
+    """Whether the error may mean that the server refused the client's certificate.
 
-    That it is refused comes as an alert with the first read, or as a mere reset where the alert is lost.
+    In TLS 1.3 the client finishes the handshake before the server has verified the client's certificate, so a
+    refusal arrives as an alert with the first read, or as a connection reset.
     """
     while error is not None:
         if isinstance(error, ConnectionResetError | aiohttp.ServerDisconnectedError):
@@ -97,7 +98,7 @@
 
 
 class AgentClient:
-    """One agent."""
+    """The client of one agent."""
 
     def __init__(self, name: str, entry: AgentEntry, limit: float, tls: ssl.SSLContext | None) -> None:
         self.name, self.entry, self.limit = name, entry, limit
@@ -106,8 +107,8 @@
             connector, self.base = aiohttp.UnixConnector(entry.socket), "http://agent"
         else:
             if tls is None:
-                where = Position("the fleet's file", 1, 1)
-                raise RecordError(where, f"agents.{name}", "an address", "an identity for TLS beside it")
+                position = Position("the fleet's file", 1, 1)
+                raise RecordError(position, f"agents.{name}", "an address", "an identity for TLS beside it")
             connector, self.base = aiohttp.TCPConnector(ssl=tls), f"https://{entry.address}"
         self.web = aiohttp.ClientSession(connector=connector)
 
@@ -117,7 +118,7 @@
     async def call(
         self, kind: type[T], method: str, path: str, body: Any = None, limit: float | None = None
     ) -> T:
-        """One question, within the limit; raises UnheardError or RefusedError."""
+        """Send one request, with a timeout in seconds. Raises UnreachableError or RefusedError."""
         limit = self.limit if limit is None else limit
         data = wire.encode(body) if body is not None else None
         try:
@@ -125,34 +126,34 @@
                 method, self.base + path, data=data, timeout=aiohttp.ClientTimeout(total=limit),
                 headers={wire.HEADER: str(wire.INTERFACE)},
             ) as answer:  # fmt: skip
-                return self.understand(kind, answer, await answer.read())
+                return self.decode_answer(kind, answer, await answer.read())
         except TimeoutError:
-            raise UnreachableError(f"agent {self.name}: silent for {limit:g} s") from None
+            raise UnreachableError(f"agent {self.name}: no answer within {limit:g} s") from None
         except aiohttp.ClientConnectorCertificateError as e:
             why = getattr(e.certificate_error, "verify_message", "") or e.certificate_error
             raise UnreachableError(f"agent {self.name}: its certificate is not trusted ({why})") from None
         except aiohttp.ClientConnectorError as e:
-            raise UnreachableError(f"agent {self.name}: not there ({e.os_error.strerror or e})") from None
+            raise UnreachableError(f"agent {self.name}: can't connect ({e.os_error.strerror or e})") from None
         except (aiohttp.ClientError, OSError, ValueError) as e:
             if self.entry.address and refused_by_tls(e):
-                why = "it ends the connection after the handshake; its history tells why"
+                why = "it closed the connection after the handshake; its event history has the reason"
                 raise UnreachableError(
-                    f"agent {self.name}: refuses this certificate, it seems ({why})"
+                    f"agent {self.name}: probably refuses this certificate ({why})"
                 ) from None
             what = type(e).__name__
-            raise UnreachableError(f"agent {self.name}: answers what is not understood ({what})") from None
+            raise UnreachableError(f"agent {self.name}: gave an invalid answer ({what})") from None
 
-    def understand(self, kind: type[T], answer: aiohttp.ClientResponse, told: bytes) -> T:
-        spoken = answer.headers.get(wire.HEADER)
-        if spoken != str(wire.INTERFACE):
-            other = f"interface {spoken}" if spoken else "no interface of ours"
-            raise UnreachableError(f"agent {self.name}: speaks {other}, this tool speaks {wire.INTERFACE}")
+    def decode_answer(self, kind: type[T], answer: aiohttp.ClientResponse, body: bytes) -> T:
+        version = answer.headers.get(wire.HEADER)
+        if version != str(wire.INTERFACE):
+            spoken = f"interface {version}" if version else "no known interface"
+            raise UnreachableError(f"agent {self.name}: speaks {spoken}, this tool speaks {wire.INTERFACE}")
         try:
             if answer.status == 200:
-                return wire.decode(kind, told)
-            problem = wire.decode(wire.Problem, told)
+                return wire.decode(kind, body)
+            problem = wire.decode(wire.Problem, body)
         except msgspec.MsgspecError as e:
-            raise UnreachableError(f"agent {self.name}: answers what is not understood ({e})") from None
+            raise UnreachableError(f"agent {self.name}: gave an invalid answer ({e})") from None
         raise RefusedError(problem)
 
     async def listing(self) -> wire.Listing:
@@ -161,7 +162,7 @@
     async def views(self, names: Iterable[str] = ()) -> wire.ViewAnswer:
         query = "&".join(f"name={name}" for name in names)
         path = f"/v1/views?{query}" if query else "/v1/views"
-        # The agent asks its gateways in turn, and each may take its own limit.
+        # The agent waits for its gateways, which have time limits of their own.
         return await self.call(wire.ViewAnswer, "GET", path, limit=2 * self.limit)
 
     async def events(self, after: int = 0, wait: float = 0.0) -> wire.Events:
@@ -184,10 +185,10 @@
     async def claim(
         self, names: list[str], operation: str, ttl: float, fence: dict[str, int] | None = None
     ) -> dict[str, int]:
-        """The tokens by instance."""
+        """Claim instances; returns the tokens by instance."""
         body = wire.ClaimRequest(names, operation, ttl, fence or {})
-        told = await self.call(wire.Claimed, "POST", "/v1/claims", body)
-        return {claim.instance: claim.token for claim in told.claims}
+        answer = await self.call(wire.Claimed, "POST", "/v1/claims", body)
+        return {claim.instance: claim.token for claim in answer.claims}
 
     async def renew(self, tokens: dict[str, int], ttl: float) -> None:
         await self.call(wire.Claimed, "POST", "/v1/claims/renew", wire.TokenRequest(tokens, ttl))
@@ -200,14 +201,14 @@
 
 
 class Fleet:
-    """All agents that the file names."""
+    """The clients of all agents of a fleet."""
 
     def __init__(self, record: FleetRecord, tls: ssl.SSLContext | None = None) -> None:
         self.record = record
         self.clients = {
             name: AgentClient(name, entry, record.limit, tls) for name, entry in record.agents.items()
         }
-        self.gate = asyncio.Semaphore(record.parallel)
+        self.concurrency_limit = asyncio.Semaphore(record.parallel)
 
     async def __aenter__(self) -> Fleet:
         return self
@@ -218,24 +219,24 @@
     async def ask(
         self, question: Callable[[AgentClient], Coroutine[Any, Any, T]], names: Iterable[str] | None = None
     ) -> dict[str, T | UnreachableError | RefusedError]:
-        """Ask agents side by side; each answers, refuses or is unheard, and none holds up another."""
+        """Call agents concurrently; the result for each is its answer, or the error it raised."""
 
-        async def one(client: AgentClient) -> T | UnreachableError | RefusedError:
-            async with self.gate:
+        async def ask_agent(client: AgentClient) -> T | UnreachableError | RefusedError:
+            async with self.concurrency_limit:
                 try:
                     return await question(client)
                 except (UnreachableError, RefusedError) as e:
                     return e
 
         chosen = sorted(self.clients if names is None else names)
-        told = await asyncio.gather(*(one(self.clients[name]) for name in chosen))
-        return dict(zip(chosen, told, strict=True))
+        answers = await asyncio.gather(*(ask_agent(self.clients[name]) for name in chosen))
+        return dict(zip(chosen, answers, strict=True))
 
     async def refresh_view(self, view: FleetView, now: Callable[[], float]) -> FleetView:
-        """The next version of the view."""
-        for name, told in (await self.ask(lambda client: client.listing())).items():
-            if isinstance(told, wire.Listing):
-                view = view.told(name, told, now())
+        """Ask all agents for their instances and return the updated view."""
+        for name, answer in (await self.ask(lambda client: client.listing())).items():
+            if isinstance(answer, wire.Listing):
+                view = view.told(name, answer, now())
             else:
-                view = view.unheard(name, str(told))
+                view = view.unheard(name, str(answer))
         return view
--- a/latchspoke/agent/config.py
+++ b/latchspoke/agent/config.py
@@ -1,4 +1,4 @@
-"""What an agent is told: a typed record (schema ``agent``), with its paths made whole."""
+"""The agent's settings: typed records (schema ``agent``), with absolute paths."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from latchspoke.records.load import Seconds
 from latchspoke.records.schemas import DEFINITIONS, schema_path
 
-RULES_START = 86_400.0  # s; the least limit on the start of a gateway that goes by rules
-SOCKET_PATH_MOST = 107  # bytes; the kernel's limit on a Unix socket's path
+RULES_START_LIMIT_S = 86_400.0  # shortest start limit of a gateway that depends on rules
+SOCKET_PATH_MAX_BYTES = 107  # the kernel's limit
 
 
 class LimitsRecord(msgspec.Struct, frozen=True, rename="camel"):
-    """Durations in seconds; see the schema for what each is."""
+    """Limits of an instance, in seconds; the schema describes each."""
 
     start: Seconds
     drain: Seconds
@@ -37,14 +37,14 @@
 
 
 class RulesRecord(msgspec.Struct, frozen=True):
-    """``members``: agents' sockets, this agent's own unless named; ``start``: wait, or known."""
+    """``members``: agents' sockets, by default this agent's own; ``start``: ``wait`` or ``known``."""
 
     start: str
     members: list[str] = []
 
 
 class InstanceRecord(msgspec.Struct, frozen=True):
-    """One gateway of this host."""
+    """One gateway on this host."""
 
     config: str
     listen: str
@@ -58,7 +58,7 @@
 
 
 class TlsRecord(msgspec.Struct, frozen=True):
-    """Files of the agent's certificate, its key, and the fleet's authority."""
+    """The TCP listen address, and the files of the agent's certificate, its key and the fleet's authority."""
 
     listen: str
     certificate: str
@@ -72,7 +72,7 @@
 
 
 class DutiesRecord(msgspec.Struct, frozen=True):
-    """The program's own duties, for which this agent stands; ``fleet`` names the file of the whole fleet."""
+    """The built-in duties for which this agent is a candidate; ``fleet`` is the path of the fleet file."""
 
     fleet: str
     resume: bool
@@ -83,7 +83,7 @@
 
 
 class MembersRecord(msgspec.Struct, frozen=True):
-    """``peers``: the addresses of all members of the replicated log, this agent's as well."""
+    """``peers``: the addresses of all members of the replicated log, including this agent's own."""
 
     peers: dict[str, str]
     first: bool
@@ -95,7 +95,7 @@
 
 
 class AgentRecord(msgspec.Struct, frozen=True):
-    """The whole file."""
+    """The agent's settings file."""
 
     name: str
     folder: str
@@ -113,101 +113,111 @@
         return self.home / "run" / instance / "admin.sock"
 
     def command(self, instance: str) -> list[str]:
-        told = self.instances[instance].command or [sys.executable, "-m", "latchspoke", "serve"]
-        return [*told, "--admin", str(self.admin_path(instance))]
+        command = self.instances[instance].command or [sys.executable, "-m", "latchspoke", "serve"]
+        return [*command, "--admin", str(self.admin_path(instance))]
 
     def environment(self, instance: str) -> dict[str, str]:
-        """What a gateway is told on the platform, in the same variables."""
+        """The environment variables of a gateway, the same as those set by the platform."""
         record = self.instances[instance]
-        told = {"GW_NAME": instance, "GW_LISTEN": record.listen, "GW_CONFIG": record.config}
+        variables = {"GW_NAME": instance, "GW_LISTEN": record.listen, "GW_CONFIG": record.config}
         if record.discovery:
-            told["GW_DISCOVERY"] = record.discovery
+            variables["GW_DISCOVERY"] = record.discovery
         if record.rules is not None:
-            told["GW_MEMBERS"] = ",".join(record.rules.members or [self.socket])
-            told["GW_RULES_KEPT"] = str(self.home / f"{instance}.rules.json")
-            told["GW_RULES_START"] = record.rules.start
-        return told | record.environment
+            variables["GW_MEMBERS"] = ",".join(record.rules.members or [self.socket])
+            variables["GW_RULES_KEPT"] = str(self.home / f"{instance}.rules.json")
+            variables["GW_RULES_START"] = record.rules.start
+        return variables | record.environment
 
 
 def read_agent(path: str) -> AgentRecord:
-    """Raises RecordError. Paths in the file are meant from the file's own folder."""
+    """Read the settings; relative paths start at the file's folder. Raises RecordError."""
     record = load(path, schema=schema_path("agent"), definition=DEFINITIONS["agent"])
-    told = record.convert(AgentRecord)
+    agent = record.convert(AgentRecord)
     base = Path(path).resolve().parent
 
-    def whole(name: str) -> str:
+    def absolute(name: str) -> str:
         return str(base / name) if name else name
 
-    tls = told.tls and msgspec.structs.replace(
-        told.tls, certificate=whole(told.tls.certificate), key=whole(told.tls.key),
-        authority=whole(told.tls.authority),
+    tls = agent.tls and msgspec.structs.replace(
+        agent.tls, certificate=absolute(agent.tls.certificate), key=absolute(agent.tls.key),
+        authority=absolute(agent.tls.authority),
     )  # fmt: skip
     instances = {
         name: msgspec.structs.replace(
             instance,
-            config=whole(instance.config),
-            limits=patient(instance),
+            config=absolute(instance.config),
+            limits=limits_for_rules(instance),
             rules=instance.rules
             and msgspec.structs.replace(
-                instance.rules, members=[whole(path) for path in instance.rules.members]
+                instance.rules, members=[absolute(path) for path in instance.rules.members]
             ),
         )
-        for name, instance in told.instances.items()
+        for name, instance in agent.instances.items()
     }
-    members = told.members
+    members = agent.members
     if members is not None and members.duties is not None:
-        duties = msgspec.structs.replace(members.duties, fleet=whole(members.duties.fleet))
+        duties = msgspec.structs.replace(members.duties, fleet=absolute(members.duties.fleet))
         members = msgspec.structs.replace(members, duties=duties)
-    told = msgspec.structs.replace(
-        told,
-        folder=whole(told.folder),
-        socket=whole(told.socket),
+    agent = msgspec.structs.replace(
+        agent,
+        folder=absolute(agent.folder),
+        socket=absolute(agent.socket),
         tls=tls,
         instances=instances,
         members=members,
     )
-    check(told, Position(path, 1, 1))
-    return told
+    check(agent, Position(path, 1, 1))
+    return agent
 
 
-def patient(instance: InstanceRecord) -> LimitsRecord:
-    """A gateway that waits for a right to act is not ready, and to start it again would not help."""
+def limits_for_rules(instance: InstanceRecord) -> LimitsRecord:
+    """The limits, with a long start limit if the gateway depends on rules.
+
+    Such a gateway is not ready until it gets its rules, and a restart would not help.
+    """
     if instance.rules is None:
         return instance.limits
-    return msgspec.structs.replace(instance.limits, start=Seconds(max(instance.limits.start, RULES_START)))
+    return msgspec.structs.replace(
+        instance.limits, start=Seconds(max(instance.limits.start, RULES_START_LIMIT_S))
+    )
 
 
-def check_members(told: MembersRecord, name: str, secure: bool, at: Position) -> None:
-    """``secure``: the agent has a certificate. Without TLS members speak on loopback only."""
-    if told.tls and not secure:
-        raise RecordError(at, "members.tls", "without the agent's own `tls`", "its certificate there")
-    if name not in told.peers:
+def check_members(members: MembersRecord, name: str, has_certificate: bool, position: Position) -> None:
+    """Check the settings of a member. Without TLS, only loopback addresses are allowed."""
+    if members.tls and not has_certificate:
+        raise RecordError(position, "members.tls", "without the agent's own `tls`", "its certificate there")
+    if name not in members.peers:
         raise RecordError(
-            at, "members.peers", f"{name}, this agent, is not among them", "its own address too"
+            position, "members.peers", f"{name}, this agent, is not among them", "its own address too"
         )
-    for peer, where in told.peers.items():
-        host = where.rpartition(":")[0].strip("[]")
+    for peer, address in members.peers.items():
+        host = address.rpartition(":")[0].strip("[]")
         try:
             loopback = ipaddress.ip_address(host).is_loopback
         except ValueError:
             loopback = False
-        if not loopback and not told.tls:
-            raise RecordError(at, f"members.peers.{peer}", where, "`tls: true`, or an address on loopback")
+        if not loopback and not members.tls:
+            raise RecordError(
+                position, f"members.peers.{peer}", address, "`tls: true`, or an address on loopback"
+            )
 
 
-def check(told: AgentRecord, at: Position) -> None:
-    """What types alone don't say."""
-    if told.members is not None:
-        check_members(told.members, told.name, told.tls is not None, at)
+def check(agent: AgentRecord, position: Position) -> None:
+    """Check constraints between fields. Raises RecordError."""
+    if agent.members is not None:
+        check_members(agent.members, agent.name, agent.tls is not None, position)
     listens: dict[str, str] = {}
-    for name, instance in told.instances.items():
-        other = listens.setdefault(instance.listen, name)
-        if other != name:
+    for name, instance in agent.instances.items():
+        other_instance = listens.setdefault(instance.listen, name)
+        if other_instance != name:
             raise RecordError(
-                at, f"instances.{name}.listen", f"{instance.listen}, as {other} has", "an address of its own"
+                position,
+                f"instances.{name}.listen",
+                f"{instance.listen}, as {other_instance} has",
+                "an address of its own",
             )
-    for path in (told.socket, *(str(told.admin_path(name)) for name in told.instances)):
-        if len(path.encode()) > SOCKET_PATH_MOST:
+    for path in (agent.socket, *(str(agent.admin_path(name)) for name in agent.instances)):
+        if len(path.encode()) > SOCKET_PATH_MAX_BYTES:
             raise RecordError(
-                at, "folder", f"the socket path {path}", f"one of at most {SOCKET_PATH_MOST} bytes"
+                position, "folder", f"the socket path {path}", f"one of at most {SOCKET_PATH_MAX_BYTES} bytes"
             )
--- a/latchspoke/agent/holder_driver.py
+++ b/latchspoke/agent/holder_driver.py
@@ -13,9 +13,8 @@
 
 HEARTBEAT_TIMEOUT_S = 1.5  # for one member; the next heartbeat goes to another one
 
-SendHeartbeat = Callable[
-    [Beat, int], Awaitable[Answer | None]
-]  # arguments: the heartbeat, the index of the member
+# Called with the heartbeat and the index of the member to ask.
+SendHeartbeat = Callable[[Beat, int], Awaitable[Answer | None]]
 
 
 class HolderDriver:
--- a/latchspoke/agent/members.py
+++ b/latchspoke/agent/members.py
@@ -77,7 +77,7 @@
     """One member of the replicated log as part of a process."""
 
     def __init__(self, name: str, record: MembersRecord, home: Path, tls: TlsRecord | None = None) -> None:
-        """Raises LedgerError, KeysError."""
+        """Raises RaftStoreError, KeysError."""
         self.name, self.record = name, record
         peer_tls = PeerTls(tls) if record.tls and tls is not None else None
         self.raft_store = RaftStore(home / "members.db")
--- a/latchspoke/agent/peer_transport.py
+++ b/latchspoke/agent/peer_transport.py
@@ -1,7 +1,7 @@
-"""Connections between members: frames one way on each, made again when they break. Any frame may be lost.
+"""Connections between members: each carries frames in one direction and is reopened when it breaks.
 
-With TLS on both sides wherever addresses leave this machine: a frame counts as its sender's only by the
-certificate that the fleet's authority gave that agent.
+Any frame may be lost. Addresses beyond loopback need mutual TLS; a frame is attributed to its sender only by
+the certificate that the fleet's authority issued to that agent.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 log = structlog.get_logger("agent.links")
 
-FRAME_MOST = 64 * 1024 * 1024
-WAITING_MOST = 2000  # frames for one that takes none; older ones go first
-AGAIN = (0.05, 1.0)  # s between tries to connect: at first, and at most
-DIAL = 1.0  # s
-FOLLOW = 1.0  # s between looks at the certificate's files
+FRAME_MAX_BYTES = 64 * 1024 * 1024
+SEND_QUEUE_MAX_FRAMES = 2000  # per peer; beyond it the oldest are dropped
+RECONNECT_DELAY_S = (0.05, 1.0)  # first and longest
+CONNECT_TIMEOUT_S = 1.0
+CERTIFICATE_POLL_S = 1.0
 
 
 class Hello(msgspec.Struct, frozen=True, tag="greet"):
@@ -39,13 +39,13 @@
 
 
 class ConsensusMessage(msgspec.Struct, frozen=True, tag="said"):
-    """A message of the log's own."""
+    """An encoded message of the consensus protocol."""
 
     data: bytes
 
 
 class AskFrame(msgspec.Struct, frozen=True, tag="ask"):
-    """A holder's beat, a command or a look; one of them."""
+    """A request to another member; exactly one field besides ``number`` is set."""
 
     number: int
     beat: Beat | None = None
@@ -55,7 +55,7 @@
 
 
 class ReplyFrame(msgspec.Struct, frozen=True, tag="reply"):
-    """One of them."""
+    """The reply to a request; exactly one field besides ``number`` is set."""
 
     number: int
     answer: Answer | None = None
@@ -70,80 +70,86 @@
 DECODER: msgspec.msgpack.Decoder[Frame] = msgspec.msgpack.Decoder(Frame)
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class PeerTls:
-    """This member's certificate, for both ends of a connection; renewed files are taken up."""
+    """This member's certificate, for accepted and opened connections; reloads renewed files."""
 
     def __init__(self, record: TlsRecord) -> None:
         """Raises KeysError."""
         files = record.certificate, record.key, record.authority
-        self.here, self.there = Identity(*files, server=True), Identity(*files, server=False)
+        self.server_identity, self.client_identity = (
+            Identity(*files, server=True),
+            Identity(*files, server=False),
+        )
 
-    async def follow(self) -> None:
+    async def reload_loop(self) -> None:
         while True:
-            await asyncio.sleep(FOLLOW)
-            for identity in (self.here, self.there):
+            await asyncio.sleep(CERTIFICATE_POLL_S)
+            for identity in (self.server_identity, self.client_identity):
                 try:
                     identity.renewed()
                 except KeysError as e:
                     log.warning("certificate", error=str(e))
 
 
-def certified(writer: asyncio.StreamWriter, name: str) -> bool:
-    """Whether the other end is this agent by its certificate; always, where there is no TLS."""
+def certificate_matches(writer: asyncio.StreamWriter, name: str) -> bool:
+    """Whether the peer's certificate names this agent; true without TLS."""
     if writer.get_extra_info("ssl_object") is None:
         return True
     return peer(writer.get_extra_info("peercert")) == ("agent", name)
 
 
 class PeerConnection:
-    """What goes to one other member."""
+    """The outgoing connection to one other member, with its queue of frames."""
 
-    def __init__(self, name: str, where: str, greet: Hello, tls: PeerTls | None) -> None:
-        self.name, self.where, self.greet = name, address(where), greet
-        self.context = tls.there.context if tls is not None else None
-        self.refused = ""
-        self.waiting: deque[Frame] = deque(maxlen=WAITING_MOST)
-        self.news = asyncio.Event()
-        self.task = asyncio.get_running_loop().create_task(self.work())
+    def __init__(self, name: str, address: str, hello: Hello, tls: PeerTls | None) -> None:
+        self.name, self.address, self.hello = name, parse_address(address), hello
+        self.context = tls.client_identity.context if tls is not None else None
+        self.last_refusal = ""
+        self.send_queue: deque[Frame] = deque(maxlen=SEND_QUEUE_MAX_FRAMES)
+        self.frame_queued = asyncio.Event()
+        self.task = asyncio.get_running_loop().create_task(self.run())
 
     def send(self, frame: Frame) -> None:
-        self.waiting.append(frame)
-        self.news.set()
+        self.send_queue.append(frame)
+        self.frame_queued.set()
 
-    async def work(self) -> None:
-        pause = AGAIN[0]
+    async def run(self) -> None:
+        delay = RECONNECT_DELAY_S[0]
         while True:
             try:
-                async with asyncio.timeout(DIAL):
-                    reader, writer = await asyncio.open_connection(*self.where, ssl=self.context)
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    reader, writer = await asyncio.open_connection(*self.address, ssl=self.context)
                 try:
-                    if certified(writer, self.name):
-                        pause = AGAIN[0]
-                        await self.carry(reader, writer)
+                    if certificate_matches(writer, self.name):
+                        delay = RECONNECT_DELAY_S[0]
+                        await self.serve_connection(reader, writer)
                     else:
-                        self.refuse("its certificate is another's")
+                        self.log_refusal("its certificate names another agent")
                 finally:
                     writer.close()
             except ssl.SSLError as e:
-                self.refuse(str(getattr(e, "verify_message", "") or e.reason or e))
+                self.log_refusal(str(getattr(e, "verify_message", "") or e.reason or e))
             except (OSError, TimeoutError):
                 pass
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, AGAIN[1])
+            await asyncio.sleep(delay)
+            delay = min(delay * 2, RECONNECT_DELAY_S[1])
 
-    def refuse(self, why: str) -> None:
-        """Told once for each reason in a row."""
-        if why != self.refused:
+    def log_refusal(self, why: str) -> None:
+        """Log a refusal, unless it has the same reason as the last one."""
+        if why != self.last_refusal:
             log.warning("not-trusted", member=self.name, error=why)
-        self.refused = why
+        self.last_refusal = why
 
-    async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Until it breaks; noticed also with nothing to say, or the other never hears a greeting again."""
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Write frames until the connection breaks.
+
+        The read detects a break also while there is nothing to write, so that the hello frame is sent again.
+        """
         tasks = [asyncio.ensure_future(self.write(writer)), asyncio.ensure_future(reader.read(1))]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -153,81 +159,81 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     async def write(self, writer: asyncio.StreamWriter) -> None:
-        put(writer, self.greet)
+        write_frame(writer, self.hello)
         while True:
-            while self.waiting:
-                put(writer, self.waiting.popleft())
-            self.news.clear()
+            while self.send_queue:
+                write_frame(writer, self.send_queue.popleft())
+            self.frame_queued.clear()
             await writer.drain()
-            await self.news.wait()
+            await self.frame_queued.wait()
 
 
-def put(writer: asyncio.StreamWriter, frame: Frame) -> None:
+def write_frame(writer: asyncio.StreamWriter, frame: Frame) -> None:
     data = ENCODER.encode(frame)
     writer.write(len(data).to_bytes(4, "big") + data)
 
 
 class PeerTransport:
-    """All of one member's. ``heard`` gets each frame with its sender's name."""
+    """All connections of one member; ``on_frame`` is called with the sender's name and the frame."""
 
     def __init__(
         self,
-        greet: Hello,
+        hello: Hello,
         peers: dict[str, str],
-        heard: Callable[[str, Frame], None],
+        on_frame: Callable[[str, Frame], None],
         tls: PeerTls | None = None,
     ) -> None:
-        self.heard, self.tls = heard, tls
-        self.links = {
-            name: PeerConnection(name, where, greet, tls)
-            for name, where in peers.items()
-            if name != greet.name
+        self.on_frame, self.tls = on_frame, tls
+        self.connections = {
+            name: PeerConnection(name, address, hello, tls)
+            for name, address in peers.items()
+            if name != hello.name
         }
         self.server: asyncio.Server | None = None
-        self.following: asyncio.Task[None] | None = None
-        self.readers: set[asyncio.StreamWriter] = set()
+        self.reload_task: asyncio.Task[None] | None = None
+        self.incoming: set[asyncio.StreamWriter] = set()
 
-    async def listen(self, where: str) -> None:
+    async def listen(self, address: str) -> None:
         """Raises OSError."""
-        context = self.tls.here.context if self.tls is not None else None
-        self.server = await asyncio.start_server(self.read, *address(where), ssl=context)
+        context = self.tls.server_identity.context if self.tls is not None else None
+        self.server = await asyncio.start_server(self.receive, *parse_address(address), ssl=context)
         if self.tls is not None:
-            self.following = asyncio.get_running_loop().create_task(self.tls.follow())
+            self.reload_task = asyncio.get_running_loop().create_task(self.tls.reload_loop())
 
-    async def read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         name = ""
-        self.readers.add(writer)
+        self.incoming.add(writer)
         try:
             while True:
                 size = int.from_bytes(await reader.readexactly(4), "big")
-                if size > FRAME_MOST:
-                    raise records.RecordsError(f"a frame of {size} bytes")
+                if size > FRAME_MAX_BYTES:
+                    raise records.RecordsError(f"frame of {size} bytes exceeds the limit")
                 frame = DECODER.decode(await reader.readexactly(size))
                 if isinstance(frame, Hello):
                     name = frame.name
-                    if not certified(writer, name):
-                        raise records.RecordsError(f"its certificate is not that of agent {name}")
-                if name not in self.links:
-                    raise records.RecordsError(f"{name or 'one without a name'} is no member here")
-                self.heard(name, frame)
+                    if not certificate_matches(writer, name):
+                        raise records.RecordsError(f"its certificate does not name agent {name}")
+                if name not in self.connections:
+                    raise records.RecordsError(f"{name or 'unnamed peer'} is not a configured member")
+                self.on_frame(name, frame)
         except (records.RecordsError, msgspec.MsgspecError) as e:
             log.warning("refused", member=name, error=str(e))
         except (OSError, asyncio.IncompleteReadError):
             pass
         finally:
-            self.readers.discard(writer)
+            self.incoming.discard(writer)
             writer.close()
 
     def send(self, name: str, frame: Frame) -> None:
-        if name in self.links:
-            self.links[name].send(frame)
+        if name in self.connections:
+            self.connections[name].send(frame)
 
     def stop(self) -> None:
         if self.server is not None:
             self.server.close()
-        if self.following is not None:
-            self.following.cancel()
-        for link in self.links.values():
-            link.task.cancel()
-        for writer in list(self.readers):
+        if self.reload_task is not None:
+            self.reload_task.cancel()
+        for connection in self.connections.values():
+            connection.task.cancel()
+        for writer in list(self.incoming):
             writer.close()
--- a/latchspoke/agent/process.py
+++ b/latchspoke/agent/process.py
@@ -1,9 +1,9 @@
-"""Processes of gateways: made, found again after the agent's own death, signalled, and their ends read.
+"""Starts gateway processes, finds them after a restart of the agent, signals them and reads exit statuses.
 
-A gateway is started under a *keeper*, a shell that waits for it and writes its pid and its exit status to
-files in the launch's folder. So the status is known even if the agent was away when the gateway ended.
-A process is the one that was started only if the kernel's start time and the mark in its environment are
-the same; signals go through a pidfd, so that a pid that is used again is never hit.
+A gateway runs under a wrapper shell that waits for it and writes its PID and its exit status to files in the
+folder of the launch, so the status is known even if the agent was not running when the gateway exited. A
+process is recognized by the kernel's start time and a mark in its environment. Signals go through a pidfd,
+so a reused PID never receives one.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 MARK = "LATCHSPOKE_LAUNCH"
-KEEPER = """
+WRAPPER_SCRIPT = """
 d=$1; log=$2; shift 2
 "$@" </dev/null >>"$log" 2>&1 &
 p=$!
@@ -25,23 +25,23 @@
 s=$?
 echo $s >"$d/exit.new" && mv "$d/exit.new" "$d/exit"
 """
-PID_WITHIN = 5.0  # s; for the keeper to have started it
-STATUS_WITHIN = 2.0  # s after the end; for the keeper to have written the status
-LOOK = 0.01  # s between looks at a file that is about to come
+PID_TIMEOUT_S = 5.0  # for the wrapper to start the gateway
+STATUS_TIMEOUT_S = 2.0  # for the wrapper to write the exit status
+POLL_INTERVAL_S = 0.01
 
 
-def started_ticks(pid: int) -> int | None:
-    """When a process started, in ticks since boot; None where there is none, or only its zombie."""
+def start_ticks(pid: int) -> int | None:
+    """The start time of a process in clock ticks since boot; None if it does not exist or is a zombie."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
         return None
-    fields = text.rpartition(")")[2].split()  # the name before it may hold anything
+    fields = text.rpartition(")")[2].split()  # the name before it may contain spaces and parentheses
     return None if fields[0] in ("Z", "X") else int(fields[19])
 
 
-def marked(pid: int, mark: str) -> bool:
-    """Whether the process was started with this mark."""
+def has_mark(pid: int, mark: str) -> bool:
+    """Whether the process has this mark in its environment."""
     try:
         return f"{MARK}={mark}".encode() in Path(f"/proc/{pid}/environ").read_bytes().split(b"\0")
     except OSError:
@@ -55,48 +55,48 @@
         return None
 
 
-async def wait_number(path: Path, within: float) -> int | None:
-    """A number that another process is about to write whole."""
+async def wait_number(path: Path, timeout_s: float) -> int | None:
+    """Wait for a file that another process creates atomically, and return the number in it."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + within
-    while (number := read_number(path)) is None and loop.time() < end:
-        await asyncio.sleep(LOOK)
+    deadline = loop.time() + timeout_s
+    while (number := read_number(path)) is None and loop.time() < deadline:
+        await asyncio.sleep(POLL_INTERVAL_S)
     return number
 
 
 class Process:
-    """A gateway's process that is surely the one, until it ends."""
+    """A gateway's process, identified by a pidfd."""
 
     def __init__(self, pid: int, started: int, fd: int) -> None:
         self.pid, self.started, self.fd = pid, started, fd
 
     @classmethod
     def find(cls, pid: int, mark: str, started: int | None = None) -> Process | None:
-        """The process of this launch if it still runs. The pidfd is opened first, so it can't change."""
+        """The process of this launch if it still runs; opens the pidfd first, against reuse of the PID."""
         try:
             fd = os.pidfd_open(pid)
         except OSError:
             return None
-        ticks = started_ticks(pid)
-        if ticks is None or started not in (None, ticks) or not marked(pid, mark):
+        ticks = start_ticks(pid)
+        if ticks is None or started not in (None, ticks) or not has_mark(pid, mark):
             os.close(fd)
             return None
         return cls(pid, ticks, fd)
 
     def signal(self, number: int) -> None:
-        """One that has ended takes no signal, and that is no error."""
+        """Send a signal; does nothing if the process has ended."""
         with contextlib.suppress(ProcessLookupError):
             signal.pidfd_send_signal(self.fd, number)
 
-    def on_end(self, call: Callable[[], object]) -> None:
-        asyncio.get_running_loop().add_reader(self.fd, self.ended, call)
+    def on_end(self, callback: Callable[[], object]) -> None:
+        asyncio.get_running_loop().add_reader(self.fd, self.handle_end, callback)
 
-    def ended(self, call: Callable[[], object]) -> None:
-        self.forget()
-        call()
+    def handle_end(self, callback: Callable[[], object]) -> None:
+        self.stop_watching()
+        callback()
 
-    def forget(self) -> None:
-        """Look no more; the process goes on if it still runs."""
+    def stop_watching(self) -> None:
+        """Close the pidfd; the process keeps running."""
         if self.fd >= 0:
             asyncio.get_running_loop().remove_reader(self.fd)
             os.close(self.fd)
@@ -104,11 +104,11 @@
 
 
 class Launcher:
-    """Makes the processes of one agent's instances, and knows their folders."""
+    """Starts the processes of one agent's instances and manages their folders."""
 
     def __init__(self, home: Path) -> None:
         self.home = home
-        self.keepers: set[asyncio.subprocess.Process] = set()
+        self.wrappers: set[asyncio.subprocess.Process] = set()
 
     def folder(self, name: str, launch: int) -> Path:
         return self.home / "run" / name / str(launch)
@@ -122,23 +122,23 @@
     async def start(
         self, name: str, launch: int, command: list[str], environment: Mapping[str, str]
     ) -> Process | str:
-        """The process, or one line that says why there is none."""
+        """Start a process; returns it, or one line with the reason for the failure."""
         folder = self.folder(name, launch)
         try:
             folder.mkdir(parents=True, exist_ok=True)
             self.log(name).parent.mkdir(exist_ok=True)
-            keeper = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", KEEPER, "keeper", str(folder), str(self.log(name)), *command,
+            wrapper = await asyncio.create_subprocess_exec(
+                "/bin/sh", "-c", WRAPPER_SCRIPT, "keeper", str(folder), str(self.log(name)), *command,
                 env={**os.environ, **environment, MARK: self.mark(name, launch)},
-                start_new_session=True,  # what ends the agent must not end its gateways
+                start_new_session=True,  # a signal to the agent's group must not reach gateways
                 stdin=asyncio.subprocess.DEVNULL,
             )  # fmt: skip
         except OSError as e:
             return f"can't start it: {e}"
-        self.keepers.add(keeper)
-        pid = await wait_number(folder / "pid", PID_WITHIN)
+        self.wrappers.add(wrapper)
+        pid = await wait_number(folder / "pid", PID_TIMEOUT_S)
         if pid is None:
-            return "its keeper told no pid"
+            return "its wrapper shell wrote no PID"
         return Process.find(pid, self.mark(name, launch)) or await self.already_ended(name, launch)
 
     async def already_ended(self, name: str, launch: int) -> str:
@@ -146,26 +146,26 @@
         return "it ended at once" + (f" with code {status}" if status is not None else "")
 
     async def find(self, name: str, launch: int, pid: int, started: int) -> Process | None:
-        """After a restart of the agent. Without a known pid its keeper may just be starting it."""
+        """Find a process after a restart of the agent; waits for the wrapper's file if no PID is recorded."""
         if not pid:
-            told = await wait_number(self.folder(name, launch) / "pid", PID_WITHIN)
-            return Process.find(told, self.mark(name, launch)) if told is not None else None
+            found_pid = await wait_number(self.folder(name, launch) / "pid", PID_TIMEOUT_S)
+            return Process.find(found_pid, self.mark(name, launch)) if found_pid is not None else None
         return Process.find(pid, self.mark(name, launch), started)
 
     async def status(self, name: str, launch: int) -> int | None:
-        """The exit status as a shell has it; None where the keeper could not tell."""
-        return await wait_number(self.folder(name, launch) / "exit", STATUS_WITHIN)
+        """The exit status in a shell's convention; None if the wrapper has not written it."""
+        return await wait_number(self.folder(name, launch) / "exit", STATUS_TIMEOUT_S)
 
-    def newest(self, name: str) -> int:
-        """The last launch that left a folder; 0 where none has."""
+    def newest_launch(self, name: str) -> int:
+        """The number of the last launch that has a folder, or 0."""
         try:
             launches = [int(p.name) for p in (self.home / "run" / name).iterdir() if p.name.isdecimal()]
         except OSError:
             return 0
         return max(launches, default=0)
 
-    def tidy(self, name: str, launch: int) -> None:
-        """Folders of launches long over; the last one's stays for whoever looks."""
+    def remove_old_folders(self, name: str, launch: int) -> None:
+        """Remove the folders of old launches; the previous launch's folder is kept for inspection."""
         for number in range(max(launch - 3, 1), launch - 1):
             folder = self.folder(name, number)
             for file in ("pid", "exit"):
--- a/latchspoke/agent/raft_store.py
+++ b/latchspoke/agent/raft_store.py
@@ -1,7 +1,7 @@
-"""What a member of the replicated log may never forget: its own SQLite file, synced before anything is said.
+"""The durable state of a member of the replicated log: an SQLite file, synced before any message is sent.
 
-Beside the file stands a short note of the last start, written after it. A file that knows of fewer starts
-than the note is an older copy put back, and is refused; so is one with damage. Nothing is guessed.
+A start file beside the database records the number of the last start and is written after the database. A
+database that records fewer starts is an older copy that was restored, and is refused, as is a damaged one.
 """
 
 from __future__ import annotations
@@ -26,41 +26,41 @@
 
 
 class RaftStoreError(Exception):
-    """The ledger can't be used, or not now; one line says why."""
+    """The store can't be used, or a write failed; the message is one line."""
 
 
 class StartRecord(msgspec.Struct, frozen=True):
-    """Who this store belongs to, and how often it was started."""
+    """The member that this store belongs to, and the number of its starts."""
 
     identity: str
     boot: int
 
 
 @contextlib.contextmanager
-def told(path: Path) -> Iterator[None]:
+def translate_errors(path: Path) -> Iterator[None]:
     try:
         yield
     except (sqlite3.Error, OSError) as e:
         raise RaftStoreError(f"{path} can't be used: {e}") from None
     except msgspec.MsgspecError as e:
-        raise RaftStoreError(f"{path} holds what can't be read: {e}") from None
+        raise RaftStoreError(f"{path} holds data that can't be decoded: {e}") from None
 
 
 class RaftStore:
-    """One open file. Its calls may come from any thread, one at a time."""
+    """One open database. Calls may come from any thread, one at a time."""
 
     def __init__(self, path: Path, exclusive: bool = False) -> None:
-        """``alone``: no other process opens the file, so no memory is shared by way of a mapped one."""
-        self.path, self.note, self.exclusive = path, path.with_suffix(".start"), exclusive
-        with told(path):
+        """``exclusive``: no other process opens the file, so SQLite needs no shared memory."""
+        self.path, self.start_file, self.exclusive = path, path.with_suffix(".start"), exclusive
+        with translate_errors(path):
             self.db = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
             try:
-                self.prepare()
+                self.open_database()
             except BaseException:
                 self.db.close()
                 raise
 
-    def prepare(self) -> None:
+    def open_database(self) -> None:
         if self.exclusive:
             for pragma in ("locking_mode = EXCLUSIVE", "mmap_size = 0", "temp_store = MEMORY"):
                 self.db.execute(f"PRAGMA {pragma}")
@@ -69,65 +69,73 @@
         (layout,) = self.db.execute("PRAGMA user_version").fetchone()
         if layout not in (0, LAYOUT):
             raise RaftStoreError(f"{self.path}: its layout is {layout}, this program knows {LAYOUT}")
-        (sound,) = self.db.execute("PRAGMA quick_check(1)").fetchone()
-        if sound != "ok":
-            raise RaftStoreError(f"{self.path} is damaged: {sound}")
+        (result,) = self.db.execute("PRAGMA quick_check(1)").fetchone()
+        if result != "ok":
+            raise RaftStoreError(f"{self.path} is damaged: {result}")
         names = {row[0] for row in self.db.execute("SELECT name FROM sqlite_master WHERE type = 'table'")}
         if names - {"facts", "entries"}:
-            raise RaftStoreError(f"{self.path} is no ledger: its tables are {', '.join(sorted(names))}")
+            raise RaftStoreError(
+                f"{self.path} is not a Raft store: its tables are {', '.join(sorted(names))}"
+            )
         self.db.executescript(TABLES)
         self.db.execute(f"PRAGMA user_version = {LAYOUT}")
 
     def close(self) -> None:
         self.db.close()
 
-    def start(self, name: str, draw: str, founder: bool, first: Snapshot | None = None) -> Stored:
-        """Count a start and give all there is; a new store gets its identity, and a founder's ``first``.
+    def start(self, name: str, suffix: str, founder: bool, first: Snapshot | None = None) -> Stored:
+        """Count a start and return the stored state.
 
-        Without ``first`` a founder votes alone. Raises RaftStoreError.
+        A new store gets the identity ``name#suffix``. If it is a founder's, it begins with the snapshot
+        ``first``, or with itself as the only voter. Raises RaftStoreError.
         """
-        with told(self.path):
-            body = self.fact("start")
-            old = msgspec.msgpack.decode(body, type=StartRecord) if body else StartRecord(f"{name}#{draw}", 0)
-            noted = (
-                msgspec.json.decode(self.note.read_bytes(), type=StartRecord) if self.note.exists() else None
+        with translate_errors(self.path):
+            body = self.read_fact("start")
+            stored = (
+                msgspec.msgpack.decode(body, type=StartRecord) if body else StartRecord(f"{name}#{suffix}", 0)
+            )
+            recorded = (
+                msgspec.json.decode(self.start_file.read_bytes(), type=StartRecord)
+                if self.start_file.exists()
+                else None
             )
-            if noted is not None:
-                self.compare(old, noted)
-            new = StartRecord(old.identity, old.boot + 1)
+            if recorded is not None:
+                self.check_start(stored, recorded)
+            started = StartRecord(stored.identity, stored.boot + 1)
             with self.transaction():
-                self.put("start", new)
-                if not old.boot and founder:
-                    self.put("snapshot", first or Snapshot(members=Members((new.identity,))))
-            self.write_note(new)
-            return self.read(new)
-
-    def compare(self, old: StartRecord, noted: StartRecord) -> None:
-        """The note is written after the file: behind by a start that was cut short, and never ahead."""
-        if old.identity != noted.identity or old.boot not in (noted.boot, noted.boot + 1):
+                self.write_fact("start", started)
+                if not stored.boot and founder:
+                    self.write_fact("snapshot", first or Snapshot(members=Members((started.identity,))))
+            self.write_start_file(started)
+            return self.read(started)
+
+    def check_start(self, stored: StartRecord, recorded: StartRecord) -> None:
+        """Refuse an older copy: the start file may be one start behind the database, never ahead of it."""
+        if stored.identity != recorded.identity or stored.boot not in (recorded.boot, recorded.boot + 1):
             raise RaftStoreError(
-                f"{self.path} is of start {old.boot} of {old.identity}, but {self.note.name} tells of start"
-                f" {noted.boot} of {noted.identity}: an older copy; take this member out and in as a new one"
+                f"{self.path} is of start {stored.boot} of {stored.identity}, but {self.start_file.name}"
+                f" records start {recorded.boot} of {recorded.identity}: an older copy; remove this member"
+                " and add it again as a new one"
             )
 
-    def write_note(self, start: StartRecord) -> None:
-        new = self.note.with_suffix(".new")
-        with open(new, "wb") as file:
+    def write_start_file(self, start: StartRecord) -> None:
+        temporary = self.start_file.with_suffix(".new")
+        with open(temporary, "wb") as file:
             file.write(msgspec.json.encode(start))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(new, self.note)
-        folder = os.open(self.note.parent, os.O_RDONLY)
+        os.replace(temporary, self.start_file)
+        folder = os.open(self.start_file.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
 
     def read(self, start: StartRecord) -> Stored:
-        hard_state, snapshot = self.fact("vow"), self.fact("snapshot")
+        hard_state, snapshot = self.read_fact("vow"), self.read_fact("snapshot")
         entries: list[Entry] = []
         for place, body, crc in self.db.execute("SELECT place, body, crc FROM entries ORDER BY place"):
-            entry: Entry = msgspec.msgpack.decode(self.sound(body, crc, f"entry {place}"), type=Entry)
+            entry: Entry = msgspec.msgpack.decode(self.check_crc(body, crc, f"entry {place}"), type=Entry)
             if entries and entry.index != entries[-1].index + 1:
                 raise RaftStoreError(f"{self.path}: entry {entries[-1].index + 1} is missing")
             entries.append(entry)
@@ -138,23 +146,23 @@
         return Stored(start.identity, start.boot, kept, found, tuple(entries))
 
     def save(self, output: Output) -> None:
-        """All of it is on the disk when this ends well, and none of it otherwise. Raises RaftStoreError."""
-        with told(self.path), self.transaction():
+        """Write and sync the output in one transaction. Raises RaftStoreError."""
+        with translate_errors(self.path), self.transaction():
             if output.hard_state is not None:
-                self.put("vow", output.hard_state)
+                self.write_fact("vow", output.hard_state)
             if output.snapshot is not None:
-                self.replace(output.snapshot)
+                self.store_snapshot(output.snapshot)
             if output.first:
                 self.db.execute("DELETE FROM entries WHERE place >= ?", (output.first,))
                 rows = ((e.index, b := msgspec.msgpack.encode(e), zlib.crc32(b)) for e in output.entries)
                 self.db.executemany("INSERT INTO entries VALUES (?, ?, ?)", rows)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Raises RaftStoreError."""
-        with told(self.path), self.transaction():
-            self.replace(snapshot)
+        """Replace the entries that the snapshot covers. Raises RaftStoreError."""
+        with translate_errors(self.path), self.transaction():
+            self.store_snapshot(snapshot)
 
-    # Parts.
+    # Reads and writes of single records.
 
     @contextlib.contextmanager
     def transaction(self) -> Iterator[None]:
@@ -167,19 +175,19 @@
                 self.db.execute("ROLLBACK")
             raise
 
-    def replace(self, snapshot: Snapshot) -> None:
-        self.put("snapshot", snapshot)
+    def store_snapshot(self, snapshot: Snapshot) -> None:
+        self.write_fact("snapshot", snapshot)
         self.db.execute("DELETE FROM entries WHERE place <= ?", (snapshot.index,))
 
-    def put(self, name: str, value: StartRecord | HardState | Snapshot) -> None:
+    def write_fact(self, name: str, value: StartRecord | HardState | Snapshot) -> None:
         body = msgspec.msgpack.encode(value)
         self.db.execute("INSERT OR REPLACE INTO facts VALUES (?, ?, ?)", (name, body, zlib.crc32(body)))
 
-    def fact(self, name: str) -> bytes:
+    def read_fact(self, name: str) -> bytes:
         row = self.db.execute("SELECT body, crc FROM facts WHERE name = ?", (name,)).fetchone()
-        return self.sound(row[0], row[1], name) if row else b""
+        return self.check_crc(row[0], row[1], name) if row else b""
 
-    def sound(self, body: bytes, crc: int, what: str) -> bytes:
+    def check_crc(self, body: bytes, crc: int, what: str) -> bytes:
         if zlib.crc32(body) != crc:
             raise RaftStoreError(f"{self.path}: {what} is damaged")
         return body
--- a/latchspoke/agent/serve.py
+++ b/latchspoke/agent/serve.py
@@ -1,4 +1,4 @@
-"""Puts the agent together: one to a folder, from start to SIGTERM; its gateways outlive it."""
+"""Runs the agent from start to SIGTERM: one for each folder; its gateways keep running afterwards."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import structlog
 from aiohttp import web
 
-from latchspoke.agent.api import Api, by_socket
+from latchspoke.agent.api import Api, caller_by_socket
 from latchspoke.agent.client import Fleet, read_fleet
 from latchspoke.agent.config import AgentRecord, TlsRecord
 from latchspoke.agent.duty_runner import DutyRunner
@@ -24,7 +24,7 @@
 from latchspoke.agent.raft_store import RaftStoreError
 from latchspoke.agent.store import Store, StoreError
 from latchspoke.agent.supervisor import Supervisor
-from latchspoke.agent.tls import TlsSite, by_certificate
+from latchspoke.agent.tls import TlsSite, caller_by_certificate
 from latchspoke.keys.authority import KeysError
 from latchspoke.keys.tls import Identity
 from latchspoke.net.admin import bind
@@ -32,15 +32,15 @@
 
 log = structlog.get_logger("agent")
 
-BACKLOG = 256  # connections of tools that wait to be taken
+BACKLOG = 256  # connections that wait to be accepted
 
 
 class AgentError(Exception):
-    """The agent can't run; one line says why."""
+    """The agent can't run; the message is one line."""
 
 
-class Tolerant:
-    """Standard error; a log that can't be written, as on a full disk, must not end what it tells of."""
+class ErrorTolerantStderr:
+    """Standard error that ignores write errors, as on a full disk, so that logging never ends the agent."""
 
     def write(self, text: str) -> None:
         with contextlib.suppress(OSError):
@@ -52,7 +52,7 @@
 
 
 def set_up_logs() -> None:
-    """One event a line on standard error: JSON, with the time first."""
+    """Log one JSON object per line on standard error."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -61,14 +61,14 @@
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(),
         ],
-        logger_factory=structlog.WriteLoggerFactory(file=cast(TextIO, Tolerant())),
+        logger_factory=structlog.WriteLoggerFactory(file=cast(TextIO, ErrorTolerantStderr())),
         cache_logger_on_first_use=True,
     )
 
 
 @contextlib.contextmanager
-def alone(home: Path) -> Iterator[None]:
-    """Two agents over one folder would both restart what crashes; the lock ends with the process."""
+def folder_lock(home: Path) -> Iterator[None]:
+    """Lock the folder, so that no second agent manages the same gateways; released with the process."""
     try:
         home.mkdir(parents=True, exist_ok=True, mode=0o700)
         lock = os.open(home / "agent.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -84,7 +84,7 @@
 
 
 def open_store(home: Path) -> tuple[Store | None, str]:
-    """Without it the agent still tells what it sees, and its gateways go on serving."""
+    """Open the store; without one the agent reports status, but accepts no operations."""
     try:
         return Store(home / "agent.db"), ""
     except StoreError as e:
@@ -92,14 +92,14 @@
         return None, str(e)
 
 
-async def run(config: AgentRecord, done: asyncio.Event) -> None:
+async def run(config: AgentRecord, stop_requested: asyncio.Event) -> None:
     store, why = open_store(config.home)
     supervisor = Supervisor(config, store, why)
     await supervisor.start()
     checks = HealthChecks(supervisor)
     members = await open_member(config)
-    own = open_duties(config, supervisor, members)
-    api = Api(supervisor, by_certificate(by_socket), members)
+    duty_runner = open_duties(config, supervisor, members)
+    api = Api(supervisor, caller_by_certificate(caller_by_socket), members)
     runner = web.AppRunner(api.app(), access_log=None, shutdown_timeout=1.0)
     await runner.setup()
     site: TlsSite | None = None
@@ -108,7 +108,7 @@
         if config.tls is not None:
             site = open_tls(config.tls, supervisor, runner)
         log.info("serves", agent=config.name, socket=config.socket, instances=len(config.instances))
-        await done.wait()
+        await stop_requested.wait()
     except OSError as e:
         raise AgentError(f"can't listen at {config.socket}: {e}") from None
     finally:
@@ -117,8 +117,8 @@
         if site is not None:
             await site.stop()
         await runner.cleanup()
-        if own is not None:
-            await own.stop()
+        if duty_runner is not None:
+            await duty_runner.stop()
         if members is not None:
             await members.stop()
         await checks.stop()
@@ -127,7 +127,7 @@
 
 
 async def open_member(config: AgentRecord) -> MemberDriver | None:
-    """A ledger that can't be trusted ends the agent: its gateways go on, and a person has to look."""
+    """Start the member of the replicated log; a damaged store ends the agent, but not its gateways."""
     if config.members is None:
         return None
     try:
@@ -146,19 +146,19 @@
 ) -> DutyRunner | None:
     if members is None or config.members is None or config.members.duties is None:
         return None
-    told = config.members.duties
+    duties = config.members.duties
     try:
-        record = read_fleet(told.fleet)
+        record = read_fleet(duties.fleet)
         identity = record.identity
         tls = identity and Identity(identity.certificate, identity.key, identity.authority, server=False)
         fleet = Fleet(record, tls.context if tls else None)
     except (RecordError, KeysError) as e:
         raise AgentError(str(e)) from None
 
-    def note(kind: str, operation: str, detail: str) -> None:
+    def record_event(kind: str, operation: str, detail: str) -> None:
         supervisor.record(kind, operation=operation, detail=detail)
 
-    return DutyRunner(members, told, fleet, note)
+    return DutyRunner(members, duties, fleet, record_event)
 
 
 def open_tls(record: TlsRecord, supervisor: Supervisor, runner: web.AppRunner) -> TlsSite:
@@ -175,15 +175,15 @@
 
 
 async def run_until_signal(config: AgentRecord) -> None:
-    done = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, done.set)
-    await run(config, done)
+        loop.add_signal_handler(number, stop_requested.set)
+    await run(config, stop_requested)
 
 
 def serve(config: AgentRecord) -> None:
     """Raises AgentError."""
     set_up_logs()
-    with alone(config.home):
+    with folder_lock(config.home):
         asyncio.run(run_until_signal(config))
--- a/latchspoke/agent/store.py
+++ b/latchspoke/agent/store.py
@@ -1,7 +1,7 @@
-"""What an agent has promised, on disk before it is done: one SQLite file, write-ahead log, synced.
+"""The agent's database: instances, claims, operations, steps, fencing tokens and events, in SQLite.
 
-Everything is a msgspec or dataclass value under a key. A transaction is whole or has not been; if the
-file can't be read or written, ``StoreError`` says why in one line and nothing has changed.
+Each write is one synced transaction, committed before its effects are carried out. Values are stored as JSON
+under a key. If the file can't be read or written, ``StoreError`` gives the reason and nothing has changed.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from latchspoke.fleet.lifecycle import Instance
 from latchspoke.fleet.wire import Event, OperationStatus, StepInfo
 
-LAYOUT = 1  # of the tables; another one is refused, not guessed at
-BUSY = 0.25  # s to wait for a lock; the agent must not stand still for somebody's shell
-EVENTS_KEPT = 20_000
+LAYOUT_VERSION = 1  # of the tables; any other is refused
+LOCK_TIMEOUT_S = 0.25  # short, as waiting blocks the whole agent
+EVENTS_MAX = 20_000
 TABLES = """
 CREATE TABLE IF NOT EXISTS instances (name TEXT PRIMARY KEY, body BLOB NOT NULL) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS claims (instance TEXT PRIMARY KEY, body BLOB NOT NULL) WITHOUT ROWID;
@@ -39,58 +39,58 @@
 
 
 class StoreError(Exception):
-    """The store can't be used; one line says why."""
+    """The store can't be used; the message is one line."""
 
 
 @contextlib.contextmanager
-def told() -> Iterator[None]:
-    """SQLite's and the decoder's errors as the store's."""
+def translate_errors() -> Iterator[None]:
+    """Turn errors of SQLite and the decoder into StoreError."""
     try:
         yield
     except sqlite3.Error as e:
         raise StoreError(f"the store can't be used: {e}") from e
     except msgspec.MsgspecError as e:
-        raise StoreError(f"the store holds what can't be read: {e}") from e
+        raise StoreError(f"the store holds data that can't be decoded: {e}") from e
 
 
 class Step(msgspec.Struct, frozen=True):
-    """A step and the instance as it was just before it."""
+    """A step, and the state of its instance before the step."""
 
     info: StepInfo
     base: Instance
 
 
 class Store:
-    """One open file. Not for several threads."""
+    """One open database; not thread-safe."""
 
     def __init__(self, path: Path) -> None:
-        with told():
-            self.db = sqlite3.connect(path, timeout=BUSY, isolation_level=None)
+        with translate_errors():
+            self.db = sqlite3.connect(path, timeout=LOCK_TIMEOUT_S, isolation_level=None)
             try:
-                self.prepare()
+                self.open_database()
             except sqlite3.Error:
                 self.db.close()
                 raise
 
-    def prepare(self) -> None:
+    def open_database(self) -> None:
         self.db.execute("PRAGMA journal_mode = WAL")
         self.db.execute("PRAGMA synchronous = FULL")
         (layout,) = self.db.execute("PRAGMA user_version").fetchone()
-        if layout not in (0, LAYOUT):
-            raise sqlite3.DatabaseError(f"its layout is {layout}, this program knows {LAYOUT}")
+        if layout not in (0, LAYOUT_VERSION):
+            raise sqlite3.DatabaseError(f"its layout is {layout}, this program knows {LAYOUT_VERSION}")
         (sound,) = self.db.execute("PRAGMA quick_check(1)").fetchone()
         if sound != "ok":
             raise sqlite3.DatabaseError(sound)
         self.db.executescript(TABLES)
-        self.db.execute(f"PRAGMA user_version = {LAYOUT}")
+        self.db.execute(f"PRAGMA user_version = {LAYOUT_VERSION}")
 
     def close(self) -> None:
         self.db.close()
 
     @contextlib.contextmanager
     def transaction(self) -> Iterator[Writer]:
-        """All of it is on the disk when this ends well; none of it otherwise."""
-        with told():
+        """A synced transaction; rolled back if the block raises."""
+        with translate_errors():
             self.db.execute("BEGIN IMMEDIATE")
             try:
                 yield Writer(self.db)
@@ -101,57 +101,57 @@
                 raise
 
     def rows(self, query: str, *values: Any) -> list[tuple[Any, ...]]:
-        with told():
+        with translate_errors():
             return self.db.execute(query, values).fetchall()
 
     def instances(self) -> dict[str, Instance]:
         rows = self.rows("SELECT name, body FROM instances")
-        with told():
+        with translate_errors():
             return {name: msgspec.json.decode(body, type=Instance) for name, body in rows}
 
     def claims(self) -> Claims:
         rows = self.rows("SELECT instance, body FROM claims")
-        with told():
+        with translate_errors():
             return immutables.Map({name: msgspec.json.decode(body, type=Claim) for name, body in rows})
 
     def fences(self) -> dict[str, int]:
-        """The newest token of each duty that anybody has acted under here."""
+        """The newest fencing token seen, by duty."""
         return dict(self.rows("SELECT duty, token FROM fences"))
 
     def operation(self, ident: str) -> OperationStatus | None:
         rows = self.rows("SELECT body FROM operations WHERE id = ?", ident)
-        with told():
+        with translate_errors():
             return msgspec.json.decode(rows[0][0], type=OperationStatus) if rows else None
 
-    def operations(self, most: int = 100) -> list[OperationStatus]:
-        """The newest first."""
-        rows = self.rows("SELECT body FROM operations ORDER BY created DESC LIMIT ?", most)
-        with told():
+    def operations(self, limit: int = 100) -> list[OperationStatus]:
+        """The newest operations, newest first."""
+        rows = self.rows("SELECT body FROM operations ORDER BY created DESC LIMIT ?", limit)
+        with translate_errors():
             return [msgspec.json.decode(body, type=OperationStatus) for (body,) in rows]
 
     def steps(self, operation: str) -> list[Step]:
-        return self.read_steps("operation = ?", operation)
+        return self.select_steps("operation = ?", operation)
 
     def step(self, operation: str, instance: str) -> Step | None:
-        found = self.read_steps("operation = ? AND instance = ?", operation, instance)
-        return found[0] if found else None
+        matching = self.select_steps("operation = ? AND instance = ?", operation, instance)
+        return matching[0] if matching else None
 
     def open_steps(self) -> list[Step]:
-        return self.read_steps("open")
+        return self.select_steps("open")
 
-    def read_steps(self, where: str, *values: Any) -> list[Step]:
+    def select_steps(self, where: str, *values: Any) -> list[Step]:
         rows = self.rows(f"SELECT body, base FROM steps WHERE {where}", *values)
-        with told():
+        with translate_errors():
             return [
                 Step(msgspec.json.decode(body, type=StepInfo), msgspec.json.decode(base, type=Instance))
                 for body, base in rows
             ]
 
-    def events(self, after: int, most: int) -> list[Event]:
+    def events(self, after: int, limit: int) -> list[Event]:
         rows = self.rows(
-            "SELECT revision, body FROM events WHERE revision > ? ORDER BY revision LIMIT ?", after, most
+            "SELECT revision, body FROM events WHERE revision > ? ORDER BY revision LIMIT ?", after, limit
         )
-        with told():
+        with translate_errors():
             return [
                 msgspec.structs.replace(msgspec.json.decode(body, type=Event), revision=revision)
                 for revision, body in rows
@@ -162,7 +162,7 @@
 
 
 class Writer:
-    """What may be written within a transaction."""
+    """Writes within a transaction."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self.db = db
@@ -173,7 +173,7 @@
         )
 
     def claims(self, old: Claims, new: Claims) -> None:
-        """Only what changed."""
+        """Write the claims that differ between the two."""
         for name, claim in new.items():
             if old.get(name) is not claim:
                 self.db.execute(
@@ -201,9 +201,9 @@
         )  # fmt: skip
 
     def event(self, event: Event) -> int:
-        """The event's revision comes back; the oldest go once there are too many."""
+        """Append an event and return its revision; from time to time delete events beyond ``EVENTS_MAX``."""
         cursor = self.db.execute("INSERT INTO events (body) VALUES (?)", (msgspec.json.encode(event),))
         revision = cursor.lastrowid or 0
         if revision % 1000 == 0:
-            self.db.execute("DELETE FROM events WHERE revision <= ?", (revision - EVENTS_KEPT,))
+            self.db.execute("DELETE FROM events WHERE revision <= ?", (revision - EVENTS_MAX,))
         return revision
--- a/latchspoke/agent/supervisor.py
+++ b/latchspoke/agent/supervisor.py
@@ -91,7 +91,7 @@
         for name, record in self.config.instances.items():
             state = known.get(name) or Instance(name, since=self.clock())
             if self.store is None:
-                state = replace(state, launch=self.launcher.newest(name), phase=Phase.SILENT)
+                state = replace(state, launch=self.launcher.newest_launch(name), phase=Phase.SILENT)
             self.runtimes[name] = Runtime(record, state)
         await asyncio.gather(*(self.find(runtime) for runtime in self.runtimes.values()))
         for name, runtime in self.runtimes.items():
@@ -106,7 +106,7 @@
             task.cancel()
         for runtime in self.runtimes.values():
             if runtime.process is not None:
-                runtime.process.forget()
+                runtime.process.stop_watching()
         if self.store is not None:
             self.store.close()
 
@@ -237,7 +237,7 @@
 
     async def spawn(self, runtime: Runtime, launch: int) -> None:
         name = runtime.state.name
-        self.launcher.tidy(name, launch)
+        self.launcher.remove_old_folders(name, launch)
         launched = await self.launcher.start(
             name, launch, self.config.command(name), self.config.environment(name)
         )
--- a/latchspoke/agent/tls.py
+++ b/latchspoke/agent/tls.py
@@ -1,7 +1,6 @@
-"""The agent's interface on TCP: TLS 1.3, certificates on both sides, and every refusal on record.
+"""The agent's interface on TCP: mutual TLS 1.3, with every refused handshake recorded as an event.
 
-Connections are accepted here and not by the loop's own server, as that one tells nobody of a handshake
-that failed: who was refused, and why, belongs into the agent's record.
+Connections are accepted here rather than by asyncio's server, which does not report failed handshakes.
 """
 
 from __future__ import annotations
@@ -22,13 +21,13 @@
 
 log = structlog.get_logger("agent.tls")
 
-HANDSHAKE = 5.0  # s; who connects and says nothing is given up
-AT_ONCE = 64  # handshakes under way; more wait to be accepted
-FOLLOW = 1.0  # s between looks at the certificate's files
+HANDSHAKE_TIMEOUT_S = 5.0
+HANDSHAKES_MAX = 64  # concurrent; further connections wait to be accepted
+CERTIFICATE_POLL_S = 1.0
 
 
-def by_certificate(fallback: Identify) -> Identify:
-    """The role in the certificate where there is TLS; the Unix socket's way elsewhere."""
+def caller_by_certificate(fallback: Identify) -> Identify:
+    """Identify callers by their certificate on TLS connections, and by ``fallback`` on others."""
 
     def identify(request: web.Request) -> Caller:
         transport = request.transport
@@ -41,7 +40,7 @@
 
 
 class TlsSite:
-    """Accepts connections and hands those that have shaken hands to the agent's routes."""
+    """Accepts TLS connections and passes them to the web server after the handshake."""
 
     def __init__(self, record: TlsRecord, supervisor: Supervisor, server: web.Server) -> None:
         self.supervisor, self.server = supervisor, server
@@ -49,8 +48,10 @@
         host, _, port = record.listen.rpartition(":")
         self.socket = socket.create_server((host.strip("[]"), int(port)), backlog=256)
         self.socket.setblocking(False)
-        self.gate = asyncio.Semaphore(AT_ONCE)
-        self.tasks = {asyncio.get_running_loop().create_task(work) for work in (self.accept(), self.follow())}
+        self.handshake_slots = asyncio.Semaphore(HANDSHAKES_MAX)
+        self.tasks = {
+            asyncio.get_running_loop().create_task(work) for work in (self.accept(), self.reload_loop())
+        }
 
     @property
     def port(self) -> int:
@@ -63,38 +64,38 @@
     async def accept(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await self.gate.acquire()
+            await self.handshake_slots.acquire()
             try:
-                link, address = await loop.sock_accept(self.socket)
+                connection, address = await loop.sock_accept(self.socket)
             except OSError as e:
-                # Out of descriptors, most likely: the agent goes on, and tries again.
-                self.gate.release()
+                # Probably out of file descriptors: try again later.
+                self.handshake_slots.release()
                 log.error("accept", error=str(e))
                 await asyncio.sleep(1.0)
                 continue
-            task = loop.create_task(self.shake(link, f"{address[0]}:{address[1]}"))
+            task = loop.create_task(self.handshake(connection, f"{address[0]}:{address[1]}"))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def shake(self, link: socket.socket, address: str) -> None:
+    async def handshake(self, connection: socket.socket, address: str) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(
-                self.server, link, ssl=self.identity.context, ssl_handshake_timeout=HANDSHAKE
+                self.server, connection, ssl=self.identity.context, ssl_handshake_timeout=HANDSHAKE_TIMEOUT_S
             )
         except (ssl.SSLError, OSError) as e:
-            link.close()
+            connection.close()
             self.supervisor.record("tls-refused", detail=f"{address}: {reason(e)}")
         finally:
-            self.gate.release()
+            self.handshake_slots.release()
 
-    async def follow(self) -> None:
-        """Take up a renewed certificate without a restart."""
+    async def reload_loop(self) -> None:
+        """Reload a renewed certificate without a restart."""
         while True:
-            await asyncio.sleep(FOLLOW)
+            await asyncio.sleep(CERTIFICATE_POLL_S)
             try:
                 if self.identity.renewed():
                     ends = self.identity.described.ends
-                    self.supervisor.record("certificate", detail=f"renewed, good until {ends:%Y-%m-%d}")
+                    self.supervisor.record("certificate", detail=f"renewed, valid until {ends:%Y-%m-%d}")
                     self.supervisor.certificate_until = self.certificate_until
             except KeysError as e:
                 log.warning("certificate", error=str(e))
@@ -107,6 +108,6 @@
 
 
 def reason(error: Exception) -> str:
-    """What OpenSSL said, without its file and line."""
-    told: Any = getattr(error, "verify_message", None) or getattr(error, "reason", None) or str(error)
-    return str(told) or type(error).__name__
+    """OpenSSL's message, without its file and line."""
+    text: Any = getattr(error, "verify_message", None) or getattr(error, "reason", None) or str(error)
+    return str(text) or type(error).__name__
--- a/tests/agent/test_members.py
+++ b/tests/agent/test_members.py
@@ -343,9 +343,9 @@
     ledger = RaftStore(tmp_path / "members.db")
     ledger.start("a1", "77", founder=False)
     ledger.start("a1", "77", founder=False)
-    ledger.write_note(StartRecord("a1#77", 1))
+    ledger.write_start_file(StartRecord("a1#77", 1))
     assert ledger.start("a1", "", founder=False).boot == 3
-    ledger.write_note(StartRecord("a1#77", 5))
+    ledger.write_start_file(StartRecord("a1#77", 5))
     with pytest.raises(RaftStoreError, match="older copy"):
         ledger.start("a1", "", founder=False)
 
--- a/tests/agent/test_own.py
+++ b/tests/agent/test_own.py
@@ -172,7 +172,11 @@
 
     until(lambda: voters() == 2, "two of them vote", voters)
     log = fleet.base / "h1.log"
-    until(lambda: "certificate is another" in log.read_text(), "the third is not believed", log.read_text)
+    until(
+        lambda: "certificate names another agent" in log.read_text(),
+        "the third is not believed",
+        log.read_text,
+    )
     keys.folder.write("h3", keys.issue("agent", "h3", ["127.0.0.1"]))
     until(lambda: voters() == 3, "its renewed certificate is taken up, and it is taken in", voters)
 
--- a/tests/agent/test_unheard.py
+++ b/tests/agent/test_unheard.py
@@ -58,12 +58,12 @@
 
 
 WAYS = {
-    "silent for 1 s": None,
-    "not there": b"none",
-    "not understood": b"\x16\x03\x01 what is this\r\n\r\n",
-    "not understood (": http(b'{"agent": 7}', b"Latchspoke-Interface: 1\r\n"),
+    "no answer within 1 s": None,
+    "can't connect": b"none",
+    "invalid answer": b"\x16\x03\x01 what is this\r\n\r\n",
+    "invalid answer (": http(b'{"agent": 7}', b"Latchspoke-Interface: 1\r\n"),
     "speaks interface 0, this tool speaks 1": http(b"{}", b"Latchspoke-Interface: 0\r\n", b"426 X"),
-    "speaks no interface of ours": http(b"<html>"),
+    "speaks no known interface": http(b"<html>"),
 }
 
 
@@ -106,7 +106,7 @@
     heard(tool.stdout, ("h1/g1", "appeared, ready"), ("h2/g1", "appeared, ready"))
     second.process.send_signal(signal.SIGSTOP)  # it accepts connections and says nothing
     code, said = fleet.tool("roll", "--all")
-    assert code == 1 and "agent h2: silent for 1 s; what it runs is unknown" in said
+    assert code == 1 and "agent h2: no answer within 1 s; what it runs is unknown" in said
     assert not [e for e in fleet.events("h1") if e.operation]
     assert fleet.hosts["h1"].state("g1") == "ready"
     heard(tool.stdout, ("h2/g1", "ready -> unknown"))
@@ -152,7 +152,7 @@
     assert by_id["h1/g1"]["outcome"] == "done"
     lost = by_id["h2/g2"]
     assert (lost["outcome"], lost["state"], lost["last_known"]) == ("unknown", "unknown", "draining")
-    assert lost["heard_ago"] > 3 and "silent for 1 s" in lost["detail"]
+    assert lost["heard_ago"] > 3 and "no answer within 1 s" in lost["detail"]
 
 
 def test_half_the_fleet_has_new_plan_figures(fleet: World) -> None:
--- a/tests/configstore/test_store.py
+++ b/tests/configstore/test_store.py
@@ -117,7 +117,7 @@
 
 
 HARMS: dict[str, tuple[Callable[[Path], object], str]] = {
-    "foreign": (foreign, "is no ledger: its tables are trains"),
+    "foreign": (foreign, "is not a Raft store: its tables are trains"),
     "newer layout": (lambda path: layout(path, LAYOUT + 1), f"its layout is {LAYOUT + 1}"),
     "a bit": (spoilt, "is damaged"),
     "cut short": (cut_short, "damaged|malformed"),
@@ -158,8 +158,8 @@
 @pytest.mark.parametrize(
     ("harm", "guard", "without"),
     [
-        ("a bit", "sound", lambda self, body, crc, what: body),
-        ("older", "compare", lambda self, old, noted: None),
+        ("a bit", "check_crc", lambda self, body, crc, what: body),
+        ("older", "check_start", lambda self, old, noted: None),
     ],
 )
 def test_without_its_guard_a_harmed_file_is_taken(
