--- a/latchspoke/agent/__init__.py
+++ b/latchspoke/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: one process a host that starts, watches, drains and restarts this host's gateways."""
+"""The agent: one process per host that starts, monitors, drains and restarts the host's gateways."""
--- a/latchspoke/agent/peer_transport.py
+++ b/latchspoke/agent/peer_transport.py
@@ -19,7 +19,7 @@
 from latchspoke.duties.office import Done, Look, Put, Refused, Shown
 from latchspoke.duties.records import Answer, Beat
 from latchspoke.keys.authority import KeysError
-from latchspoke.keys.tls import Identity, peer
+from latchspoke.keys.tls import Identity, peer_role_and_name
 from latchspoke.revisions.records import RulesAnswer, RulesQuestion
 
 log = structlog.get_logger("agent.links")
@@ -91,7 +91,7 @@
             await asyncio.sleep(CERTIFICATE_POLL_S)
             for identity in (self.server_identity, self.client_identity):
                 try:
-                    identity.renewed()
+                    identity.reload_if_changed()
                 except KeysError as e:
                     log.warning("certificate", error=str(e))
 
@@ -100,7 +100,7 @@
     """Whether the peer's certificate names this agent; true without TLS."""
     if writer.get_extra_info("ssl_object") is None:
         return True
-    return peer(writer.get_extra_info("peercert")) == ("agent", name)
+    return peer_role_and_name(writer.get_extra_info("peercert")) == ("agent", name)
 
 
 class PeerConnection:
--- a/latchspoke/agent/tls.py
+++ b/latchspoke/agent/tls.py
@@ -17,7 +17,7 @@
 from latchspoke.agent.config import TlsRecord
 from latchspoke.agent.supervisor import Supervisor
 from latchspoke.keys.authority import KeysError
-from latchspoke.keys.tls import Identity, peer
+from latchspoke.keys.tls import Identity, peer_role_and_name
 
 log = structlog.get_logger("agent.tls")
 
@@ -33,7 +33,7 @@
         transport = request.transport
         if transport is None or transport.get_extra_info("ssl_object") is None:
             return fallback(request)
-        role, name = peer(transport.get_extra_info("peercert"))
+        role, name = peer_role_and_name(transport.get_extra_info("peercert"))
         return Caller(name or "?", role if role in ("operator", "viewer") else "")
 
     return identify
@@ -59,7 +59,7 @@
 
     @property
     def certificate_until(self) -> float:
-        return self.identity.described.ends.timestamp()
+        return self.identity.certificate_info.not_after.timestamp()
 
     async def accept(self) -> None:
         loop = asyncio.get_running_loop()
@@ -93,8 +93,8 @@
         while True:
             await asyncio.sleep(CERTIFICATE_POLL_S)
             try:
-                if self.identity.renewed():
-                    ends = self.identity.described.ends
+                if self.identity.reload_if_changed():
+                    ends = self.identity.certificate_info.not_after
                     self.supervisor.record("certificate", detail=f"renewed, valid until {ends:%Y-%m-%d}")
                     self.supervisor.certificate_until = self.certificate_until
             except KeysError as e:
--- a/latchspoke/console/keys.py
+++ b/latchspoke/console/keys.py
@@ -37,7 +37,7 @@
 from latchspoke.console.usage import read_usage
 from latchspoke.keys import authority as keys
 from latchspoke.keys.authority import DAY, KeysError
-from latchspoke.keys.files import Folder, read
+from latchspoke.keys.files import KeyFolder, read_file
 
 AUTHORITY = "authority"
 SOON = 14 * DAY
@@ -49,7 +49,7 @@
         return 2
     work = next(call for word, call in WORK.items() if args[word])
     try:
-        work(Folder(args["FOLDER"]), args)
+        work(KeyFolder(args["FOLDER"]), args)
     except KeysError as e:
         print(f"latchspoke keys: {e}", file=sys.stderr)
         return 1
@@ -67,23 +67,23 @@
     return int(text) * DAY
 
 
-def init(folder: Folder, args: dict[str, Any]) -> None:
+def init(folder: KeyFolder, args: dict[str, Any]) -> None:
     if folder.has(AUTHORITY):
         raise KeysError(f"{folder.path} has an authority already; what it issued would be worth nothing")
-    folder.make()
+    folder.create()
     made = keys.make_authority(args["--name"], now(), days(args, 3650))
     folder.write(AUTHORITY, made)
     print(f"{folder.certificate(AUTHORITY)}: good until {made.certificate.not_valid_after_utc:%Y-%m-%d}")
 
 
-def issue(folder: Folder, args: dict[str, Any]) -> None:
+def issue(folder: KeyFolder, args: dict[str, Any]) -> None:
     name = args["NAME"]
     if name == AUTHORITY or folder.has(name):
         raise KeysError(f"{folder.path} has a certificate for {name} already; renew it")
     write_new(folder, args["ROLE"], name, args["--host"], args)
 
 
-def renew(folder: Folder, args: dict[str, Any]) -> None:
+def renew(folder: KeyFolder, args: dict[str, Any]) -> None:
     name = args["NAME"]
     if name == AUTHORITY:
         raise KeysError("an authority is not renewed: make a new one, and issue anew")
@@ -91,17 +91,17 @@
     write_new(folder, old.role, old.name, old.hosts, args)
 
 
-def write_new(folder: Folder, role: str, name: str, hosts: Any, args: dict[str, Any]) -> None:
+def write_new(folder: KeyFolder, role: str, name: str, hosts: Any, args: dict[str, Any]) -> None:
     made = keys.issue(folder.read(AUTHORITY), role, name, hosts, now(), days(args, 90))
     folder.write(name, made)
     print(f"{folder.certificate(name)}: {role}, good until {made.certificate.not_valid_after_utc:%Y-%m-%d}")
 
 
-def show(folder: Folder, args: dict[str, Any]) -> None:
+def show(folder: KeyFolder, args: dict[str, Any]) -> None:
     told = {}
     for name in folder.names():
         path = folder.certificate(name)
-        told[name] = keys.describe(keys.read_certificate(read(path), str(path)))
+        told[name] = keys.describe(keys.read_certificate(read_file(path), str(path)))
     if not told:
         raise KeysError(f"{folder.path} holds no certificates")
     if args["--json"]:
@@ -109,17 +109,18 @@
         return
     made = tables.table("name", "role", "hosts", "until", "remark", "fingerprint")
     for name, item in told.items():
-        left = item.ends - now()
+        left = item.not_after - now()
         remark = "ended" if left.total_seconds() < 0 else "ends soon" if left < SOON else ""
-        made.add_row(name, item.role, ", ".join(item.hosts), f"{item.ends:%Y-%m-%d}", remark,
+        made.add_row(name, item.role, ", ".join(item.hosts), f"{item.not_after:%Y-%m-%d}", remark,
                      item.fingerprint[:16])  # fmt: skip
     Console(highlight=False).print(made)
 
 
-def plain(item: keys.Described) -> dict[str, Any]:
+def plain(item: keys.CertificateInfo) -> dict[str, Any]:
     return {
-        "role": item.role, "name": item.name, "hosts": list(item.hosts), "begins": item.begins.isoformat(),
-        "ends": item.ends.isoformat(), "fingerprint": item.fingerprint,
+        "role": item.role, "name": item.name, "hosts": list(item.hosts),
+        "begins": item.not_before.isoformat(), "ends": item.not_after.isoformat(),
+        "fingerprint": item.fingerprint,
     }  # fmt: skip
 
 
--- a/latchspoke/keys/__init__.py
+++ b/latchspoke/keys/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's own authority: certificates for agents and operators, and TLS made of them."""
+"""The fleet's certificate authority, its certificates, and TLS contexts that use them."""
--- a/tests/agent/test_tls.py
+++ b/tests/agent/test_tls.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from latchspoke.keys.authority import DAY, Pair, issue, make_authority
-from latchspoke.keys.files import Folder
+from latchspoke.keys.authority import DAY, CertificateAndKey, issue, make_authority
+from latchspoke.keys.files import KeyFolder
 from tests.agent.world import Host, World, free_port, until
 
 NOW = datetime.datetime.now(datetime.UTC).replace(microsecond=0)
@@ -21,8 +21,8 @@
     """A folder of keys, some of them bad in a stated way."""
 
     def __init__(self, base: Path) -> None:
-        self.folder = Folder(base / "keys")
-        self.folder.make()
+        self.folder = KeyFolder(base / "keys")
+        self.folder.create()
         self.authority = make_authority("fleet", NOW - 30 * DAY, 100 * DAY)
         other = make_authority("another fleet", NOW - 30 * DAY, 100 * DAY)
         self.folder.write("authority", self.authority)
@@ -32,7 +32,9 @@
         self.folder.write("stranger", issue(other, "operator", "ola", [], NOW, DAY))
         self.folder.write("expired", issue(self.authority, "operator", "ola", [], NOW - 9 * DAY, DAY))
 
-    def issue(self, role: str, name: str, hosts: list[str] | None = None, life: int = 30) -> Pair:
+    def issue(
+        self, role: str, name: str, hosts: list[str] | None = None, life: int = 30
+    ) -> CertificateAndKey:
         return issue(self.authority, role, name, hosts or [], NOW, life * DAY)
 
     def files(self, name: str) -> str:
