--- a/latchspoke/agent/api.py
+++ b/latchspoke/agent/api.py
@@ -165,10 +165,10 @@
                 f"this agent speaks interface {wire.INTERFACE}, not {version or 'an unnamed one'}",
             )
 
-    async def read(self, request: web.Request, kind: type[T]) -> T:
+    async def read_body(self, request: web.Request, kind: type[T]) -> T:
         return wire.decode(kind, await request.read())
 
-    def driver(self) -> MemberDriver:
+    def require_member(self) -> MemberDriver:
         if self.members is None:
             raise RefusalError(404, "no-member", "this agent is not a member")
         return self.members
@@ -184,61 +184,59 @@
             raise RefusalError(503, code, text)
         return reply
 
-    async def look(self, look: Look) -> Shown:
-        shown = self.require_answer(await self.driver().ask(look=look))
+    async def query_machine(self, look: Look) -> Shown:
+        shown = self.require_answer(await self.require_member().ask(look=look))
         assert isinstance(shown, Shown)
         return shown
 
     async def member(self, request: web.Request) -> web.Response:
-        return answer(self.driver().status())
+        return answer(self.require_member().status())
 
     async def change_members(self, request: web.Request) -> web.Response:
-        asked = await self.read(request, MembersChange)
-        reason = await self.driver().change(asked.add, asked.remove)
+        body = await self.read_body(request, MembersChange)
+        reason = await self.require_member().change(body.add, body.remove)
         if reason:
             raise RefusalError(409, "not-changed", reason)
-        return answer(self.driver().status())
+        return answer(self.require_member().status())
 
     async def duties(self, request: web.Request) -> web.Response:
-        shown = await self.look(Look(DUTIES))
+        shown = await self.query_machine(Look(DUTIES))
         return answer(DutiesShown(shown.index, read_duties(shown)))
 
     async def findings(self, request: web.Request) -> web.Response:
-        shown = await self.look(Look(findings.NAME))
+        shown = await self.query_machine(Look(findings.NAME))
         return answer(msgspec.msgpack.decode(shown.body, type=findings.Findings))
 
     async def rules(self, request: web.Request) -> web.Response:
-        shown = await self.look(Look(RULES))
+        shown = await self.query_machine(Look(RULES))
         summaries: dict[str, Summary] = msgspec.msgpack.decode(shown.body, type=dict[str, Summary])
         return answer(RulesShown(shown.index, summaries))
 
     async def holders(self, request: web.Request) -> web.Response:
         """The gateways that hold rules, as the leader knows them."""
-        shown = await self.look(Look(HOLDERS))
+        shown = await self.query_machine(Look(HOLDERS))
         return answer(msgspec.msgpack.decode(shown.body, type=Holders))
 
     async def put_rules(self, request: web.Request) -> web.Response:
         """Store rules; ``?ident=`` makes a repeated request idempotent."""
-        command = await self.read(request, PutRules)
+        command = await self.read_body(request, PutRules)
         detail = f"{command.name} on {command.parent}: {command.reason}"
         self.supervisor.record("rules", operator=request["caller"].name, detail=detail)
         command = msgspec.structs.replace(command, author=request["caller"].name)
         put = put_rules(command, request.query.get("ident", ""))
-        return answer(self.require_answer(await self.driver().ask(put=put)))
+        return answer(self.require_answer(await self.require_member().ask(put=put)))
 
     async def question(self, request: web.Request) -> web.Response:
         """Answer a gateway's question about the rules it may act by."""
-        asked = await self.read(request, RulesQuestion)
-        return answer(self.require_answer(await self.driver().ask(question=asked)))
+        body = await self.read_body(request, RulesQuestion)
+        return answer(self.require_answer(await self.require_member().ask(question=body)))
 
     async def content(self, request: web.Request) -> web.Response:
         """The content of a rules document, from this member's own copy; the caller verifies its digest."""
-        asked = await self.read(request, FetchRules)
-        found: Content | None = self.driver().replica.rules.content(asked)
+        body = await self.read_body(request, FetchRules)
+        found: Content | None = self.require_member().replica.rules.content(body)
         if found is None:
-            raise RefusalError(
-                404, "no-content", f"{asked.name} {asked.version} is not stored on this member"
-            )
+            raise RefusalError(404, "no-content", f"{body.name} {body.version} is not stored on this member")
         return answer(found)
 
     async def command(self, request: web.Request) -> web.Response:
@@ -246,10 +244,12 @@
         command: Define | Remove | Move = wire.decode(Define | Remove | Move, await request.read())  # type: ignore[arg-type]
         self.supervisor.record("duty", operator=request["caller"].name, detail=str(command))
         put = put_duty(command, request.query.get("ident", ""))
-        return answer(self.require_answer(await self.driver().ask(put=put)))
+        return answer(self.require_answer(await self.require_member().ask(put=put)))
 
     async def beat(self, request: web.Request) -> web.Response:
-        return answer(self.require_answer(await self.driver().ask(beat=await self.read(request, Beat))))
+        return answer(
+            self.require_answer(await self.require_member().ask(beat=await self.read_body(request, Beat)))
+        )
 
     async def instances(self, request: web.Request) -> web.Response:
         return answer(self.supervisor.listing())
@@ -295,30 +295,28 @@
         return answer(self.supervisor.operation(request.match_info["id"]))
 
     async def put_operation(self, request: web.Request) -> web.Response:
-        plan = await self.read(request, wire.OperationPlan)
+        plan = await self.read_body(request, wire.OperationPlan)
         if plan.id != request.match_info["id"]:
             raise RefusalError(400, "bad-request", "the plan's id differs from the one in the path")
         return answer(self.supervisor.put_operation(plan, request["caller"].name))
 
     async def close_operation(self, request: web.Request) -> web.Response:
-        asked = await self.read(request, wire.CloseOperation)
-        return answer(
-            self.supervisor.close_operation(request.match_info["id"], asked, request["caller"].name)
-        )
+        body = await self.read_body(request, wire.CloseOperation)
+        return answer(self.supervisor.close_operation(request.match_info["id"], body, request["caller"].name))
 
     async def claim(self, request: web.Request) -> web.Response:
-        asked = await self.read(request, wire.ClaimRequest)
-        claims = self.supervisor.claim(asked, request["caller"].name)
+        body = await self.read_body(request, wire.ClaimRequest)
+        claims = self.supervisor.claim(body, request["caller"].name)
         return answer(wire.Claimed([claim_info(claim) for claim in claims]))
 
     async def renew(self, request: web.Request) -> web.Response:
-        claims = self.supervisor.renew(await self.read(request, wire.TokenRequest))
+        claims = self.supervisor.renew(await self.read_body(request, wire.TokenRequest))
         return answer(wire.Claimed([claim_info(claim) for claim in claims]))
 
     async def release(self, request: web.Request) -> web.Response:
-        self.supervisor.release(await self.read(request, wire.TokenRequest))
+        self.supervisor.release(await self.read_body(request, wire.TokenRequest))
         return answer(wire.Claimed([]))
 
     async def step(self, request: web.Request) -> web.Response:
-        asked = await self.read(request, wire.StepRequest)
-        return answer(self.supervisor.step(asked, request["caller"].name))
+        body = await self.read_body(request, wire.StepRequest)
+        return answer(self.supervisor.step(body, request["caller"].name))
--- a/latchspoke/agent/members.py
+++ b/latchspoke/agent/members.py
@@ -88,7 +88,7 @@
         self.input_ready = asyncio.Event()
         self.pending_replies: dict[int, Callable[[Reply], None]] = {}
         self.forwarded: dict[int, asyncio.Future[Reply]] = {}
-        self.last_number = first_request_id(secrets.token_hex(8))
+        self.last_request_id = first_request_id(secrets.token_hex(8))
         self.known_identities: dict[str, str] = {}  # by name, from the hello frames received
         self.disk_error = ""
         self.counters: Counter[str] = Counter()
@@ -103,7 +103,7 @@
     async def stop(self) -> None:
         """Stop the member; a leader transfers its leadership first, to avoid an election timeout."""
         if self.replica.member.role is Role.LEADER:
-            self.enqueue(self.hand_over)
+            self.enqueue(self.transfer_leadership)
             await asyncio.sleep(2 * TICK_INTERVAL_S)
         if self.task is not None:
             self.task.cancel()
@@ -112,7 +112,7 @@
         self.transport.stop()
         self.raft_store.close()
 
-    def hand_over(self, now: float) -> None:
+    def transfer_leadership(self, now: float) -> None:
         with contextlib.suppress(NotLeaderError):
             self.replica.member.hand_over(now)
 
@@ -137,8 +137,8 @@
                     future.set_result(from_frame(frame))
 
     def submit(self, request: AskFrame, reply_to: Callable[[Reply], None]) -> None:
-        self.last_number += 1
-        number, replica = self.last_number, self.replica
+        self.last_request_id += 1
+        number, replica = self.last_request_id, self.replica
         self.pending_replies[number] = reply_to
         beat, put, look, question = request.beat, request.put, request.look, request.question
         if beat is not None:
@@ -177,8 +177,8 @@
                 reply = await future
                 if not isinstance(reply, Refused) or reply.leader in ("", self.replica.member.identity):
                     return reply
-                self.last_number += 1
-                number, future = self.last_number, loop.create_future()
+                self.last_request_id += 1
+                number, future = self.last_request_id, loop.create_future()
                 self.forwarded[number] = future
                 try:
                     leader_name = name_of(reply.leader)
--- a/tests/agent/conftest.py
+++ b/tests/agent/conftest.py
@@ -1,4 +1,4 @@
-"""A world that is ended after each test, whatever happened in it."""
+"""A fixture with agents that are stopped after each test."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import pytest
 
-from tests.agent.world import World, world
+from tests.agent.harness import FleetHarness, fleet_harness
 
 
 @pytest.fixture
-def fleet(tmp_path: Path) -> Iterator[World]:
-    with world(tmp_path) as made:
-        yield made
+def fleet(tmp_path: Path) -> Iterator[FleetHarness]:
+    with fleet_harness(tmp_path) as harness:
+        yield harness
--- a/tests/agent/world.py
+++ b/tests/agent/harness.py
@@ -1,4 +1,4 @@
-"""Real agents with real processes on loopback, for tests; all that it starts it ends."""
+"""Starts real agents and processes on loopback for tests, and ends all of them afterwards."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from latchspoke.fleet import wire
 
 T = TypeVar("T")
-PATIENCE = 40.0  # s; a test fails beyond it; it never waits so long when all is well
-PUPPET = [sys.executable, "-S", str(Path(__file__).with_name("puppet.py"))]
+WAIT_TIMEOUT_S = 40.0
+FAKE_GATEWAY = [sys.executable, "-S", str(Path(__file__).with_name("fake_gateway.py"))]
 ROOT = Path(__file__).parents[2]
-QUICK = 'limits: {drain: "1s", silent: "600ms", pause: "50ms", start: "5s"}'
+SHORT_LIMITS = 'limits: {drain: "1s", silent: "600ms", pause: "50ms", start: "5s"}'
 
 
-# Below the range from which the kernel takes ports for outgoing connections. The tests' processes share them
-# by blocks: who listens on the first port of one has the rest, whatever other worker or run there is.
+# Below the kernel's ephemeral ports. Concurrent test processes share the range in blocks: the process that
+# listens on the first port of a block owns the rest of it.
 BLOCKS, BLOCK = range(20_000, 32_000, 100), 100
 
 
@@ -61,14 +61,16 @@
         self.tls = self.members = ""
         self.process: subprocess.Popen[bytes] | None = None
 
-    def puppet(self, name: str, mode: str = "good", more: str = QUICK, zone: str = "") -> None:
-        """An instance played by a puppet; the new mode counts from its next start."""
+    def fake_gateway(
+        self, name: str, mode: str = "normal", limits: str = SHORT_LIMITS, zone: str = ""
+    ) -> None:
+        """Add an instance that runs a fake gateway; a new mode applies from its next start."""
         port = self.ports.setdefault(name, free_port())
         config = self.folder / f"{name}.json"
         config.touch()
         self.instances[name] = (
             f'{name}: {{config: {json.dumps(str(config))}, listen: "127.0.0.1:{port}", zone: "{zone}"\n'
-            f'command: {json.dumps(PUPPET)}, environment: PUPPET: "{mode}"\n{more}}}'
+            f'command: {json.dumps(FAKE_GATEWAY)}, environment: FAKE_GATEWAY_MODE: "{mode}"\n{limits}}}'
         )
 
     def write(self) -> None:
@@ -86,7 +88,7 @@
             cwd=ROOT, stdout=log, stderr=log,
         )  # fmt: skip
         log.close()
-        until(lambda: self.socket.exists() or self.process_ended(), "the agent listens")
+        wait_until(lambda: self.socket.exists() or self.process_ended(), "the agent listens")
 
     def process_ended(self) -> bool:
         if self.process is not None and self.process.poll() is not None:
@@ -98,7 +100,7 @@
         return self.folder / "agent.sock"
 
     def kill(self) -> None:
-        """As a crash: nothing is tidied up."""
+        """Kill the agent without any cleanup."""
         assert self.process is not None
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
@@ -114,13 +116,13 @@
         return next(s.state for s in self.listing().instances if s.name == name)
 
     def wait(self, name: str, *states: str) -> str:
-        until(
+        wait_until(
             lambda: self.state(name) in states, f"{name} is {' or '.join(states)}", lambda: self.state(name)
         )
         return self.state(name)
 
     def end(self) -> None:
-        """The agent, then every process that is under this folder."""
+        """Stop the agent, then kill all its gateway processes."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.terminate()
@@ -139,53 +141,53 @@
                 os.kill(pid, signal.SIGKILL)
 
 
-class World:
-    """Some hosts and the fleet's file."""
+class FleetHarness:
+    """Hosts with agents, and the fleet file."""
 
     def __init__(self, base: Path) -> None:
         self.base, self.file = base, base / "fleet.cue"
         self.hosts: dict[str, Host] = {}
 
     def host(self, name: str) -> Host:
-        made = self.hosts[name] = Host(self.base, name)
-        return made
+        host = self.hosts[name] = Host(self.base, name)
+        return host
 
-    def start(self) -> World:
+    def start(self) -> FleetHarness:
         for host in self.hosts.values():
             host.start()
         self.write()
         return self
 
     def write(self, **sockets: Path) -> None:
-        """The fleet's file; other sockets may stand in for agents."""
+        """Write the fleet file; ``sockets`` adds or replaces agents."""
         named = {name: host.socket for name, host in self.hosts.items()} | sockets
         lines = [f"agents: {name}: socket: {json.dumps(str(path))}" for name, path in named.items()]
         self.file.write_text("\n".join([*lines, 'limit: "1s"']) + "\n")
 
-    def ready(self, *idents: str) -> World:
+    def ready(self, *idents: str) -> FleetHarness:
         for ident in idents:
             host, _, name = ident.partition("/")
             self.hosts[host].wait(name, "ready")
         return self
 
-    def tool(self, *words: str) -> tuple[int, Any]:
-        """The command with ``--json``, in this process; its exit code and what it printed."""
+    def tool(self, *arguments: str) -> tuple[int, Any]:
+        """Run the fleet command with ``--json`` in this process; returns its exit code and output."""
         out, err = io.StringIO(), io.StringIO()
         with redirect_stdout(out), redirect_stderr(err):
-            code = command.main([*words, "--fleet", str(self.file), "--json"])
+            code = command.main([*arguments, "--fleet", str(self.file), "--json"])
         text = out.getvalue()
         return code, json.loads(text) if text.strip() else err.getvalue()
 
-    def tool_process(self, *words: str) -> subprocess.Popen[str]:
-        """The same as a process of its own, to be killed or run beside another."""
+    def tool_process(self, *arguments: str) -> subprocess.Popen[str]:
+        """Run the fleet command as a separate process."""
         return subprocess.Popen(
-            [sys.executable, "-m", "latchspoke", "fleet", *words, "--fleet", str(self.file), "--json"],
+            [sys.executable, "-m", "latchspoke", "fleet", *arguments, "--fleet", str(self.file), "--json"],
             cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
         )  # fmt: skip
 
     def events(self, host: str, operation: str | None = None) -> list[wire.Event]:
-        told = ask(self.hosts[host], lambda fleet: fleet.clients[host].events())
-        return [e for e in told.events if operation in (None, e.operation)]
+        answer = ask(self.hosts[host], lambda fleet: fleet.clients[host].events())
+        return [e for e in answer.events if operation in (None, e.operation)]
 
     def end(self) -> None:
         for host in self.hosts.values():
@@ -193,16 +195,16 @@
 
 
 @contextmanager
-def world(base: Path) -> Iterator[World]:
-    made = World(base)
+def fleet_harness(base: Path) -> Iterator[FleetHarness]:
+    harness = FleetHarness(base)
     try:
-        yield made
+        yield harness
     finally:
-        made.end()
+        harness.end()
 
 
 def ask(host: Host, question: Callable[[Fleet], Coroutine[Any, Any, T]]) -> T:
-    """One question to one agent."""
+    """Send one request to one agent."""
     file = host.base / f"{host.name}-alone.cue"
     file.write_text(f'agents: {host.name}: socket: {json.dumps(str(host.socket))}\nlimit: "3s"\n')
 
@@ -213,11 +215,13 @@
     return asyncio.run(run())
 
 
-def until(test: Callable[[], Any], what: str, say: Callable[[], Any] = lambda: "") -> None:
-    """Until it holds; beyond patience the test fails with what was waited for."""
-    end = time.monotonic() + PATIENCE
-    while not test():
-        assert time.monotonic() < end, f"waited in vain until {what}: {say()}"
+def wait_until(
+    condition: Callable[[], Any], expectation: str, describe: Callable[[], Any] = lambda: ""
+) -> None:
+    """Wait until the condition holds; after a timeout, fail with the expectation."""
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline, f"timed out waiting until {expectation}: {describe()}"
         time.sleep(0.02)
 
 
--- a/tests/agent/test_members.py
+++ b/tests/agent/test_members.py
@@ -1,4 +1,4 @@
-"""Agents as members of a replicated log: real processes, real links with faults on them, duties under way."""
+"""Agents as members of a replicated log: real processes, connections with faults, and duties in progress."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 from latchspoke.lab.schedules.real import draw, trial
 from latchspoke.records import RecordError
 from latchspoke.records.load import Seconds
-from tests.agent.world import ROOT, Host, free_port, until
+from tests.agent.harness import ROOT, Host, free_port, wait_until
 
 T = TypeVar("T")
-ACT = [sys.executable, "-S", str(ROOT / "latchspoke/lab/schedules/act.py")]
-LENGTH = 2.0  # s of a grant
+ACTION_COMMAND = [sys.executable, "-S", str(ROOT / "latchspoke/lab/schedules/act.py")]
+GRANT_S = 2.0
 
 
 class Group:
-    """Three agents; each hears the others through a relay of its own for each way."""
+    """Three agents, with a relay for each direction between two of them."""
 
     def __init__(self, base: Path) -> None:
         self.base, self.names = base, ["a1", "a2", "a3"]
@@ -48,45 +48,48 @@
         self.thread.start()
         ports = {name: free_port() for name in self.names}
         self.relays = {
-            (one, other): Relay(("127.0.0.1", ports[other]))
-            for one in self.names for other in self.names if one != other
+            (source, destination): Relay(("127.0.0.1", ports[destination]))
+            for source in self.names for destination in self.names if source != destination
         }  # fmt: skip
-        where = {pair: self.call(relay.start)[1] for pair, relay in self.relays.items()}
+        addresses = {pair: self.run_in_loop(relay.start)[1] for pair, relay in self.relays.items()}
         self.hosts = {name: Host(base, name) for name in self.names}
         for name, host in self.hosts.items():
-            peers = {other: where.get((name, other), ports[other]) for other in self.names}
-            told = ", ".join(f'{other}: "127.0.0.1:{port}"' for other, port in peers.items())
+            peers = {
+                destination: addresses.get((name, destination), ports[destination])
+                for destination in self.names
+            }
+            peer_list = ", ".join(f'{destination}: "127.0.0.1:{port}"' for destination, port in peers.items())
             first = "true" if name == "a1" else "false"
-            host.members = f'members: {{peers: {{{told}}}, first: {first}, election: "400ms"}}'
-        self.runs: dict[str, subprocess.Popen[bytes]] = {}
-        self.record = base / "acts"
+            host.members = f'members: {{peers: {{{peer_list}}}, first: {first}, election: "400ms"}}'
+        self.holders: dict[str, subprocess.Popen[bytes]] = {}
+        self.action_log = base / "acts"
 
-    def call(self, work: Callable[[], Awaitable[T]]) -> T:
+    def run_in_loop(self, work: Callable[[], Awaitable[T]]) -> T:
         async def within() -> T:
             return await work()
 
         return asyncio.run_coroutine_threadsafe(within(), self.loop).result(10)
 
-    def link(self, one: str, other: str, mode: Mode, delay: float = 0.0) -> None:
-        self.loop.call_soon_threadsafe(self.relays[one, other].set, mode, delay)
+    def link(self, source: str, destination: str, mode: Mode, delay: float = 0.0) -> None:
+        self.loop.call_soon_threadsafe(self.relays[source, destination].set, mode, delay)
 
-    def apart(self, name: str, mode: Mode) -> None:
+    def isolate(self, name: str, mode: Mode) -> None:
         for pair in self.relays:
             if name in pair:
                 self.link(*pair, mode)
 
-    def tool(self, *words: str) -> subprocess.CompletedProcess[str]:
+    def tool(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         alive = [h for h in self.hosts.values() if h.process is not None and h.process.poll() is None]
         sockets = ",".join(str(host.socket) for host in alive)
-        command = [sys.executable, "-m", "latchspoke", *words, "--socket", sockets]
+        command = [sys.executable, "-m", "latchspoke", *arguments, "--socket", sockets]
         return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30, check=False)
 
-    def done(self, *words: str) -> bool:
-        return self.tool(*words).returncode == 0
+    def succeeds(self, *arguments: str) -> bool:
+        return self.tool(*arguments).returncode == 0
 
     def status(self) -> list[dict[str, Any]]:
-        told = self.tool("members", "status", "--json")
-        found: list[dict[str, Any]] = json.loads(told.stdout)["members"] if told.stdout else []
+        result = self.tool("members", "status", "--json")
+        found: list[dict[str, Any]] = json.loads(result.stdout)["members"] if result.stdout else []
         return found
 
     def leader(self) -> str:
@@ -96,84 +99,84 @@
     def start(self) -> None:
         for host in self.hosts.values():
             host.start()
-        until(lambda: any(len(s["voters"]) == 3 for s in self.status()), "three vote")
-        made = self.tool("duty", "define", "census", "--length", f"{LENGTH}s")
-        assert made.returncode == 0, made.stderr
+        wait_until(lambda: any(len(s["voters"]) == 3 for s in self.status()), "three vote")
+        result = self.tool("duty", "define", "census", "--length", f"{GRANT_S}s")
+        assert result.returncode == 0, result.stderr
 
-    def run(self, name: str, *more: str, over: str = "") -> None:
-        """A process that holds the duty when it can, by way of all agents, or of one."""
+    def start_holder(self, name: str, *arguments: str, agent: str = "") -> None:
+        """Start a candidate for the duty that uses all agents, or one."""
         sockets = (
-            str(self.hosts[over].socket) if over else ",".join(str(h.socket) for h in self.hosts.values())
+            str(self.hosts[agent].socket) if agent else ",".join(str(h.socket) for h in self.hosts.values())
         )
-        words = ["duty", "run", "census", "--as", name, "--socket", sockets, "--grace", "400ms", "--"]
+        command = ["duty", "run", "census", "--as", name, "--socket", sockets, "--grace", "400ms", "--"]
         log = open(self.base / f"{name}.log", "ab")  # noqa: SIM115
-        self.runs[name] = subprocess.Popen(
-            [sys.executable, "-m", "latchspoke", *words, *ACT, str(self.record), *more],
+        self.holders[name] = subprocess.Popen(
+            [sys.executable, "-m", "latchspoke", *command, *ACTION_COMMAND, str(self.action_log), *arguments],
             cwd=ROOT, stdout=log, stderr=log,
         )  # fmt: skip
         log.close()
 
-    def acts(self) -> list[tuple[float, int, int, str]]:
-        """Time, token, process and what became of it, in the order in which they were taken."""
-        lines = self.record.read_text().splitlines() if self.record.exists() else []
+    def actions(self) -> list[tuple[float, int, int, str]]:
+        """Time, token, PID and outcome of the actions, in order."""
+        lines = self.action_log.read_text().splitlines() if self.action_log.exists() else []
         parts = [line.split() for line in lines if len(line.split()) == 4]
-        return [(float(at), int(token), int(pid), word) for at, token, pid, word in parts]
+        return [(float(at), int(token), int(pid), outcome) for at, token, pid, outcome in parts]
 
     def token(self) -> int:
-        return max((token for _, token, _, word in self.acts() if word == "acts"), default=0)
+        return max((token for _, token, _, outcome in self.actions() if outcome == "acts"), default=0)
 
     def holder(self) -> str:
-        shown = json.loads(self.tool("duty", "show", "census", "--json").stdout or "{}")
-        tenure = shown.get("duties", {}).get("census", {}).get("tenure") or {}
+        status = json.loads(self.tool("duty", "show", "census", "--json").stdout or "{}")
+        tenure = status.get("duties", {}).get("census", {}).get("tenure") or {}
         return str(tenure.get("holder", "")).partition("#")[0]
 
-    def stop_between_acts(self, pid: int) -> None:
-        """Not while it holds the record, for which all others would wait as long as it stands still."""
-        with open(self.record) as file:
+    def suspend_between_actions(self, pid: int) -> None:
+        """Suspend a process that does not hold the lock of the action log, which would block others."""
+        with open(self.action_log) as file:
             fcntl.flock(file, fcntl.LOCK_EX)
             os.kill(pid, signal.SIGSTOP)
-            until(lambda: state_of(pid) == "T", "it stands still")
+            wait_until(lambda: read_process_state(pid) == "T", "it stands still")
 
     def check(self) -> None:
-        """By the acts' own record: tokens in order, each of one process, and no two at a time."""
+        """Check the action log: tokens never decrease, and each belongs to one process."""
         latest = 0
         owners: dict[int, int] = {}
-        for at, token, pid, word in self.acts():
+        for at, token, pid, outcome in self.actions():
             assert owners.setdefault(token, pid) == pid
-            if word == "acts":
+            if outcome == "acts":
                 assert token >= latest, (at, token, latest)
                 latest = token
 
-    def end(self) -> None:
-        for process in self.runs.values():
+    def stop(self) -> None:
+        for process in self.holders.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
-        for process in self.runs.values():
+        for process in self.holders.values():
             try:
                 process.wait(5)
             except subprocess.TimeoutExpired:
                 process.kill()
-        for pid in {pid for _, _, pid, _ in self.acts()}:
-            if b"act.py" in command_of(pid):
+        for pid in {pid for _, _, pid, _ in self.actions()}:
+            if b"act.py" in read_command(pid):
                 os.kill(pid, signal.SIGKILL)
         for relay in self.relays.values():
-            self.call(relay.stop)
+            self.run_in_loop(relay.stop)
         for host in self.hosts.values():
             host.end()
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(5)
 
 
-def command_of(pid: int) -> bytes:
+def read_command(pid: int) -> bytes:
     try:
         return Path(f"/proc/{pid}/cmdline").read_bytes()
     except OSError:
         return b""
 
 
-def state_of(pid: int) -> str:
-    """As the system tells it, T for one that has been stopped."""
+def read_process_state(pid: int) -> str:
+    """The kernel's state letter; T means stopped."""
     return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
 
 
@@ -185,223 +188,227 @@
         yield group
         group.check()
     finally:
-        group.end()
+        group.stop()
 
 
-def test_a_duty_goes_on_when_its_holder_or_the_leader_is_killed(group: Group) -> None:
-    group.run("h1")
-    until(lambda: group.token() == 1, "the first acts")
-    group.run("h2")
+def test_duty_continues_after_its_holder_or_the_leader_is_killed(group: Group) -> None:
+    group.start_holder("h1")
+    wait_until(lambda: group.token() == 1, "the first acts")
+    group.start_holder("h2")
     group.hosts[group.leader()].kill()
-    seen = len(group.acts())
-    until(lambda: len(group.acts()) > seen + 50, "it acts without that leader")
-    group.runs["h1"].kill()
-    last = group.acts()[-1]
-    if b"act.py" in command_of(last[2]):
+    seen = len(group.actions())
+    wait_until(lambda: len(group.actions()) > seen + 50, "it acts without that leader")
+    group.holders["h1"].kill()
+    last = group.actions()[-1]
+    if b"act.py" in read_command(last[2]):
         os.kill(last[2], signal.SIGKILL)
-    until(lambda: group.token() == 2, "the second follows")
-    first = next(at for at, token, _, _ in group.acts() if token == 2)
-    print(f"without a holder for {first - last[0]:.2f} s, grants of {LENGTH} s")
-    assert first - last[0] < 2 * LENGTH + 1
-
-
-def test_a_holder_stopped_beyond_its_grant_acts_no_more(group: Group) -> None:
-    """Whole, with its command, while another begins; what it touches refuses it."""
-    group.run("h1", "stubborn")
-    until(lambda: group.token() == 1, "the first acts")
-    pid = group.acts()[-1][2]
-    group.run("h2")
-    os.kill(group.runs["h1"].pid, signal.SIGSTOP)
-    group.stop_between_acts(pid)
-    until(lambda: group.token() == 2, "the second acts")
-    for stopped in (pid, group.runs["h1"].pid):
+    wait_until(lambda: group.token() == 2, "the second follows")
+    first = next(at for at, token, _, _ in group.actions() if token == 2)
+    print(f"without a holder for {first - last[0]:.2f} s, grants of {GRANT_S} s")
+    assert first - last[0] < 2 * GRANT_S + 1
+
+
+def test_suspended_holder_does_not_act_after_its_grant(group: Group) -> None:
+    """Both the holder and its command are suspended while another holder starts."""
+    group.start_holder("h1", "stubborn")
+    wait_until(lambda: group.token() == 1, "the first acts")
+    pid = group.actions()[-1][2]
+    group.start_holder("h2")
+    os.kill(group.holders["h1"].pid, signal.SIGSTOP)
+    group.suspend_between_actions(pid)
+    wait_until(lambda: group.token() == 2, "the second acts")
+    for stopped in (pid, group.holders["h1"].pid):
         os.kill(stopped, signal.SIGCONT)
-    until(lambda: b"act.py" not in command_of(pid), "its command is ended, though it ignores SIGTERM")
+    wait_until(lambda: b"act.py" not in read_command(pid), "its command is ended, though it ignores SIGTERM")
     assert group.holder() == "h2"
 
 
-def test_a_holder_cut_off_from_all_members_ends_its_command_before_another_begins(group: Group) -> None:
-    group.run("h1", "stubborn", over="a1")
-    until(lambda: group.token() == 1, "the first acts")
-    group.run("h2", over="a2")
+def test_isolated_holder_stops_before_the_next_one_starts(group: Group) -> None:
+    group.start_holder("h1", "stubborn", agent="a1")
+    wait_until(lambda: group.token() == 1, "the first acts")
+    group.start_holder("h2", agent="a2")
     if group.leader() != "a2":
         group.tool("duty", "list")
-    group.apart("a1", Mode.HOLD)
-    until(lambda: group.token() == 2, "the second acts")
-    acts = group.acts()
-    end, begin = max(a for a, t, _, _ in acts if t == 1), min(a for a, t, _, _ in acts if t == 2)
+    group.isolate("a1", Mode.HOLD)
+    wait_until(lambda: group.token() == 2, "the second acts")
+    actions = group.actions()
+    end, begin = max(a for a, t, _, _ in actions if t == 1), min(a for a, t, _, _ in actions if t == 2)
     print(f"{begin - end:.2f} s between them")
-    assert end < begin and all(word == "acts" for *_, word in acts)
-    group.apart("a1", Mode.PASS)
-    until(lambda: len({s["leader"] for s in group.status()}) == 1, "all hear one leader")
-
-
-def test_a_move_needs_no_wait_and_both_say_who_holds_it(group: Group) -> None:
-    group.run("h1")
-    until(lambda: group.token() == 1, "the first acts")
-    group.run("h2")
-    until(lambda: "h2" in (group.base / "a1.log").read_text() or group.holder() == "h1", "h2 is there")
-    until(lambda: group.tool("duty", "move", "census", "h2").returncode == 0, "it is asked for")
-    until(lambda: group.holder() == "h2", "it has moved")
-    until(lambda: group.token() == 2, "the second acts")
-    acts = group.acts()
-    gap = min(a for a, t, _, _ in acts if t == 2) - max(a for a, t, _, _ in acts if t == 1)
-    print(f"moved within {gap:.2f} s, grants of {LENGTH} s")
-    assert 0 < gap < LENGTH
-    told = group.tool("duty", "history", "census").stdout
-    assert "released" in told and "holds it" in told
-
-
-def test_a_command_that_ends_or_can_not_be_run_gives_the_duty_back(group: Group) -> None:
-    words = ["duty", "run", "census", "--as", "h1"]
+    assert end < begin and all(outcome == "acts" for *_, outcome in actions)
+    group.isolate("a1", Mode.PASS)
+    wait_until(lambda: len({s["leader"] for s in group.status()}) == 1, "all hear one leader")
+
+
+def test_moved_duty_changes_holder_within_a_grant(group: Group) -> None:
+    group.start_holder("h1")
+    wait_until(lambda: group.token() == 1, "the first acts")
+    group.start_holder("h2")
+    wait_until(lambda: "h2" in (group.base / "a1.log").read_text() or group.holder() == "h1", "h2 is there")
+    wait_until(lambda: group.tool("duty", "move", "census", "h2").returncode == 0, "it is asked for")
+    wait_until(lambda: group.holder() == "h2", "it has moved")
+    wait_until(lambda: group.token() == 2, "the second acts")
+    actions = group.actions()
+    gap = min(a for a, t, _, _ in actions if t == 2) - max(a for a, t, _, _ in actions if t == 1)
+    print(f"moved within {gap:.2f} s, grants of {GRANT_S} s")
+    assert 0 < gap < GRANT_S
+    history = group.tool("duty", "history", "census").stdout
+    assert "released" in history and "holds it" in history
+
+
+def test_duty_is_released_when_its_command_ends_or_fails_to_start(group: Group) -> None:
+    arguments = ["duty", "run", "census", "--as", "h1"]
     sockets = ["--socket", str(group.hosts["a1"].socket)]
     for command, code in ((["sh", "-c", "exit 3"], 3), (["/nothing/here"], 127)):
         done = subprocess.run(
-            [sys.executable, "-m", "latchspoke", *words, *sockets, "--", *command],
+            [sys.executable, "-m", "latchspoke", *arguments, *sockets, "--", *command],
             cwd=ROOT, capture_output=True, text=True, timeout=30, check=False,
         )  # fmt: skip
         assert done.returncode == code, done.stderr
-        until(lambda: "holds it" not in group.tool("duty", "history", "census").stdout, "it is given back")
+        wait_until(
+            lambda: "holds it" not in group.tool("duty", "history", "census").stdout, "it is given back"
+        )
     assert "can't run /nothing/here" in done.stderr
 
 
-def test_all_members_killed_at_once_forget_nothing(group: Group) -> None:
-    group.run("h1")
-    until(lambda: group.token() == 1, "the first acts")
+def test_tokens_survive_a_crash_of_all_members(group: Group) -> None:
+    group.start_holder("h1")
+    wait_until(lambda: group.token() == 1, "the first acts")
     for host in group.hosts.values():
         host.kill()
     assert group.tool("duty", "list").returncode != 0
-    group.runs["h1"].kill()
+    group.holders["h1"].kill()
     for host in group.hosts.values():
         host.start()
-    group.run("h2")
-    until(lambda: group.token() >= 2, "it goes on with the next token")
+    group.start_holder("h2")
+    wait_until(lambda: group.token() >= 2, "it goes on with the next token")
 
 
-def test_a_cut_that_holds_one_way_and_slow_replies_elect_nobody_for_ever(group: Group) -> None:
-    group.run("h1")
-    until(lambda: group.token() == 1, "the first acts")
+def test_one_way_partition_does_not_cause_endless_elections(group: Group) -> None:
+    group.start_holder("h1")
+    wait_until(lambda: group.token() == 1, "the first acts")
     leader = group.leader()
     other = next(name for name in group.names if name != leader)
     group.link(other, leader, Mode.HOLD)
     for pair in group.relays:
         if pair != (other, leader):
             group.link(*pair, Mode.PASS, 0.1)
-    seen = len(group.acts())
-    until(lambda: len(group.acts()) > seen + 150, "it acts for three seconds")
+    seen = len(group.actions())
+    wait_until(lambda: len(group.actions()) > seen + 150, "it acts for three seconds")
     assert group.token() == 1
 
 
-def test_an_empty_disk_and_an_old_one_under_the_same_name(group: Group) -> None:
+def test_member_with_lost_or_restored_store_must_be_added_anew(group: Group) -> None:
     other = next(name for name in group.names if name not in (group.leader(), "a1"))
     host = group.hosts[other]
-    old = host.folder / "old.db"
+    backup = host.folder / "old.db"
     copy = sqlite3.connect(host.folder / "members.db")
-    copy.execute(f"VACUUM INTO '{old}'")
+    copy.execute(f"VACUUM INTO '{backup}'")
     copy.close()
     host.kill()
     host.start()
     host.kill()
     for name in ("members.db", "members.db-wal", "members.db-shm"):
         (host.folder / name).unlink(missing_ok=True)
-    old.rename(host.folder / "members.db")
+    backup.rename(host.folder / "members.db")
     with pytest.raises(AssertionError, match="older copy"):
         host.start()
     for path in host.folder.glob("members.*"):
         path.unlink()
     host.start()
-    mine = next(s for s in group.status() if str(s["identity"]).startswith(other))
-    assert mine["voters"] == [] and mine["role"] == "follower"
+    status = next(s for s in group.status() if str(s["identity"]).startswith(other))
+    assert status["voters"] == [] and status["role"] == "follower"
     for verb in ("remove", "add"):
-        until(partial(group.done, "members", verb, other), verb)
-    until(lambda: all(mine["identity"] in s["voters"] for s in group.status()), "it votes as a new one")
+        wait_until(partial(group.succeeds, "members", verb, other), verb)
+    wait_until(
+        lambda: all(status["identity"] in s["voters"] for s in group.status()), "it votes as a new one"
+    )
 
 
-# The ledger by itself.
+# The Raft store on its own.
 
 
-def test_the_ledger_gives_back_what_was_saved_and_refuses_damage(tmp_path: Path) -> None:
-    ledger = RaftStore(tmp_path / "members.db")
-    assert ledger.start("a1", "77", founder=True).snapshot.members == Members(("a1#77",))
+def test_raft_store_returns_saved_state_and_refuses_damage(tmp_path: Path) -> None:
+    store = RaftStore(tmp_path / "members.db")
+    assert store.start("a1", "77", founder=True).snapshot.members == Members(("a1#77",))
     entries = tuple(Entry(n, 1, Kind.DATA, b"x") for n in range(1, 6))
-    ledger.save(Output(hard_state=HardState(1, "a1#77"), first=1, entries=entries))
-    ledger.save(Output(first=4, entries=(Entry(4, 2),)))
-    ledger.close()
-    again = RaftStore(tmp_path / "members.db")
-    stored = again.start("a1", "88", founder=True)
+    store.save(Output(hard_state=HardState(1, "a1#77"), first=1, entries=entries))
+    store.save(Output(first=4, entries=(Entry(4, 2),)))
+    store.close()
+    reopened = RaftStore(tmp_path / "members.db")
+    stored = reopened.start("a1", "88", founder=True)
     assert (stored.identity, stored.boot, stored.hard_state) == ("a1#77", 2, HardState(1, "a1#77"))
     assert [(e.index, e.term) for e in stored.entries] == [(1, 1), (2, 1), (3, 1), (4, 2)]
-    again.db.execute("UPDATE entries SET body = x'00' WHERE place = 2")
+    reopened.db.execute("UPDATE entries SET body = x'00' WHERE place = 2")
     with pytest.raises(RaftStoreError, match="entry 2 is damaged"):
-        again.start("a1", "", founder=False)
-    again.db.execute("DELETE FROM entries WHERE place = 2")
+        reopened.start("a1", "", founder=False)
+    reopened.db.execute("DELETE FROM entries WHERE place = 2")
     with pytest.raises(RaftStoreError, match="entry 2 is missing"):
-        again.start("a1", "", founder=False)
+        reopened.start("a1", "", founder=False)
 
 
-def test_a_start_cut_short_between_note_and_file_is_no_older_copy(tmp_path: Path) -> None:
-    ledger = RaftStore(tmp_path / "members.db")
-    ledger.start("a1", "77", founder=False)
-    ledger.start("a1", "77", founder=False)
-    ledger.write_start_file(StartRecord("a1#77", 1))
-    assert ledger.start("a1", "", founder=False).boot == 3
-    ledger.write_start_file(StartRecord("a1#77", 5))
+def test_interrupted_start_is_not_taken_for_an_older_copy(tmp_path: Path) -> None:
+    store = RaftStore(tmp_path / "members.db")
+    store.start("a1", "77", founder=False)
+    store.start("a1", "77", founder=False)
+    store.write_start_file(StartRecord("a1#77", 1))
+    assert store.start("a1", "", founder=False).boot == 3
+    store.write_start_file(StartRecord("a1#77", 5))
     with pytest.raises(RaftStoreError, match="older copy"):
-        ledger.start("a1", "", founder=False)
+        store.start("a1", "", founder=False)
 
 
-def test_a_full_disk_refuses_and_takes_it_later(tmp_path: Path) -> None:
-    ledger = RaftStore(tmp_path / "members.db")
-    ledger.start("a1", "77", founder=False)
-    (pages,) = ledger.db.execute("PRAGMA page_count").fetchone()
-    ledger.db.execute(f"PRAGMA max_page_count = {pages}")
+def test_raft_store_accepts_writes_again_after_a_full_disk(tmp_path: Path) -> None:
+    store = RaftStore(tmp_path / "members.db")
+    store.start("a1", "77", founder=False)
+    (pages,) = store.db.execute("PRAGMA page_count").fetchone()
+    store.db.execute(f"PRAGMA max_page_count = {pages}")
     large = Output(first=1, entries=(Entry(1, 1, Kind.DATA, b"x" * 100_000),))
     with pytest.raises(RaftStoreError, match="full"):
-        ledger.save(large)
-    ledger.db.execute("PRAGMA max_page_count = 100000")
-    ledger.save(large)
-    assert len(ledger.start("a1", "", founder=False).entries) == 1
+        store.save(large)
+    store.db.execute("PRAGMA max_page_count = 100000")
+    store.save(large)
+    assert len(store.start("a1", "", founder=False).entries) == 1
 
 
 @pytest.mark.parametrize(
-    ("peers", "why"),
+    ("peers", "error"),
     [('a2: "127.0.0.1:1"', "its own address"), ('a1: "10.0.0.1:1"', "tls: true"), ('a1: "x:1"', "tls: true")],
 )
-def test_settings_of_members_that_cannot_be(tmp_path: Path, peers: str, why: str) -> None:
+def test_invalid_member_settings_are_refused(tmp_path: Path, peers: str, error: str) -> None:
     file = tmp_path / "a1.cue"
     file.write_text(f'name: "a1"\nfolder: "{tmp_path}"\nmembers: {{peers: {{{peers}}}}}\n')
-    with pytest.raises(RecordError, match=why):
+    with pytest.raises(RecordError, match=error):
         read_agent(str(file))
 
 
-def test_a_member_that_says_nothing_notices_a_break_and_greets_again() -> None:
-    """Found by drawn schedules: the founder was not there yet, and never heard of the others again."""
+def test_idle_connection_is_reopened_after_a_break() -> None:
+    """Otherwise a member that started later never gets the hello frame of an idle one."""
 
-    async def play() -> None:
-        heard: asyncio.Queue[Frame] = asyncio.Queue()
+    async def run_test() -> None:
+        received: asyncio.Queue[Frame] = asyncio.Queue()
         port = free_port()
         broken = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", port)
         peers = {"a1": f"127.0.0.1:{port}", "a2": f"127.0.0.1:{free_port()}"}
-        silent = PeerTransport(Hello("a2", "a2#1"), peers, lambda name, frame: None)
+        idle = PeerTransport(Hello("a2", "a2#1"), peers, lambda name, frame: None)
         await asyncio.sleep(0.05)
         broken.close()
-        there = PeerTransport(Hello("a1", "a1#1"), peers, lambda name, frame: heard.put_nowait(frame))
-        await there.listen(peers["a1"])
-        assert await asyncio.wait_for(heard.get(), 10) == Hello("a2", "a2#1")
-        silent.stop()
-        there.stop()
+        listening = PeerTransport(Hello("a1", "a1#1"), peers, lambda name, frame: received.put_nowait(frame))
+        await listening.listen(peers["a1"])
+        assert await asyncio.wait_for(received.get(), 10) == Hello("a2", "a2#1")
+        idle.stop()
+        listening.stop()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_a_drawn_schedule_with_real_processes(tmp_path: Path) -> None:
-    """`latchspoke lab schedules --real` plays as many as are wanted; CI plays one."""
+def test_random_fault_schedule_with_real_processes(tmp_path: Path) -> None:
+    """One schedule; `latchspoke lab schedules --real` runs more."""
     verdict = asyncio.run(trial(tmp_path, 3))
     assert not verdict.wrong, (verdict, [str(fault) for fault in draw(3, 3, 2)])
     assert verdict.acts > 50
 
 
-async def alone(base: Path) -> MemberDriver:
+async def start_single_member(base: Path) -> MemberDriver:
     record = MembersRecord({"a1": f"127.0.0.1:{free_port()}"}, True, Seconds(0.02), Seconds(0.1), 0.02)
     driver = MemberDriver("a1", record, base)
     await driver.start()
@@ -410,9 +417,9 @@
     return driver
 
 
-def test_a_fault_of_the_program_ends_a_member_and_every_question(tmp_path: Path) -> None:
-    async def play() -> None:
-        driver = await alone(tmp_path)
+def test_unexpected_exception_halts_the_member_and_fails_requests(tmp_path: Path) -> None:
+    async def run_test() -> None:
+        driver = await start_single_member(tmp_path)
         assert isinstance(await driver.ask(put=put_duty(Define("census", Rule()))), Done)
 
         def fault(now: float) -> None:
@@ -427,12 +434,12 @@
         assert await driver.ask(look=Look(DUTIES)) == Refused("")
         await driver.stop()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_a_member_whose_disk_is_full_says_nothing_and_is_back_by_itself(tmp_path: Path) -> None:
-    async def play() -> None:
-        driver = await alone(tmp_path)
+def test_member_recovers_by_itself_after_a_full_disk(tmp_path: Path) -> None:
+    async def run_test() -> None:
+        driver = await start_single_member(tmp_path)
         (pages,) = driver.raft_store.db.execute("PRAGMA page_count").fetchone()
         driver.raft_store.db.execute(f"PRAGMA max_page_count = {pages}")
         large = Define("census", Rule(names=("x" * 200_000,)))
@@ -443,8 +450,8 @@
             await asyncio.sleep(0.01)
         shown = await driver.ask(look=Look(DUTIES))
         assert isinstance(shown, Shown) and "census" in read_duties(shown), (
-            "it stood in the log, and is done now"
+            "the command was in the log and is applied now"
         )
         await driver.stop()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
--- a/tests/agent/test_operators.py
+++ b/tests/agent/test_operators.py
@@ -1,4 +1,4 @@
-"""Several operators, tools that die, agents that die: who may act, and that no step is done twice."""
+"""Concurrent operators, and crashes of tools and agents: claims hold, and no step is carried out twice."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 
 from latchspoke.agent.client import RefusedError
 from latchspoke.fleet import wire
-from tests.agent.world import QUICK, World, ask, details, gather_all, outcomes, until
+from tests.agent.harness import SHORT_LIMITS, FleetHarness, ask, details, gather_all, outcomes, wait_until
 
-SLOW = QUICK.replace('drain: "1s"', 'drain: "10s"')
+SLOW = SHORT_LIMITS.replace('drain: "1s"', 'drain: "10s"')
 
 
-def launches(fleet: World, host: str) -> Counter[str]:
+def launches(fleet: FleetHarness, host: str) -> Counter[str]:
     return Counter(e.instance for e in fleet.events(host) if e.kind == "spawned")
 
 
-def test_two_operators_at_the_same_moment(fleet: World) -> None:
+def test_only_one_of_two_concurrent_operators_may_act(fleet: FleetHarness) -> None:
     host = fleet.host("h1")
-    host.puppet("g1", "slow:1")
+    host.fake_gateway("g1", "slow:1")
     fleet.start().ready("h1/g1")
     tools = [fleet.tool_process("restart", "g1", "--reason", text) for text in ("one", "two")]
-    said = [tool.communicate(timeout=30)[0] for tool in tools]
-    reports = sorted((json.loads(text) for text in said), key=lambda r: r["state"])
+    outputs = [tool.communicate(timeout=30)[0] for tool in tools]
+    reports = sorted((json.loads(text) for text in outputs), key=lambda r: r["state"])
     assert [r["state"] for r in reports] == ["done", "refused"]
     winner, loser = reports
     assert outcomes(loser) == {"h1/g1": "not begun"}
-    # The one that lost is told who, which operation, since when.
+    # The refusal names the holder, its operation and the time of the claim.
     assert winner["operation"] in loser["detail"] and " holds it for " in loser["detail"]
     assert " since 1" in loser["detail"]
-    assert launches(fleet, "h1")["g1"] == 2  # the first start, and one restart
+    assert launches(fleet, "h1")["g1"] == 2  # the first start and one restart
     assert {e.operation for e in fleet.events("h1") if e.kind == "step-begun"} == {winner["operation"]}
 
 
-def test_a_dead_holder_s_late_step_is_refused_by_its_token(fleet: World) -> None:
+def test_late_step_under_an_expired_claim_is_refused(fleet: FleetHarness) -> None:
     host = fleet.host("h1")
-    host.puppet("g1")
+    host.fake_gateway("g1")
     fleet.start().ready("h1/g1")
     first = ask(host, lambda f: f.clients["h1"].claim(["g1"], "op-1", 0.3))
 
-    def take() -> bool:
+    def try_claim() -> bool:
         try:
             tokens.append(ask(host, lambda f: f.clients["h1"].claim(["g1"], "op-2", 30.0)))
         except RefusedError as e:
@@ -55,7 +55,7 @@
         return True
 
     tokens: list[dict[str, int]] = []
-    until(take, "the lease has ended")
+    wait_until(try_claim, "the lease has ended")
     assert tokens[0]["g1"] > first["g1"]
     late = wire.StepRequest("op-1", "g1", "drain", first["g1"])
     with pytest.raises(RefusedError, match="not the newest"):
@@ -64,34 +64,34 @@
     assert "step-refused" in {e.kind for e in fleet.events("h1")}
 
 
-def test_one_step_asked_for_ten_times_is_done_once(fleet: World) -> None:
+def test_repeated_step_request_is_carried_out_once(fleet: FleetHarness) -> None:
     host = fleet.host("h1")
-    host.puppet("g1")
+    host.fake_gateway("g1")
     fleet.start().ready("h1/g1")
     token = ask(host, lambda f: f.clients["h1"].claim(["g1"], "op-1", 30.0))["g1"]
     request = wire.StepRequest("op-1", "g1", "restart", token)
-    told = ask(host, lambda f: gather_all(*(f.clients["h1"].step(request) for _ in range(10))))
-    assert {info.since for info in told} == {told[0].since}
-    until(lambda: launches(fleet, "h1")["g1"] == 2, "it was restarted")
+    step_infos = ask(host, lambda f: gather_all(*(f.clients["h1"].step(request) for _ in range(10))))
+    assert {info.since for info in step_infos} == {step_infos[0].since}
+    wait_until(lambda: launches(fleet, "h1")["g1"] == 2, "it was restarted")
     host.wait("g1", "ready")
     again = ask(host, lambda f: f.clients["h1"].step(request))
     assert again.state == "done" and launches(fleet, "h1")["g1"] == 2
 
 
-def test_a_roll_whose_tool_dies_is_resumed_without_doing_a_step_twice(fleet: World) -> None:
+def test_resumed_roll_repeats_no_step(fleet: FleetHarness) -> None:
     names = [f"g{i}" for i in range(4)]
     for host in ("h1", "h2"):
-        made = fleet.host(host)
+        agent_host = fleet.host(host)
         for name in names[:2] if host == "h1" else names[2:]:
-            made.puppet(name, "slow:0.6")
+            agent_host.fake_gateway(name, "slow:0.6")
     fleet.start().ready("h1/g0", "h1/g1", "h2/g2", "h2/g3")
     tool = fleet.tool_process("roll", "--all", "--reason", "new binary")
-    until(lambda: launches(fleet, "h1")["g0"] == 2, "the first is restarted")
+    wait_until(lambda: launches(fleet, "h1")["g0"] == 2, "the first is restarted")
     fleet.hosts["h1"].wait("g1", "draining")
     tool.send_signal(signal.SIGKILL)
     tool.wait()
-    _, told = fleet.tool("operations")
-    (operation,) = told["operations"]
+    _, output = fleet.tool("operations")
+    (operation,) = output["operations"]
     ident = operation["plan"]["id"]
     assert operation["agents"] == {"h1": "open", "h2": "open"}
 
@@ -103,27 +103,27 @@
     assert code == 1 and "is done already" in text
 
 
-def test_an_interrupted_roll_tells_how_all_stands_and_stays_open(fleet: World) -> None:
+def test_interrupted_roll_reports_all_instances_and_stays_open(fleet: FleetHarness) -> None:
     host = fleet.host("h1")
-    host.puppet("g1", "slow:2")
-    host.puppet("g2", "slow:2")
+    host.fake_gateway("g1", "slow:2")
+    host.fake_gateway("g2", "slow:2")
     fleet.start().ready("h1/g1", "h1/g2")
     tool = fleet.tool_process("roll", "--all")
     host.wait("g1", "draining")
     tool.send_signal(signal.SIGINT)
-    said, _ = tool.communicate(timeout=10)
-    report = json.loads(said)
+    output, _ = tool.communicate(timeout=10)
+    report = json.loads(output)
     assert report["state"] == "interrupted" and tool.returncode == 4
     assert outcomes(report) == {"h1/g1": "unknown", "h1/g2": "not begun"}
     assert "still under way: draining" in details(report)["h1/g1"]
     assert f"resume {report['operation']}" in report["detail"]
 
 
-def test_an_agent_killed_in_a_rolling_drain_finds_its_gateways_and_the_time_left(fleet: World) -> None:
+def test_restarted_agent_finds_its_gateways_and_keeps_the_kill_deadline(fleet: FleetHarness) -> None:
     host = fleet.host("h1")
-    # On a busy machine an agent takes some seconds to come back, and must be there before the time is up.
-    host.puppet("g1", "deaf", QUICK.replace('drain: "1s"', 'drain: "10s"'))
-    host.puppet("g2")
+    # Long enough for the agent to restart before the deadline, also on a busy machine.
+    host.fake_gateway("g1", "ignore-sigterm", SHORT_LIMITS.replace('drain: "1s"', 'drain: "10s"'))
+    host.fake_gateway("g2")
     fleet.start().ready("h1/g1", "h1/g2")
     pids = {name: host.pid(name) for name in ("g1", "g2")}
     tool = fleet.tool_process("drain", "--all")
@@ -131,10 +131,10 @@
     kill_at = next(s.kill_at for s in host.listing().instances if s.name == "g1")
     host.kill()
     host.start()
-    told = {s.name: s for s in host.listing().instances}
-    # The same processes, the same promise: SIGKILL neither sooner nor later than it was told.
-    assert (told["g1"].pid, told["g2"].pid) == (pids["g1"], pids["g2"])
-    assert told["g1"].kill_at == kill_at
+    instances = {s.name: s for s in host.listing().instances}
+    # The same processes and the same kill deadline.
+    assert (instances["g1"].pid, instances["g2"].pid) == (pids["g1"], pids["g2"])
+    assert instances["g1"].kill_at == kill_at
     report = json.loads(tool.communicate(timeout=30)[0])
     assert outcomes(report) == {"h1/g1": "failed", "h1/g2": "done"}
     assert details(report)["h1/g1"].startswith("forced")
@@ -143,10 +143,10 @@
     assert launches(fleet, "h1") == {"g1": 1, "g2": 1}
 
 
-def test_what_ended_while_the_agent_was_away_is_known_by_its_status(fleet: World) -> None:
+def test_exits_during_an_agent_outage_are_known_afterwards(fleet: FleetHarness) -> None:
     host = fleet.host("h1")
-    host.puppet("clean", "slow:0.3", SLOW)
-    host.puppet("shot")
+    host.fake_gateway("clean", "slow:0.3", SLOW)
+    host.fake_gateway("shot")
     fleet.start().ready("h1/clean", "h1/shot")
     tool = fleet.tool_process("stop", "clean")
     host.wait("clean", "draining")
@@ -156,23 +156,23 @@
     tool.communicate()
     os.kill(pid, signal.SIGKILL)
     exits = [host.folder / "run" / name / "1" / "exit" for name in ("clean", "shot")]
-    until(lambda: all(path.exists() for path in exits), "both have ended")
+    wait_until(lambda: all(path.exists() for path in exits), "both have ended")
     host.start()
-    told = {s.name: (s.state, s.end) for s in host.listing().instances}
-    assert told["clean"] == ("stopped", "clean")
-    assert told["shot"][1] == "killed"
+    instances = {s.name: (s.state, s.end) for s in host.listing().instances}
+    assert instances["clean"] == ("stopped", "clean")
+    assert instances["shot"][1] == "killed"
     host.wait("shot", "ready")
 
 
-def test_a_reused_pid_is_never_taken_for_a_gateway(fleet: World) -> None:
+def test_reused_pid_is_not_taken_for_a_gateway(fleet: FleetHarness) -> None:
     host = fleet.host("h1")
-    host.puppet("g1")
+    host.fake_gateway("g1")
     fleet.start().ready("h1/g1")
     pid = host.pid("g1")
     host.kill()
     os.kill(pid, signal.SIGKILL)
-    until(lambda: (host.folder / "run/g1/1/exit").exists(), "it has ended")
-    # As if the kernel had given its number to another process: this test's own.
+    wait_until(lambda: (host.folder / "run/g1/1/exit").exists(), "it has ended")
+    # Simulates reuse of the PID by another process: the test itself.
     db = sqlite3.connect(host.folder / "agent.db")
     (body,) = db.execute("SELECT body FROM instances WHERE name = 'g1'").fetchone()
     changed = json.loads(body) | {"pid": os.getpid()}
@@ -181,17 +181,17 @@
     db.close()
     host.start()
     host.wait("g1", "ready")
-    told = host.listing().instances[0]
-    assert told.launch == 2 and told.pid not in (os.getpid(), pid)
+    instance = host.listing().instances[0]
+    assert instance.launch == 2 and instance.pid not in (os.getpid(), pid)
 
 
-def test_a_second_agent_over_one_folder_is_refused(fleet: World) -> None:
+def test_second_agent_on_the_same_folder_is_refused(fleet: FleetHarness) -> None:
     host = fleet.host("h1")
-    host.puppet("g1")
+    host.fake_gateway("g1")
     fleet.start().ready("h1/g1")
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "latchspoke", "agent", "--config", str(host.file)],
         capture_output=True, text=True, timeout=20, check=False,
     )  # fmt: skip
-    assert told.returncode == 1 and "another agent holds" in told.stderr
+    assert result.returncode == 1 and "another agent holds" in result.stderr
     assert host.state("g1") == "ready"
--- a/tests/agent/test_tls.py
+++ b/tests/agent/test_tls.py
@@ -1,4 +1,4 @@
-"""Tool and agent over TLS: who is let in, who is not, and that each refusal is on record."""
+"""TLS between tool and agent: roles, refused certificates, and the recording of each refusal."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from latchspoke.keys.authority import DAY, CertificateAndKey, issue, make_authority
 from latchspoke.keys.files import KeyFolder
-from tests.agent.world import Host, World, free_port, until
+from tests.agent.harness import FleetHarness, Host, free_port, wait_until
 
 NOW = datetime.datetime.now(datetime.UTC).replace(microsecond=0)
 
 
 class Keys:
-    """A folder of keys, some of them bad in a stated way."""
+    """A folder with valid and invalid certificates."""
 
     def __init__(self, base: Path) -> None:
         self.folder = KeyFolder(base / "keys")
@@ -33,108 +33,108 @@
         self.folder.write("expired", issue(self.authority, "operator", "ola", [], NOW - 9 * DAY, DAY))
 
     def issue(
-        self, role: str, name: str, hosts: list[str] | None = None, life: int = 30
+        self, role: str, name: str, hosts: list[str] | None = None, lifetime_days: int = 30
     ) -> CertificateAndKey:
-        return issue(self.authority, role, name, hosts or [], NOW, life * DAY)
+        return issue(self.authority, role, name, hosts or [], NOW, lifetime_days * DAY)
 
     def files(self, name: str) -> str:
         paths = (self.folder.certificate(name), self.folder.key(name), self.folder.certificate("authority"))
         return "certificate: {}, key: {}, authority: {}".format(*(json.dumps(str(p)) for p in paths))
 
 
-def secured(fleet: World) -> tuple[Host, Keys, int]:
+def start_with_tls(fleet: FleetHarness) -> tuple[Host, Keys, int]:
     host, keys, port = fleet.host("h1"), Keys(fleet.base), free_port()
-    host.puppet("g1")
+    host.fake_gateway("g1")
     host.tls = f'tls: {{listen: "127.0.0.1:{port}", {keys.files("agent")}}}'
     fleet.start().ready("h1/g1")
     return host, keys, port
 
 
-def as_user(fleet: World, keys: Keys, port: int, name: str) -> World:
+def use_identity(fleet: FleetHarness, keys: Keys, port: int, name: str) -> FleetHarness:
     fleet.file.write_text(
         f'agents: h1: address: "127.0.0.1:{port}"\nidentity: {{{keys.files(name)}}}\nlimit: "2s"\n'
     )
     return fleet
 
 
-def kinds(fleet: World) -> list[tuple[str, str, str]]:
+def recorded_events(fleet: FleetHarness) -> list[tuple[str, str, str]]:
     return [(e.kind, e.operator, e.detail) for e in fleet.events("h1")]
 
 
-def test_an_operator_acts_and_a_viewer_looks(fleet: World) -> None:
-    host, keys, port = secured(fleet)
-    code, report = as_user(fleet, keys, port, "operator").tool("restart", "g1")
+def test_operator_may_act_and_viewer_may_only_read(fleet: FleetHarness) -> None:
+    host, keys, port = start_with_tls(fleet)
+    code, report = use_identity(fleet, keys, port, "operator").tool("restart", "g1")
     assert (code, report["state"]) == (0, "done")
-    assert ("claimed", "ola", "token 1") in kinds(fleet)
-    as_user(fleet, keys, port, "viewer")
+    assert ("claimed", "ola", "token 1") in recorded_events(fleet)
+    use_identity(fleet, keys, port, "viewer")
     assert fleet.tool("list")[0] == 0 and fleet.tool("compare")[0] == 0
     code, report = fleet.tool("drain", "g1")
     assert code == 1 and "jan is viewer and may not PUT" in report["detail"]
     assert host.state("g1") == "ready"
-    assert any(kind == "forbidden" and who == "jan" for kind, who, _ in kinds(fleet))
+    assert any(kind == "forbidden" and who == "jan" for kind, who, _ in recorded_events(fleet))
 
 
 @pytest.mark.parametrize(
-    ("name", "told", "recorded"),
+    ("name", "message", "recorded"),
     [
         ("stranger", "refuses this certificate", "unable to get local issuer certificate"),
         ("expired", "refuses this certificate", "certificate has expired"),
     ],
 )
-def test_a_certificate_that_is_not_good_is_refused_and_recorded(
-    fleet: World, name: str, told: str, recorded: str
+def test_invalid_certificate_is_refused_and_recorded(
+    fleet: FleetHarness, name: str, message: str, recorded: str
 ) -> None:
-    _, keys, port = secured(fleet)
-    code, listing = as_user(fleet, keys, port, name).tool("list")
-    assert code == 4 and any(told in line for line in listing["remarks"]), listing
-    until(
-        lambda: any(k == "tls-refused" and recorded in d for k, _, d in kinds(fleet)),
-        "the refusal is on record", lambda: kinds(fleet),
+    _, keys, port = start_with_tls(fleet)
+    code, listing = use_identity(fleet, keys, port, name).tool("list")
+    assert code == 4 and any(message in line for line in listing["remarks"]), listing
+    wait_until(
+        lambda: any(k == "tls-refused" and recorded in d for k, _, d in recorded_events(fleet)),
+        "the refusal is on record", lambda: recorded_events(fleet),
     )  # fmt: skip
 
 
-def test_an_agent_is_no_operator(fleet: World) -> None:
-    _, keys, port = secured(fleet)
-    code, listing = as_user(fleet, keys, port, "agent").tool("list")
+def test_agent_certificate_gives_no_operator_role(fleet: FleetHarness) -> None:
+    _, keys, port = start_with_tls(fleet)
+    code, listing = use_identity(fleet, keys, port, "agent").tool("list")
     assert code == 4 and any("h1 is without a role and may not" in line for line in listing["remarks"])
 
 
-def test_an_agent_of_another_authority_is_not_believed(fleet: World) -> None:
-    _, keys, port = secured(fleet)
+def test_tool_rejects_an_agent_of_another_authority(fleet: FleetHarness) -> None:
+    _, keys, port = start_with_tls(fleet)
     other = make_authority("another", NOW, DAY * 9)
     keys.folder.write("authority", other)
-    code, listing = as_user(fleet, keys, port, "operator").tool("list")
+    code, listing = use_identity(fleet, keys, port, "operator").tool("list")
     assert code == 4 and any("its certificate is not trusted" in line for line in listing["remarks"])
 
 
-def test_plain_http_and_old_tls_get_nowhere(fleet: World) -> None:
-    _, _, port = secured(fleet)
-    with socket.create_connection(("127.0.0.1", port), 5) as link:
-        link.sendall(b"GET /v1/instances HTTP/1.1\r\nHost: x\r\nLatchspoke-Interface: 1\r\n\r\n")
-        link.settimeout(5)
+def test_plain_http_and_tls_1_2_are_refused(fleet: FleetHarness) -> None:
+    _, _, port = start_with_tls(fleet)
+    with socket.create_connection(("127.0.0.1", port), 5) as connection:
+        connection.sendall(b"GET /v1/instances HTTP/1.1\r\nHost: x\r\nLatchspoke-Interface: 1\r\n\r\n")
+        connection.settimeout(5)
         try:
-            said = link.recv(4096)
+            response = connection.recv(4096)
         except ConnectionResetError:
-            said = b""
-    assert b"HTTP" not in said
-    old = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    old.check_hostname, old.verify_mode = False, ssl.CERT_NONE
-    old.maximum_version = ssl.TLSVersion.TLSv1_2
-    with socket.create_connection(("127.0.0.1", port), 5) as link, pytest.raises(OSError):
-        old.wrap_socket(link)
+            response = b""
+    assert b"HTTP" not in response
+    tls_1_2 = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
+    tls_1_2.check_hostname, tls_1_2.verify_mode = False, ssl.CERT_NONE
+    tls_1_2.maximum_version = ssl.TLSVersion.TLSv1_2
+    with socket.create_connection(("127.0.0.1", port), 5) as connection, pytest.raises(OSError):
+        tls_1_2.wrap_socket(connection)
 
 
-def test_a_renewed_certificate_is_taken_up_without_a_restart(fleet: World) -> None:
-    host, keys, port = secured(fleet)
+def test_renewed_certificate_is_loaded_without_a_restart(fleet: FleetHarness) -> None:
+    host, keys, port = start_with_tls(fleet)
     assert host.process is not None
     pid = host.process.pid
-    keys.folder.write("agent", keys.issue("agent", "h1", ["127.0.0.1"], life=5))
-    as_user(fleet, keys, port, "operator")
+    keys.folder.write("agent", keys.issue("agent", "h1", ["127.0.0.1"], lifetime_days=5))
+    use_identity(fleet, keys, port, "operator")
 
-    def told() -> str:
+    def remarks() -> str:
         _, listing = fleet.tool("list")
         return " ".join(listing["remarks"])
 
-    until(lambda: "its certificate ends in" in told(), "the new one shows that it ends soon", told)
+    wait_until(lambda: "its certificate ends in" in remarks(), "the new one shows that it ends soon", remarks)
     assert host.process.pid == pid and host.process.poll() is None
-    assert any(kind == "certificate" for kind, _, _ in kinds(fleet))
+    assert any(kind == "certificate" for kind, _, _ in recorded_events(fleet))
--- a/tests/opsdays/test_two_processes.py
+++ b/tests/opsdays/test_two_processes.py
@@ -19,7 +19,7 @@
 
 from barleyhub import interface as api
 from latchspoke.net.kin import Kin
-from tests.agent.world import free_port
+from tests.agent.harness import free_port
 from tests.conftest import Bench
 from tests.opsdays.test_door import World
 from tests.player import configuration
