--- a/latchspoke/agent/peer_transport.py
+++ b/latchspoke/agent/peer_transport.py
@@ -127,7 +127,7 @@
                 try:
                     if certificate_matches(writer, self.name):
                         delay = RECONNECT_DELAY_S[0]
-                        await self.serve_connection(reader, writer)
+                        await self.run_connection(reader, writer)
                     else:
                         self.log_refusal("its certificate names another agent")
                 finally:
@@ -145,12 +145,12 @@
             log.warning("not-trusted", member=self.name, error=why)
         self.last_refusal = why
 
-    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def run_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Write frames until the connection breaks.
 
         The read detects a break also while there is nothing to write, so that the hello frame is sent again.
         """
-        tasks = [asyncio.ensure_future(self.write(writer)), asyncio.ensure_future(reader.read(1))]
+        tasks = [asyncio.ensure_future(self.write_queue(writer)), asyncio.ensure_future(reader.read(1))]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -158,7 +158,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def write(self, writer: asyncio.StreamWriter) -> None:
+    async def write_queue(self, writer: asyncio.StreamWriter) -> None:
         write_frame(writer, self.hello)
         while True:
             while self.send_queue:
--- a/latchspoke/agent/raft_store.py
+++ b/latchspoke/agent/raft_store.py
@@ -107,7 +107,7 @@
                 if not stored.boot and founder:
                     self.write_fact("snapshot", first or Snapshot(members=Members((started.identity,))))
             self.write_start_file(started)
-            return self.read(started)
+            return self.read_state(started)
 
     def check_start(self, stored: StartRecord, recorded: StartRecord) -> None:
         """Refuse an older copy: the start file may be one start behind the database, never ahead of it."""
@@ -131,7 +131,7 @@
         finally:
             os.close(folder)
 
-    def read(self, start: StartRecord) -> Stored:
+    def read_state(self, start: StartRecord) -> Stored:
         hard_state, snapshot = self.read_fact("vow"), self.read_fact("snapshot")
         entries: list[Entry] = []
         for place, body, crc in self.db.execute("SELECT place, body, crc FROM entries ORDER BY place"):
@@ -139,11 +139,11 @@
             if entries and entry.index != entries[-1].index + 1:
                 raise RaftStoreError(f"{self.path}: entry {entries[-1].index + 1} is missing")
             entries.append(entry)
-        found = msgspec.msgpack.decode(snapshot, type=Snapshot) if snapshot else Snapshot()
-        if entries and entries[0].index != found.index + 1:
-            raise RaftStoreError(f"{self.path}: entry {found.index + 1} is missing")
-        kept = msgspec.msgpack.decode(hard_state, type=HardState) if hard_state else HardState()
-        return Stored(start.identity, start.boot, kept, found, tuple(entries))
+        loaded_snapshot = msgspec.msgpack.decode(snapshot, type=Snapshot) if snapshot else Snapshot()
+        if entries and entries[0].index != loaded_snapshot.index + 1:
+            raise RaftStoreError(f"{self.path}: entry {loaded_snapshot.index + 1} is missing")
+        loaded_hard_state = msgspec.msgpack.decode(hard_state, type=HardState) if hard_state else HardState()
+        return Stored(start.identity, start.boot, loaded_hard_state, loaded_snapshot, tuple(entries))
 
     def save(self, output: Output) -> None:
         """Write and sync the output in one transaction. Raises RaftStoreError."""
@@ -162,7 +162,7 @@
         with translate_errors(self.path), self.transaction():
             self.store_snapshot(snapshot)
 
-    # Reads and writes of single records.
+    # Transactions and single records.
 
     @contextlib.contextmanager
     def transaction(self) -> Iterator[None]:
--- a/latchspoke/agent/supervisor.py
+++ b/latchspoke/agent/supervisor.py
@@ -93,7 +93,7 @@
             if self.store is None:
                 state = replace(state, launch=self.launcher.newest_launch(name), phase=Phase.SILENT)
             self.runtimes[name] = Runtime(record, state)
-        await asyncio.gather(*(self.find(runtime) for runtime in self.runtimes.values()))
+        await asyncio.gather(*(self.find_process(runtime) for runtime in self.runtimes.values()))
         for name, runtime in self.runtimes.items():
             if self.store is not None and name not in known and runtime.record.start:
                 self.handle_event(runtime, lifecycle.AskStart())
@@ -116,7 +116,7 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def find(self, runtime: Runtime) -> None:
+    async def find_process(self, runtime: Runtime) -> None:
         """Adopt the recorded process if it still runs; otherwise handle its exit."""
         state = runtime.state
         if not state.alive:
--- a/tests/agent/test_duty_runner.py
+++ b/tests/agent/test_duty_runner.py
@@ -81,22 +81,26 @@
     add_agents(fleet, 4, "slow:0.8")
     configure_members(fleet, "census: false")
     fleet.start().ready(*(f"h{n}/g{n}" for n in range(1, 5)))
-    wait_until(lambda: holder(fleet, "resume"), "somebody stands by to resume")
+    wait_until(lambda: holder(fleet, "resume"), "the resume duty has a holder")
     tool = start_roll(fleet)
-    wait_until(lambda: launches(fleet)["g1"] == 2, "the first is restarted")
+    wait_until(lambda: launches(fleet)["g1"] == 2, "the first instance is restarted")
     tool.send_signal(signal.SIGINT)
     assert json.loads(tool.communicate(timeout=20)[0])["state"] == "interrupted"
     tool = start_roll(fleet)
-    wait_until(lambda: launches(fleet)["g1"] == 3, "the first is restarted again")
+    wait_until(lambda: launches(fleet)["g1"] == 3, "the first instance is restarted again")
     tool.kill()
     tool.communicate()
-    wait_until(lambda: events(fleet, "resumes"), "it is gone on with")
+    wait_until(lambda: events(fleet, "resumes"), "the operation is resumed")
     (first, begun), *_ = events(fleet, "resumes")
     # The gateway of a killed agent keeps running until the agent is back.
     fleet.hosts[first].kill()
-    wait_until(lambda: holder(fleet, "resume") not in ("", first), "another one holds it")
+    wait_until(lambda: holder(fleet, "resume") not in ("", first), "another agent holds the duty")
     fleet.hosts[first].start()
-    wait_until(lambda: events(fleet, "operation-done"), "it is done", lambda: events(fleet, "resume-refused"))
+    wait_until(
+        lambda: events(fleet, "operation-done"),
+        "the operation is done",
+        lambda: events(fleet, "resume-refused"),
+    )
     assert {e.operation for _, e in events(fleet, "resumes")} == {begun.operation}
     output = fleet.tool("operations")[1]["operations"]
     states = {item["plan"]["id"]: set(item["agents"].values()) for item in output}
@@ -134,7 +138,7 @@
         output: dict[str, Any] = query_members(fleet, "duty", "findings").get("open", {})
         return output
 
-    wait_until(lambda: key in found(), "it is found", found)
+    wait_until(lambda: key in found(), "the difference is reported", found)
     # An instance that has not answered the first round is not named yet.
     assert found()[key]["text"] in (
         '"4": h1/g1, h3/g3; "5": h2/g2',
@@ -143,18 +147,20 @@
     )
     first = holder(fleet, "census")
     fleet.hosts[first].kill()
-    wait_until(lambda: holder(fleet, "census") not in ("", first), "another holds it")
-    wait_until(lambda: f"unheard agent {first}" in found(), "it looks at the fleet", found)
+    wait_until(lambda: holder(fleet, "census") not in ("", first), "another agent holds the duty")
+    wait_until(lambda: f"unheard agent {first}" in found(), "the killed agent is reported", found)
     assert key in found() or first in ("h2",)
     fleet.hosts[first].start()
-    wait_until(lambda: f"unheard agent {first}" not in found(), "it is over", found)
+    wait_until(
+        lambda: f"unheard agent {first}" not in found(), "the killed agent is no longer reported", found
+    )
     raised = [e.detail for _, e in events(fleet, "census-found") if e.detail.startswith(key)]
     assert len(raised) == (2 if first == "h2" else 1), raised
     fleet.hosts["h2"].fake_gateway("g2", "plan:4")
     fleet.hosts["h2"].kill()
     fleet.hosts["h2"].start()
     assert fleet.tool("restart", "g2")[0] == 0
-    wait_until(lambda: not found(), "they agree", found)
+    wait_until(lambda: not found(), "no findings are left", found)
 
 
 def test_members_accept_only_peers_with_a_matching_certificate(fleet: FleetHarness) -> None:
@@ -170,22 +176,22 @@
         output = query_members(fleet, "members", "list").get("members", [{}])
         return len(output[0].get("voters", ()))
 
-    wait_until(lambda: voters() == 2, "two of them vote", voters)
+    wait_until(lambda: voters() == 2, "two members vote", voters)
     log = fleet.base / "h1.log"
     wait_until(
         lambda: "certificate names another agent" in log.read_text(),
-        "the third is not believed",
+        "the third member's certificate is refused",
         log.read_text,
     )
     keys.folder.write("h3", keys.issue("agent", "h3", ["127.0.0.1"]))
-    wait_until(lambda: voters() == 3, "its renewed certificate is taken up, and it is taken in", voters)
+    wait_until(lambda: voters() == 3, "the third votes with its renewed certificate", voters)
 
 
 def test_full_disk_stops_a_member_but_not_its_agent(fleet: FleetHarness, tmp_path: Path) -> None:
     add_agents(fleet, 3)
     configure_members(fleet)
     fleet.start()
-    wait_until(lambda: holder(fleet, "census"), "there is a holder")
+    wait_until(lambda: holder(fleet, "census"), "the duty has a holder")
     host = fleet.hosts["h2"]
     assert host.process is not None
     resource.prlimit(host.process.pid, resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
@@ -199,10 +205,10 @@
                               timeout=30, check=False)  # fmt: skip
         return done.returncode == 0
 
-    wait_until(write, "the others go on")
-    wait_until(lambda: "can't be used" in "".join(disks()), "it says so", disks)
+    wait_until(write, "the other members accept a command")
+    wait_until(lambda: "can't be used" in "".join(disks()), "the member reports its disk error", disks)
     resource.prlimit(host.process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY,) * 2)
-    wait_until(lambda: disks() == [""], "it is back by itself", disks)
+    wait_until(lambda: disks() == [""], "the disk error is cleared", disks)
     assert host.process.poll() is None
 
 
--- a/tests/agent/test_members.py
+++ b/tests/agent/test_members.py
@@ -99,7 +99,7 @@
     def start(self) -> None:
         for host in self.hosts.values():
             host.start()
-        wait_until(lambda: any(len(s["voters"]) == 3 for s in self.status()), "three vote")
+        wait_until(lambda: any(len(s["voters"]) == 3 for s in self.status()), "three members vote")
         result = self.tool("duty", "define", "census", "--length", f"{GRANT_S}s")
         assert result.returncode == 0, result.stderr
 
@@ -135,7 +135,7 @@
         with open(self.action_log) as file:
             fcntl.flock(file, fcntl.LOCK_EX)
             os.kill(pid, signal.SIGSTOP)
-            wait_until(lambda: read_process_state(pid) == "T", "it stands still")
+            wait_until(lambda: read_process_state(pid) == "T", "the process is suspended")
 
     def check(self) -> None:
         """Check the action log: tokens never decrease, and each belongs to one process."""
@@ -193,16 +193,16 @@
 
 def test_duty_continues_after_its_holder_or_the_leader_is_killed(group: Group) -> None:
     group.start_holder("h1")
-    wait_until(lambda: group.token() == 1, "the first acts")
+    wait_until(lambda: group.token() == 1, "the first holder acts")
     group.start_holder("h2")
     group.hosts[group.leader()].kill()
     seen = len(group.actions())
-    wait_until(lambda: len(group.actions()) > seen + 50, "it acts without that leader")
+    wait_until(lambda: len(group.actions()) > seen + 50, "it continues without the killed leader")
     group.holders["h1"].kill()
     last = group.actions()[-1]
     if b"act.py" in read_command(last[2]):
         os.kill(last[2], signal.SIGKILL)
-    wait_until(lambda: group.token() == 2, "the second follows")
+    wait_until(lambda: group.token() == 2, "the second holder acts")
     first = next(at for at, token, _, _ in group.actions() if token == 2)
     print(f"without a holder for {first - last[0]:.2f} s, grants of {GRANT_S} s")
     assert first - last[0] < 2 * GRANT_S + 1
@@ -211,42 +211,46 @@
 def test_suspended_holder_does_not_act_after_its_grant(group: Group) -> None:
     """Both the holder and its command are suspended while another holder starts."""
     group.start_holder("h1", "stubborn")
-    wait_until(lambda: group.token() == 1, "the first acts")
+    wait_until(lambda: group.token() == 1, "the first holder acts")
     pid = group.actions()[-1][2]
     group.start_holder("h2")
     os.kill(group.holders["h1"].pid, signal.SIGSTOP)
     group.suspend_between_actions(pid)
-    wait_until(lambda: group.token() == 2, "the second acts")
+    wait_until(lambda: group.token() == 2, "the second holder acts")
     for stopped in (pid, group.holders["h1"].pid):
         os.kill(stopped, signal.SIGCONT)
-    wait_until(lambda: b"act.py" not in read_command(pid), "its command is ended, though it ignores SIGTERM")
+    wait_until(
+        lambda: b"act.py" not in read_command(pid), "the command is killed although it ignores SIGTERM"
+    )
     assert group.holder() == "h2"
 
 
 def test_isolated_holder_stops_before_the_next_one_starts(group: Group) -> None:
     group.start_holder("h1", "stubborn", agent="a1")
-    wait_until(lambda: group.token() == 1, "the first acts")
+    wait_until(lambda: group.token() == 1, "the first holder acts")
     group.start_holder("h2", agent="a2")
     if group.leader() != "a2":
         group.tool("duty", "list")
     group.isolate("a1", Mode.HOLD)
-    wait_until(lambda: group.token() == 2, "the second acts")
+    wait_until(lambda: group.token() == 2, "the second holder acts")
     actions = group.actions()
     end, begin = max(a for a, t, _, _ in actions if t == 1), min(a for a, t, _, _ in actions if t == 2)
     print(f"{begin - end:.2f} s between them")
     assert end < begin and all(outcome == "acts" for *_, outcome in actions)
     group.isolate("a1", Mode.PASS)
-    wait_until(lambda: len({s["leader"] for s in group.status()}) == 1, "all hear one leader")
+    wait_until(lambda: len({s["leader"] for s in group.status()}) == 1, "all members agree on the leader")
 
 
 def test_moved_duty_changes_holder_within_a_grant(group: Group) -> None:
     group.start_holder("h1")
-    wait_until(lambda: group.token() == 1, "the first acts")
+    wait_until(lambda: group.token() == 1, "the first holder acts")
     group.start_holder("h2")
-    wait_until(lambda: "h2" in (group.base / "a1.log").read_text() or group.holder() == "h1", "h2 is there")
-    wait_until(lambda: group.tool("duty", "move", "census", "h2").returncode == 0, "it is asked for")
-    wait_until(lambda: group.holder() == "h2", "it has moved")
-    wait_until(lambda: group.token() == 2, "the second acts")
+    wait_until(
+        lambda: "h2" in (group.base / "a1.log").read_text() or group.holder() == "h1", "h2 is a candidate"
+    )
+    wait_until(lambda: group.tool("duty", "move", "census", "h2").returncode == 0, "the move is accepted")
+    wait_until(lambda: group.holder() == "h2", "the duty has moved")
+    wait_until(lambda: group.token() == 2, "the second holder acts")
     actions = group.actions()
     gap = min(a for a, t, _, _ in actions if t == 2) - max(a for a, t, _, _ in actions if t == 1)
     print(f"moved within {gap:.2f} s, grants of {GRANT_S} s")
@@ -265,14 +269,14 @@
         )  # fmt: skip
         assert done.returncode == code, done.stderr
         wait_until(
-            lambda: "holds it" not in group.tool("duty", "history", "census").stdout, "it is given back"
+            lambda: "holds it" not in group.tool("duty", "history", "census").stdout, "the duty is released"
         )
     assert "can't run /nothing/here" in done.stderr
 
 
 def test_tokens_survive_a_crash_of_all_members(group: Group) -> None:
     group.start_holder("h1")
-    wait_until(lambda: group.token() == 1, "the first acts")
+    wait_until(lambda: group.token() == 1, "the first holder acts")
     for host in group.hosts.values():
         host.kill()
     assert group.tool("duty", "list").returncode != 0
@@ -280,12 +284,12 @@
     for host in group.hosts.values():
         host.start()
     group.start_holder("h2")
-    wait_until(lambda: group.token() >= 2, "it goes on with the next token")
+    wait_until(lambda: group.token() >= 2, "the duty continues under a later token")
 
 
 def test_one_way_partition_does_not_cause_endless_elections(group: Group) -> None:
     group.start_holder("h1")
-    wait_until(lambda: group.token() == 1, "the first acts")
+    wait_until(lambda: group.token() == 1, "the first holder acts")
     leader = group.leader()
     other = next(name for name in group.names if name != leader)
     group.link(other, leader, Mode.HOLD)
@@ -293,7 +297,7 @@
         if pair != (other, leader):
             group.link(*pair, Mode.PASS, 0.1)
     seen = len(group.actions())
-    wait_until(lambda: len(group.actions()) > seen + 150, "it acts for three seconds")
+    wait_until(lambda: len(group.actions()) > seen + 150, "the holder acts for three seconds")
     assert group.token() == 1
 
 
@@ -320,7 +324,8 @@
     for verb in ("remove", "add"):
         wait_until(partial(group.succeeds, "members", verb, other), verb)
     wait_until(
-        lambda: all(status["identity"] in s["voters"] for s in group.status()), "it votes as a new one"
+        lambda: all(status["identity"] in s["voters"] for s in group.status()),
+        "it votes under its new identity",
     )
 
 
--- a/tests/agent/test_operators.py
+++ b/tests/agent/test_operators.py
@@ -55,7 +55,7 @@
         return True
 
     tokens: list[dict[str, int]] = []
-    wait_until(try_claim, "the lease has ended")
+    wait_until(try_claim, "the claim has expired")
     assert tokens[0]["g1"] > first["g1"]
     late = wire.StepRequest("op-1", "g1", "drain", first["g1"])
     with pytest.raises(RefusedError, match="not the newest"):
@@ -72,7 +72,7 @@
     request = wire.StepRequest("op-1", "g1", "restart", token)
     step_infos = ask(host, lambda f: gather_all(*(f.clients["h1"].step(request) for _ in range(10))))
     assert {info.since for info in step_infos} == {step_infos[0].since}
-    wait_until(lambda: launches(fleet, "h1")["g1"] == 2, "it was restarted")
+    wait_until(lambda: launches(fleet, "h1")["g1"] == 2, "the instance is restarted")
     host.wait("g1", "ready")
     again = ask(host, lambda f: f.clients["h1"].step(request))
     assert again.state == "done" and launches(fleet, "h1")["g1"] == 2
@@ -86,7 +86,7 @@
             agent_host.fake_gateway(name, "slow:0.6")
     fleet.start().ready("h1/g0", "h1/g1", "h2/g2", "h2/g3")
     tool = fleet.tool_process("roll", "--all", "--reason", "new binary")
-    wait_until(lambda: launches(fleet, "h1")["g0"] == 2, "the first is restarted")
+    wait_until(lambda: launches(fleet, "h1")["g0"] == 2, "the first instance is restarted")
     fleet.hosts["h1"].wait("g1", "draining")
     tool.send_signal(signal.SIGKILL)
     tool.wait()
@@ -156,7 +156,7 @@
     tool.communicate()
     os.kill(pid, signal.SIGKILL)
     exits = [host.folder / "run" / name / "1" / "exit" for name in ("clean", "shot")]
-    wait_until(lambda: all(path.exists() for path in exits), "both have ended")
+    wait_until(lambda: all(path.exists() for path in exits), "both processes have ended")
     host.start()
     instances = {s.name: (s.state, s.end) for s in host.listing().instances}
     assert instances["clean"] == ("stopped", "clean")
@@ -171,7 +171,7 @@
     pid = host.pid("g1")
     host.kill()
     os.kill(pid, signal.SIGKILL)
-    wait_until(lambda: (host.folder / "run/g1/1/exit").exists(), "it has ended")
+    wait_until(lambda: (host.folder / "run/g1/1/exit").exists(), "the process has ended")
     # Simulates reuse of the PID by another process: the test itself.
     db = sqlite3.connect(host.folder / "agent.db")
     (body,) = db.execute("SELECT body FROM instances WHERE name = 'g1'").fetchone()
--- a/tests/agent/test_process_exits.py
+++ b/tests/agent/test_process_exits.py
@@ -49,7 +49,7 @@
     fleet.start().ready("h1/g1")
     first = host.pid("g1")
     os.kill(first, signal.SIGKILL)
-    wait_until(lambda: host.pid("g1") not in (0, first), "it has a new process")
+    wait_until(lambda: host.pid("g1") not in (0, first), "the instance has a new process")
     host.wait("g1", "ready")
     instance = host.listing().instances[0]
     assert (instance.end, instance.end_detail, instance.launch) == ("killed", "signal 9", 2)
@@ -76,7 +76,7 @@
     fleet.start().ready("h1/g1")
     assert fleet.tool("reload", "g1")[0] == 0
     log = host.folder / "log" / "g1.log"
-    wait_until(lambda: "hup" in log.read_text(), "it has had its SIGHUP")
+    wait_until(lambda: "hup" in log.read_text(), "the process has received SIGHUP")
     assert fleet.tool("stop", "g1")[0] == 0
     code, report = fleet.tool("reload", "g1")
     assert code == 3 and "only a running one can reload" in details(report)["h1/g1"]
--- a/tests/agent/test_real_fleet.py
+++ b/tests/agent/test_real_fleet.py
@@ -102,7 +102,9 @@
     clients = {name: [Client(host.ports[name]) for _ in range(3)] for name in GATEWAY_NAMES}
     for client in itertools.chain(*clients.values()):
         client.start()
-    wait_until(lambda: all(c.seen["200"] > 3 for c in itertools.chain(*clients.values())), "all are served")
+    wait_until(
+        lambda: all(c.seen["200"] > 3 for c in itertools.chain(*clients.values())), "all clients are served"
+    )
     tool = fleet.tool_process("drain", "--all")
     host.wait("g2", "draining")
     os.kill(host.pid("g2"), signal.SIGKILL)
--- a/tests/agent/test_rules.py
+++ b/tests/agent/test_rules.py
@@ -96,7 +96,7 @@
             self.gateway(fleet.host(f"h{n}"), f"g{n}", n - 1, start)
         configure_members(fleet, "resume: false, census: false")
         fleet.start()
-        wait_until(lambda: self.tool("list")[0] == 0, "the members know")
+        wait_until(lambda: self.tool("list")[0] == 0, "the members answer")
 
     def gateway(self, host: Host, name: str, index: int, start: str) -> None:
         base = json.loads((ROOT / "examples" / "config.json").read_text())
@@ -183,7 +183,7 @@
 def rules_fleet(fleet: FleetHarness) -> Iterator[RulesFleet]:
     rules_fleet = RulesFleet(fleet)
     try:
-        wait_until(lambda: rules_fleet.served(), "all serve by right")
+        wait_until(lambda: rules_fleet.served(), "all gateways serve with valid rights")
         yield rules_fleet
     finally:
         rules_fleet.stop()
@@ -216,7 +216,7 @@
     pattern = re.compile(r"side=client .* rules=aside:0,blocked:3,plans:0")
     wait_until(
         lambda: pattern.search(rules_fleet.log("g1")),
-        "the versions are in the log",
+        "the log has the versions",
         lambda: rules_fleet.log("g1")[-500:],
     )
 
@@ -225,22 +225,27 @@
     rules_fleet.put("blocked", bb='"before"')
     rules_fleet.tool("wait", "blocked", "1")
     callers = rules_fleet.start_callers()
-    wait_until(lambda: all(c.last(200) for c in callers.values()), "all serve it")
+    wait_until(lambda: all(c.last(200) for c in callers.values()), "all gateways serve the customer")
     rules_fleet.set_link_mode("g1", Mode.HOLD)
     rules_fleet.put("blocked", aa='"by order"')
     wait_until(
-        lambda: callers["g2"].first_refused() and callers["g3"].first_refused(), "the others refuse it"
+        lambda: callers["g2"].first_refused() and callers["g3"].first_refused(),
+        "the other gateways refuse the customer",
     )
-    wait_until(lambda: "blocked:1-refuse" in rules_fleet.log("g1"), "the right of the one cut off has ended")
-    wait_until(lambda: callers["g1"].first_refused(), "it refuses as well")
+    wait_until(
+        lambda: "blocked:1-refuse" in rules_fleet.log("g1"), "the right of the isolated gateway has ended"
+    )
+    wait_until(lambda: callers["g1"].first_refused(), "the isolated gateway refuses as well")
     first = min(callers[name].first_refused() for name in ("g2", "g3"))
     contradicted_s = callers["g1"].last(200) - first
     print(f"contradicted the others for {max(contradicted_s, 0.0):.2f} s of T = {RIGHT_MAX_S:.2f} s")
     assert contradicted_s <= RIGHT_MAX_S + CLOCK_TOLERANCE_S
-    assert request(rules_fleet.gateway_ports["g1"], "cc") == 429, "it can't know who else is blocked"
+    assert request(rules_fleet.gateway_ports["g1"], "cc") == 429, (
+        "without a valid right it must refuse everybody"
+    )
     assert rules_fleet.served("g2", "g3", key="cc")
     rules_fleet.set_link_mode("g1", Mode.PASS)
-    wait_until(lambda: rules_fleet.served("g1", key="cc"), "it acts by right again")
+    wait_until(lambda: rules_fleet.served("g1", key="cc"), "the gateway has a valid right again")
     assert request(rules_fleet.gateway_ports["g1"]) == 429
 
 
@@ -261,14 +266,15 @@
         thread.start()
     rules_fleet.put("blocked", aa='"by order"')
     wait_until(
-        lambda: rules_fleet.tool("wait", "blocked", "2", "--limit", "1s")[0] == 0, "the others have gone on"
+        lambda: rules_fleet.tool("wait", "blocked", "2", "--limit", "1s")[0] == 0,
+        "the version is active at the others",
     )
     os.kill(pid, signal.SIGCONT)
     for thread in waiting:
         thread.join(10)
     assert statuses and set(statuses) <= {0, 429}, statuses
     rules_fleet.set_link_mode("g1", Mode.PASS)
-    wait_until(lambda: rules_fleet.served("g1", key="cc"), "it acts by right again")
+    wait_until(lambda: rules_fleet.served("g1", key="cc"), "the gateway has a valid right again")
 
 
 def test_conflicting_put_is_refused_and_the_last_of_many_versions_wins(rules_fleet: RulesFleet) -> None:
@@ -316,13 +322,14 @@
         host.kill()
     for name, port in rules_fleet.gateway_ports.items():
         wait_until(
-            partial(rules_fleet.acts_without_right, name, port, "blocked:1-keep"), "its right has ended"
+            partial(rules_fleet.acts_without_right, name, port, "blocked:1-keep"),
+            "the gateway's right has ended",
         )
     assert [request(port) for port in rules_fleet.gateway_ports.values()] == [429] * 3
     assert rules_fleet.served(key="cc")
     for host in rules_fleet.fleet.hosts.values():
         host.start()
-    wait_until(lambda: rules_fleet.tool("list")[0] == 0, "the members know")
+    wait_until(lambda: rules_fleet.tool("list")[0] == 0, "the members answer")
     assert rules_fleet.put("blocked", lapse="keep")[0] == 0
     wait_until(lambda: rules_fleet.served(), "the block is lifted everywhere")
 
@@ -330,22 +337,22 @@
 def test_gateway_start_without_members_waits_or_uses_stored_rules(fleet: FleetHarness) -> None:
     rules_fleet = RulesFleet(fleet, start="known")
     try:
-        wait_until(lambda: rules_fleet.served(), "all serve by right")
+        wait_until(lambda: rules_fleet.served(), "all gateways serve with valid rights")
         rules_fleet.put("blocked", lapse="keep", aa='"by order"')
         assert rules_fleet.tool("wait", "blocked", "1")[0] == 0
         for name in ("g1", "g2"):
             kept = fleet.base / f"h{name[1]}" / f"{name}.rules.json"
-            wait_until(partial(holds, kept, "by order"), "it is kept")
+            wait_until(partial(holds, kept, "by order"), "the rules are stored")
         rules_fleet.set_link_mode("g1", Mode.REFUSE)
         rules_fleet.set_link_mode("g2", Mode.REFUSE)
         (fleet.base / "h2" / "g2.rules.json").unlink()
         for name in ("g1", "g2"):
             os.kill(fleet.hosts[f"h{name[1]}"].pid(name), signal.SIGKILL)
-        wait_until(lambda: rules_fleet.served("g1", key="cc"), "it begins on what it knew")
+        wait_until(lambda: rules_fleet.served("g1", key="cc"), "the gateway starts with its stored rules")
         assert request(rules_fleet.gateway_ports["g1"]) == 429
-        assert request(rules_fleet.gateway_ports["g2"], "cc") in (0, 429), "it knows of nothing, and waits"
+        assert request(rules_fleet.gateway_ports["g2"], "cc") in (0, 429), "without stored rules it waits"
         rules_fleet.set_link_mode("g2", Mode.PASS)
-        wait_until(lambda: rules_fleet.served("g2", key="cc"), "it begins by right")
+        wait_until(lambda: rules_fleet.served("g2", key="cc"), "the gateway starts with a valid right")
         assert request(rules_fleet.gateway_ports["g2"]) == 429
     finally:
         rules_fleet.stop()
--- a/tests/agent/test_tls.py
+++ b/tests/agent/test_tls.py
@@ -89,7 +89,7 @@
     assert code == 4 and any(message in line for line in listing["remarks"]), listing
     wait_until(
         lambda: any(k == "tls-refused" and recorded in d for k, _, d in recorded_events(fleet)),
-        "the refusal is on record", lambda: recorded_events(fleet),
+        "the refusal is recorded", lambda: recorded_events(fleet),
     )  # fmt: skip
 
 
@@ -135,6 +135,10 @@
         _, listing = fleet.tool("list")
         return " ".join(listing["remarks"])
 
-    wait_until(lambda: "its certificate ends in" in remarks(), "the new one shows that it ends soon", remarks)
+    wait_until(
+        lambda: "its certificate ends in" in remarks(),
+        "the tool warns about the new certificate's end",
+        remarks,
+    )
     assert host.process.pid == pid and host.process.poll() is None
     assert any(kind == "certificate" for kind, _, _ in recorded_events(fleet))
