--- a/latchspoke/agent/api.py
+++ b/latchspoke/agent/api.py
@@ -1,8 +1,8 @@
-"""The agent's interface: HTTP with JSON, version 1, the schema in ``latchspoke.fleet.wire``.
+"""The agent's HTTP interface: JSON, version 1, with the schema in ``latchspoke.fleet.wire``.
 
-Every answer that is no success is a ``Problem``. Who asks is known by the transport: the user at the
-other end of the Unix socket, or the certificate on TCP. A viewer may look; only an operator may act, and
-what is refused is recorded.
+Every error response is a ``Problem``. The caller is identified by the transport: the user of a Unix socket,
+or the client certificate on TCP. A viewer may read, only an operator may change anything, and refused
+requests are recorded as events.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 import structlog
 from aiohttp import web
 
-from latchspoke.agent.checks import fetch_view
+from latchspoke.agent.health_checks import fetch_view
 from latchspoke.agent.members import MemberDriver, MembersChange
 from latchspoke.agent.store import StoreError
 from latchspoke.agent.supervisor import RefusalError, Supervisor, claim_info
@@ -47,22 +47,22 @@
 log = structlog.get_logger("agent.api")
 T = TypeVar("T")
 
-BODY_MOST = 4 * 1024 * 1024
-WAIT_MOST = 30.0  # s that a question for news may be held
-EVENTS_MOST = 1000
-VIEWS_AT_ONCE = 32
+BODY_MAX_BYTES = 4 * 1024 * 1024
+EVENTS_WAIT_MAX_S = 30.0  # longest long poll for new events
+EVENTS_MAX = 1000
+VIEWS_MAX_CONCURRENT = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who asks; ``role`` is operator, viewer or '' for nobody that is known."""
+    """The caller of a request; ``role`` is operator, viewer, or '' if unknown."""
 
     name: str
     role: str
 
 
 def unix_caller(peer: socket.socket) -> Caller:
-    """The socket's file lets only its owner in; root comes in anyway."""
+    """Identify the user at the other end of a Unix socket; the agent's own user and root are operators."""
     _, uid, _ = struct.unpack("3i", peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     try:
         name = pwd.getpwuid(uid).pw_name
@@ -72,14 +72,14 @@
 
 
 class DutiesShown(msgspec.Struct, frozen=True):
-    """The duties as they were at some moment after the question, with all up to ``index``."""
+    """The duties after applying the log up to ``index``, read after the request arrived."""
 
     index: int
     duties: dict[str, DutyState]
 
 
 class RulesShown(msgspec.Struct, frozen=True):
-    """The rules' documents without their contents."""
+    """Summaries of the rules documents, without contents."""
 
     index: int
     documents: dict[str, Summary]
@@ -88,7 +88,7 @@
 Identify = Callable[[web.Request], Caller]
 
 
-def by_socket(request: web.Request) -> Caller:
+def caller_by_socket(request: web.Request) -> Caller:
     transport = request.transport
     peer = transport.get_extra_info("socket") if transport is not None else None
     return unix_caller(peer) if peer is not None else Caller("?", "")
@@ -102,16 +102,16 @@
 
 
 class Api:
-    """The routes of one agent."""
+    """The routes of one agent's HTTP interface."""
 
     def __init__(
         self, supervisor: Supervisor, identify: Identify, members: MemberDriver | None = None
     ) -> None:
         self.supervisor, self.identify, self.members = supervisor, identify, members
-        self.viewing = asyncio.Semaphore(VIEWS_AT_ONCE)
+        self.view_slots = asyncio.Semaphore(VIEWS_MAX_CONCURRENT)
 
     def app(self) -> web.Application:
-        app = web.Application(middlewares=[self.guard], client_max_size=BODY_MOST)
+        app = web.Application(middlewares=[self.guard], client_max_size=BODY_MAX_BYTES)
         app.add_routes(
             [
                 web.get("/v1/instances", self.instances),
@@ -144,15 +144,15 @@
     async def guard(
         self, request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
     ) -> web.StreamResponse:
-        """Version, caller and role first; then every refusal as one kind of answer."""
+        """Check interface version, caller and role, and turn refusals into ``Problem`` responses."""
         try:
             self.check_version(request)
             request["caller"] = caller = self.identify(request)
             if caller.role == "" or (request.method != "GET" and caller.role != "operator"):
-                what = f"{request.method} {request.path}"
-                self.supervisor.record("forbidden", operator=caller.name, detail=what)
+                action = f"{request.method} {request.path}"
+                self.supervisor.record("forbidden", operator=caller.name, detail=action)
                 role = caller.role or "without a role"
-                raise RefusalError(403, "forbidden", f"{caller.name} is {role} and may not {what}")
+                raise RefusalError(403, "forbidden", f"{caller.name} is {role} and may not {action}")
             return await handler(request)
         except RefusalError as e:
             info = claim_info(e.claim) if e.claim is not None else None
@@ -166,104 +166,110 @@
 
     @staticmethod
     def check_version(request: web.Request) -> None:
-        told = request.headers.get(wire.INTERFACE_HEADER, "")
-        if told != str(wire.INTERFACE_VERSION):
+        version = request.headers.get(wire.INTERFACE_HEADER, "")
+        if version != str(wire.INTERFACE_VERSION):
             raise RefusalError(
                 426,
                 "interface",
-                f"this agent speaks interface {wire.INTERFACE_VERSION}, not {told or 'one unnamed'}",
+                f"this agent speaks interface {wire.INTERFACE_VERSION}, not {version or 'an unnamed one'}",
             )
 
-    async def read(self, request: web.Request, kind: type[T]) -> T:
+    async def read_body(self, request: web.Request, kind: type[T]) -> T:
         return wire.decode(kind, await request.read())
 
-    def driver(self) -> MemberDriver:
+    def require_member(self) -> MemberDriver:
         if self.members is None:
-            raise RefusalError(404, "no-member", "this agent is no member")
+            raise RefusalError(404, "no-member", "this agent is not a member")
         return self.members
 
     @staticmethod
-    def known(reply: Reply) -> Reply:
-        """What a majority stands behind; raises that nothing can be known here and now."""
+    def require_answer(reply: Reply) -> Reply:
+        """The reply, unless it is ``Refused``; then raises RefusalError."""
         if isinstance(reply, Rejected):
             code = "unknown" if reply.under_way else "no-leader"
-            text = "it may have been done, or may yet be" if reply.under_way else "no leader is heard here"
+            text = (
+                "outcome unknown: the command may still be applied" if reply.under_way else "no known leader"
+            )
             raise RefusalError(503, code, text)
         return reply
 
-    async def look(self, look: Query) -> QueryResult:
-        shown = self.known(await self.driver().ask(look=look))
+    async def query_machine(self, look: Query) -> QueryResult:
+        shown = self.require_answer(await self.require_member().ask(look=look))
         assert isinstance(shown, QueryResult)
         return shown
 
     async def member(self, request: web.Request) -> web.Response:
-        return answer(self.driver().status())
+        return answer(self.require_member().status())
 
     async def change_members(self, request: web.Request) -> web.Response:
-        asked = await self.read(request, MembersChange)
-        why = await self.driver().change(asked.add, asked.remove)
-        if why:
-            raise RefusalError(409, "not-changed", why)
-        return answer(self.driver().status())
+        body = await self.read_body(request, MembersChange)
+        reason = await self.require_member().change(body.add, body.remove)
+        if reason:
+            raise RefusalError(409, "not-changed", reason)
+        return answer(self.require_member().status())
 
     async def duties(self, request: web.Request) -> web.Response:
-        shown = await self.look(Query(DUTIES))
+        shown = await self.query_machine(Query(DUTIES))
         return answer(DutiesShown(shown.index, decode_duties(shown)))
 
     async def findings(self, request: web.Request) -> web.Response:
-        shown = await self.look(Query(findings.NAME))
+        shown = await self.query_machine(Query(findings.NAME))
         return answer(msgspec.msgpack.decode(shown.body, type=findings.Findings))
 
     async def rules(self, request: web.Request) -> web.Response:
-        shown = await self.look(Query(RULES))
+        shown = await self.query_machine(Query(RULES))
         summaries: dict[str, Summary] = msgspec.msgpack.decode(shown.body, type=dict[str, Summary])
         return answer(RulesShown(shown.index, summaries))
 
     async def holders(self, request: web.Request) -> web.Response:
-        """As the leader knows them."""
-        shown = await self.look(Query(RULES_HOLDERS))
+        """The gateways that hold rules, as the leader knows them."""
+        shown = await self.query_machine(Query(RULES_HOLDERS))
         return answer(msgspec.msgpack.decode(shown.body, type=GatewayLeases))
 
     async def put_rules(self, request: web.Request) -> web.Response:
-        """``?ident=`` as with duties."""
-        command = await self.read(request, PutRules)
+        """Store rules; ``?ident=`` makes a repeated request idempotent."""
+        command = await self.read_body(request, PutRules)
         detail = f"{command.name} on {command.parent}: {command.reason}"
         self.supervisor.record("rules", operator=request["caller"].name, detail=detail)
         command = msgspec.structs.replace(command, author=request["caller"].name)
         put = rules_command(command, request.query.get("ident", ""))
-        return answer(self.known(await self.driver().ask(put=put)))
+        return answer(self.require_answer(await self.require_member().ask(put=put)))
 
     async def question(self, request: web.Request) -> web.Response:
-        """A gateway's."""
-        asked = await self.read(request, RulesQuestion)
-        return answer(self.known(await self.driver().ask(question=asked)))
+        """Answer a gateway's question about the rules it may act by."""
+        body = await self.read_body(request, RulesQuestion)
+        return answer(self.require_answer(await self.require_member().ask(question=body)))
 
     async def content(self, request: web.Request) -> web.Response:
-        """From what this member itself holds: its digest tells the asker whether it is right."""
-        asked = await self.read(request, FetchRules)
-        found: Content | None = self.driver().office.rules.content(asked)
+        """The content of a rules document, from this member's own copy; the caller verifies its digest."""
+        body = await self.read_body(request, FetchRules)
+        found: Content | None = self.require_member().replica.rules.content(body)
         if found is None:
-            raise RefusalError(404, "no-content", f"{asked.name} {asked.version} is not here")
+            raise RefusalError(404, "no-content", f"{body.name} {body.version} is not stored on this member")
         return answer(found)
 
     async def command(self, request: web.Request) -> web.Response:
-        """``?ident=`` is drawn by who asks: asked again under it, nothing is done twice."""
+        """Apply a command on duties; ``?ident=`` makes a repeated request idempotent."""
         command: Define | Remove | Move = wire.decode(Define | Remove | Move, await request.read())  # type: ignore[arg-type]
         self.supervisor.record("duty", operator=request["caller"].name, detail=str(command))
         put = duty_command(command, request.query.get("ident", ""))
-        return answer(self.known(await self.driver().ask(put=put)))
+        return answer(self.require_answer(await self.require_member().ask(put=put)))
 
     async def beat(self, request: web.Request) -> web.Response:
-        return answer(self.known(await self.driver().ask(beat=await self.read(request, Heartbeat))))
+        return answer(
+            self.require_answer(
+                await self.require_member().ask(beat=await self.read_body(request, Heartbeat))
+            )
+        )
 
     async def instances(self, request: web.Request) -> web.Response:
         return answer(self.supervisor.listing())
 
     async def views(self, request: web.Request) -> web.Response:
-        """The gateways' own views, asked for side by side; ``?name=`` may stand several times."""
+        """The gateways' own views, requested concurrently; ``?name=`` may be given several times."""
         names = request.query.getall("name", None) or sorted(self.supervisor.runtimes)
-        told = await asyncio.gather(*(self.view(name) for name in names))
-        pairs = list(zip(names, told, strict=True))
+        answers = await asyncio.gather(*(self.view(name) for name in names))
+        pairs = list(zip(names, answers, strict=True))
         views = {name: view for name, view in pairs if not isinstance(view, str)}
         missing = {name: view for name, view in pairs if isinstance(view, str)}
         return answer(wire.ViewAnswer(views, missing))
@@ -273,23 +279,23 @@
         if not runtime.state.alive:
             return f"is {runtime.state.state_label(self.supervisor.clock(), runtime.limits)}"
         timeout = aiohttp.ClientTimeout(total=self.supervisor.config.checks.limit)
-        async with self.viewing:
+        async with self.view_slots:
             return await fetch_view(str(self.supervisor.config.admin_path(name)), timeout)
 
     async def events(self, request: web.Request) -> web.Response:
-        """Those after a revision; with ``wait`` held until there is one, or so many seconds."""
+        """Events after a revision; ``wait`` is the time to wait for one, in seconds."""
         try:
             after = int(request.query.get("after", "0"))
-            wait = min(float(request.query.get("wait", "0")), WAIT_MOST)
+            wait = min(float(request.query.get("wait", "0")), EVENTS_WAIT_MAX_S)
         except ValueError:
             raise RefusalError(400, "bad-request", "after and wait are numbers") from None
-        news = self.supervisor.news
-        store = self.supervisor.write()
-        events = store.events(after, EVENTS_MOST)
+        events_changed = self.supervisor.events_changed
+        store = self.supervisor.require_operations_store()
+        events = store.events(after, EVENTS_MAX)
         if not events and wait > 0:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(news.wait(), wait)
-            events = store.events(after, EVENTS_MOST)
+                await asyncio.wait_for(events_changed.wait(), wait)
+            events = store.events(after, EVENTS_MAX)
         revision = events[-1].revision if events else max(after, self.supervisor.revision)
         return answer(wire.Events(events, revision))
 
@@ -300,30 +306,28 @@
         return answer(self.supervisor.operation(request.match_info["id"]))
 
     async def put_operation(self, request: web.Request) -> web.Response:
-        plan = await self.read(request, wire.OperationPlan)
+        plan = await self.read_body(request, wire.OperationPlan)
         if plan.id != request.match_info["id"]:
-            raise RefusalError(400, "bad-request", "the plan's id is not the address's")
+            raise RefusalError(400, "bad-request", "the plan's id differs from the one in the path")
         return answer(self.supervisor.put_operation(plan, request["caller"].name))
 
     async def close_operation(self, request: web.Request) -> web.Response:
-        asked = await self.read(request, wire.CloseOperation)
-        return answer(
-            self.supervisor.close_operation(request.match_info["id"], asked, request["caller"].name)
-        )
+        body = await self.read_body(request, wire.CloseOperation)
+        return answer(self.supervisor.close_operation(request.match_info["id"], body, request["caller"].name))
 
     async def claim(self, request: web.Request) -> web.Response:
-        asked = await self.read(request, wire.ClaimRequest)
-        made = self.supervisor.claim(asked, request["caller"].name)
-        return answer(wire.Claimed([claim_info(claim) for claim in made]))
+        body = await self.read_body(request, wire.ClaimRequest)
+        claims = self.supervisor.claim(body, request["caller"].name)
+        return answer(wire.Claimed([claim_info(claim) for claim in claims]))
 
     async def renew(self, request: web.Request) -> web.Response:
-        made = self.supervisor.renew(await self.read(request, wire.TokenRequest))
-        return answer(wire.Claimed([claim_info(claim) for claim in made]))
+        claims = self.supervisor.renew(await self.read_body(request, wire.TokenRequest))
+        return answer(wire.Claimed([claim_info(claim) for claim in claims]))
 
     async def release(self, request: web.Request) -> web.Response:
-        self.supervisor.release(await self.read(request, wire.TokenRequest))
+        self.supervisor.release(await self.read_body(request, wire.TokenRequest))
         return answer(wire.Claimed([]))
 
     async def step(self, request: web.Request) -> web.Response:
-        asked = await self.read(request, wire.StepRequest)
-        return answer(self.supervisor.step(asked, request["caller"].name))
+        body = await self.read_body(request, wire.StepRequest)
+        return answer(self.supervisor.step(body, request["caller"].name))
--- a/latchspoke/configstore/replica.py
+++ b/latchspoke/configstore/replica.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from latchspoke.agent.ledger import Ledger, LedgerError
+from latchspoke.agent.raft_store import RaftStore, RaftStoreError
 from latchspoke.configstore.config_state import UNKNOWN, ApplyPatch, Command, ConfigState, Verdict
 from latchspoke.configstore.messages import Message
 from latchspoke.configstore.store_node import Answer, StoreNode, founding_snapshot, identity_suffix
@@ -56,13 +56,13 @@
     ) -> None:
         """``founders``: the seeds; ``first_start``: of the whole deployment; ``catch_up`` (s): see StoreNode.
 
-        Raises LedgerError.
+        Raises RaftStoreError.
         """
         self.rng = rng or random.Random()
         self.name, self.send, self.on_applied, self.clock, self.log = name, send, on_applied, clock, log
         self.founders, self.first_start, self.apply_patch = founders, first_start, apply_patch
         self.catch_up = catch_up
-        self.ledger = Ledger(home / DATABASE_FILE, alone=True)
+        self.ledger = RaftStore(home / DATABASE_FILE, exclusive=True)
         try:
             self.node = self.load_node()
         except BaseException:
@@ -80,7 +80,7 @@
         self.closed = False
 
     def load_node(self) -> StoreNode:
-        """Creates the node from the contents of the disk, as after a crash. Raises LedgerError."""
+        """Creates the node from the contents of the disk, as after a crash. Raises RaftStoreError."""
         suffix = identity_suffix(self.name, self.founders, self.first_start, secrets.token_hex(4))
         image = founding_snapshot(self.founders, ConfigState(self.apply_patch))
         stored = self.ledger.start(self.name, suffix, suffix == "first", image)
@@ -258,7 +258,7 @@
         locations = {name: self.node.locations[name] for name in self.node.live_names}
         try:
             self.node = self.load_node()
-        except LedgerError as e:
+        except RaftStoreError as e:
             self.log("disk-refuses", {"error": str(e)})
             self.set_timer(RECOVERY_DELAY_S)
             return
@@ -283,14 +283,14 @@
             if snapshot is not None:
                 try:
                     self.ledger.compact(snapshot)
-                except LedgerError as e:  # harmless: the log stays longer until the next snapshot
+                except RaftStoreError as e:  # harmless: the log stays longer until the next snapshot
                     self.log("disk-refuses", {"error": str(e)})
 
     def save_output(self, output: Output) -> bool:
         """Syncs an output to disk; False if the write failed."""
         try:
             self.ledger.save(output)
-        except LedgerError as e:
+        except RaftStoreError as e:
             if not self.disk_error:
                 self.log("disk-refuses", {"error": str(e)})
             self.unsaved_output, self.disk_error = output, str(e)
--- a/latchspoke/controlplane/node.py
+++ b/latchspoke/controlplane/node.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from latchspoke import node_process
-from latchspoke.agent.ledger import LedgerError
+from latchspoke.agent.raft_store import RaftStoreError
 from latchspoke.configstore.config_state import UNCHECKED, Verdict
 from latchspoke.configstore.config_state import ConfigState as StoredState
 from latchspoke.configstore.replica import Replica
@@ -85,7 +85,7 @@
     PORT_OFFSET = CONTROL_PORT_OFFSET
 
     def build(self) -> None:
-        """Create the parts of the control-plane node and connect them. Raises LedgerError."""
+        """Create the parts of the control-plane node and connect them. Raises RaftStoreError."""
         s = self.settings
         self.own_name = self.internal_endpoint
         founders = tuple(f"{host}:{port}" for host, port in self.seed_addresses())
@@ -667,4 +667,4 @@
 
 def main(path: str | None = None) -> int:
     """Exit codes: 0 orderly shutdown, 1 unusable store of the replicated log, 2 invalid settings."""
-    return node_process.main("controlplane", Node, path, LedgerError)
+    return node_process.main("controlplane", Node, path, RaftStoreError)
--- a/latchspoke/ctl/stores.py
+++ b/latchspoke/ctl/stores.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from latchspoke.agent.ledger import LAYOUT, Ledger, LedgerError
+from latchspoke.agent.raft_store import LAYOUT, RaftStore, RaftStoreError
 from latchspoke.configstore import copies
 from latchspoke.configstore.config_state import ConfigState
 from latchspoke.configstore.replica import DATABASE_FILE
@@ -79,14 +79,14 @@
                 }
                 if not {"facts", "entries"} <= names:
                     raise StoreError(f"{path} is not a store: its tables are {', '.join(sorted(names))}")
-            ledger = Ledger(copied)
-        except (sqlite3.Error, LedgerError) as e:
+            ledger = RaftStore(copied)
+        except (sqlite3.Error, RaftStoreError) as e:
             raise StoreError(f"{path} can't be used: {str(e).replace(str(copied), path.name)}") from None
         with contextlib.closing(ledger):
             try:
                 # Starting on the copy reads all records and compares them with the start file.
                 return ledger.start("nobody", "nothing", False)
-            except LedgerError as e:
+            except RaftStoreError as e:
                 raise StoreError(f"{path} can't be used: {str(e).replace(str(copied), path.name)}") from None
 
 
@@ -193,9 +193,9 @@
         raise StoreError(f"{home} contains {', '.join(existing)}: move it away first")
     try:
         home.mkdir(parents=True, exist_ok=True)
-        ledger = Ledger(home / DATABASE_FILE)
+        ledger = RaftStore(home / DATABASE_FILE)
         with contextlib.closing(ledger):
             ledger.start(me, beginning.identity_suffix, True, beginning.snapshot)
-    except (OSError, LedgerError) as e:
+    except (OSError, RaftStoreError) as e:
         raise StoreError(str(e)) from None
     return beginning.snapshot
--- a/latchspoke/lab/system/guards.py
+++ b/latchspoke/lab/system/guards.py
@@ -14,7 +14,7 @@
 
 from barleyhub.interface import Code
 from barleyhub.line import balancer, budget, dispatch, quota
-from latchspoke.agent.ledger import LedgerError
+from latchspoke.agent.raft_store import RaftStoreError
 from latchspoke.configstore.config_state import ConfigState
 from latchspoke.configuration.routes import Route
 from latchspoke.controlplane import node as controlplane
@@ -166,7 +166,7 @@
 
 def ignore_save_errors(old: Any) -> Any:
     def save(self: Any, output: Any) -> None:
-        with contextlib.suppress(LedgerError):
+        with contextlib.suppress(RaftStoreError):
             old(self, output)
 
     return save
--- a/latchspoke/lab/system/machines.py
+++ b/latchspoke/lab/system/machines.py
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest import mock
 
-from latchspoke.agent.ledger import LedgerError
+from latchspoke.agent.raft_store import RaftStoreError
 from latchspoke.configstore import replica
 from latchspoke.configstore.simulation import Disk
 from latchspoke.consensus.member import Output
@@ -34,7 +34,7 @@
 
 
 class SimulatedLedger:
-    """``Ledger`` on a simulated disk; power may be lost right before or after a sync."""
+    """``RaftStore`` on a simulated disk; power may be lost right before or after a sync."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine, self.open = machine, True
@@ -50,9 +50,9 @@
     def save(self, output: Output) -> None:
         machine = self.machine
         if machine.disk_refuses:
-            raise LedgerError("the disk refuses")
+            raise RaftStoreError("the disk refuses")
         if machine.disk_full and (output.entries or output.snapshot is not None):
-            raise LedgerError("database or disk is full")
+            raise RaftStoreError("database or disk is full")
         scheduler = machine.fleet.scheduler
         # A sync blocks the event loop.
         if machine.disk_hangs_until > scheduler.now and machine.loop is not None:
@@ -63,7 +63,7 @@
         if power_loss_at_save:
             machine.fleet.power_off(machine)
             machine.fleet.scheduler.after(machine.power_off_s, machine.fleet.power_on, machine)
-            raise LedgerError("the machine has lost power")
+            raise RaftStoreError("the machine has lost power")
 
     def compact(self, snapshot: Snapshot) -> None:
         self.machine.disk.compact(snapshot)
@@ -465,13 +465,13 @@
     """Run the programs with simulated disks, seeded randomness and logs that go into the day record."""
     seeded: Any = replica_random
 
-    def ledger(path: Path, alone: bool = False) -> SimulatedLedger:
+    def ledger(path: Path, exclusive: bool = False) -> SimulatedLedger:
         return SimulatedLedger(
             next(m for m in fleet.machines if fleet.home / m.name / replica.DATABASE_FILE == path)
         )
 
     replacements = {
-        "Ledger": ledger,
+        "RaftStore": ledger,
         "random": seeded,
         "secrets": seeded,
     }
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from latchspoke.agent.ledger import Ledger, LedgerError
+from latchspoke.agent.raft_store import RaftStore, RaftStoreError
 from latchspoke.configstore.config_state import TAKEN, UNKNOWN
 from latchspoke.configstore.messages import Message
 from latchspoke.configstore.replica import DATABASE_FILE, Replica
@@ -121,7 +121,7 @@
         save = leader.ledger.save
 
         def refuse(output: Output) -> None:
-            raise LedgerError("no room")
+            raise RaftStoreError("no room")
 
         monkeypatch.setattr(leader.ledger, "save", refuse)
         assert (await leader.submit(replace_command(1, 0))).kind == UNKNOWN
@@ -161,7 +161,7 @@
         save, term = failing.ledger.save, failing.node.member.term
 
         def refuse(output: Output) -> None:
-            raise LedgerError("database or disk is full")
+            raise RaftStoreError("database or disk is full")
 
         monkeypatch.setattr(failing.ledger, "save", refuse)
         loop = asyncio.get_running_loop()
@@ -186,11 +186,11 @@
 
 
 def test_damaged_file_and_older_copy_are_rejected_with_a_one_line_error(tmp_path: Path) -> None:
-    ledger = Ledger(tmp_path / DATABASE_FILE, alone=True)
+    ledger = RaftStore(tmp_path / DATABASE_FILE, exclusive=True)
     ledger.start("a", "x", founder=False)
     ledger.close()
     older = (tmp_path / DATABASE_FILE).read_bytes()
-    again = Ledger(tmp_path / DATABASE_FILE, alone=True)
+    again = RaftStore(tmp_path / DATABASE_FILE, exclusive=True)
     for _ in range(2):
         again.start("a", "y", founder=False)
     again.close()
@@ -201,7 +201,7 @@
         (b"x" * 9000, "not a database"),
     ):
         (tmp_path / DATABASE_FILE).write_bytes(content)
-        with pytest.raises(LedgerError, match=why) as caught:
+        with pytest.raises(RaftStoreError, match=why) as caught:
             Replica("a", NAMES, False, tmp_path, lambda *_: None, merge_patch, lambda _: None)
         assert "\n" not in str(caught.value)
 
--- a/tests/configstore/test_store.py
+++ b/tests/configstore/test_store.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from latchspoke.agent.ledger import LAYOUT, Ledger, LedgerError
+from latchspoke.agent.raft_store import LAYOUT, RaftStore, RaftStoreError
 from latchspoke.configstore.config_state import ConfigState, Verdict
 from latchspoke.configstore.simulation import merge_patch, modify_command, replace_command
 from latchspoke.configstore.store_node import StoreNode, founding_snapshot
@@ -23,11 +23,11 @@
 DISK_BYTES = 256 * 1024 * 1024  # size of the disk
 
 
-def open_ledger(folder: Path) -> tuple[Ledger, Stored]:
-    ledger = Ledger(folder / "register.db", alone=True)
+def open_ledger(folder: Path) -> tuple[RaftStore, Stored]:
+    ledger = RaftStore(folder / "register.db", exclusive=True)
     try:
         return ledger, ledger.start(ME, "first", True, founding_snapshot([ME], ConfigState(merge_patch)))
-    except LedgerError:
+    except RaftStoreError:
         ledger.close()
         raise
 
@@ -117,7 +117,7 @@
 
 
 DAMAGES: dict[str, tuple[Callable[[Path], object], str]] = {
-    "foreign": (make_foreign, "is no ledger: its tables are trains"),
+    "foreign": (make_foreign, "is not a Raft store: its tables are trains"),
     "newer layout": (lambda path: set_layout(path, LAYOUT + 1), f"its layout is {LAYOUT + 1}"),
     "a bit": (flip_bit, "is damaged"),
     "cut short": (truncate, "damaged|malformed"),
@@ -150,7 +150,7 @@
 def test_damaged_or_foreign_file_is_rejected_with_a_one_line_error(damage: str, tmp_path: Path) -> None:
     create_damaged(tmp_path, damage)
     for _ in range(2):
-        with pytest.raises(LedgerError, match=DAMAGES[damage][1]) as caught:
+        with pytest.raises(RaftStoreError, match=DAMAGES[damage][1]) as caught:
             start_ledger(tmp_path)
         assert "\n" not in str(caught.value)
 
@@ -158,14 +158,14 @@
 @pytest.mark.parametrize(
     ("damage", "check", "without"),
     [
-        ("a bit", "sound", lambda self, body, crc, what: body),
-        ("older", "compare", lambda self, old, noted: None),
+        ("a bit", "check_crc", lambda self, body, crc, what: body),
+        ("older", "check_start", lambda self, old, noted: None),
     ],
 )
 def test_without_the_check_a_damaged_file_is_accepted(
     damage: str, check: str, without: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Shows that the test above exercises these checks."""
-    monkeypatch.setattr(Ledger, check, without)
+    monkeypatch.setattr(RaftStore, check, without)
     create_damaged(tmp_path, damage)
     assert start_ledger(tmp_path).entries
--- a/tests/operations/test_process_replacement.py
+++ b/tests/operations/test_process_replacement.py
@@ -19,7 +19,7 @@
 
 from barleyhub import interface as api
 from latchspoke.net.process_group import ProcessGroup
-from tests.agent.world import free_port
+from tests.agent.harness import free_port
 from tests.conftest import Bench
 from tests.operations.test_operator_api import OperatorApiSetup
 from tests.player import configuration
