--- a/tests/compatibility/test_recorded_agent.py
+++ b/tests/compatibility/test_recorded_agent.py
@@ -31,7 +31,7 @@
 from latchspoke.net.kin import Kin
 from latchspoke.revisions import records as revisions
 from latchspoke.revisions.machine import RulesMachine
-from tests.compatibility.recorded import copy_of, recorded_bytes, recorded_texts, table_rows
+from tests.compatibility.recorded import copy_of, json_text, recorded_bytes, recorded_texts, table_rows
 
 HOLDER, OTHER = "agent-a#0a0a", "agent-b#0b0b"
 MEMBERS = Members((HOLDER, OTHER), ("agent-c#0c0c",), ("agent-d",), ())
@@ -214,6 +214,18 @@
 
 # The store.
 
+
+def test_values_in_files_and_frames() -> None:
+    recorded = dict(recorded_texts("enumerations"))
+    for name, values in (
+        ("tenure end", [why.value for why in duties.Why]),
+        ("instance goal", [goal.value for goal in Goal]),
+        ("instance phase", [phase.value for phase in Phase]),
+        ("process end", [end.value for end in End]),
+    ):
+        assert json_text(values) == recorded[name]
+
+
 INSTANCES = {
     "g1": Instance(
         "g1", Goal.UP, Phase.READY, 1000.0, 3, 4711, 998, 999.0, True, 1003.5, 0.0, 0.0, 0.0, 1, False,
--- a/tests/compatibility/test_recorded_build.py
+++ b/tests/compatibility/test_recorded_build.py
@@ -240,6 +240,10 @@
         assert set(union.__args__) == {type(example) for example in examples}
 
 
+def test_kinds_of_entries() -> None:
+    assert json_text([kind.value for kind in Kind]) == dict(recorded_texts("enumerations"))["entry kind"]
+
+
 @pytest.mark.parametrize(("name", "data"), recorded_bytes("consensus_messages"))
 def test_consensus_message(name: str, data: bytes) -> None:
     assert records.decode(data) == CONSENSUS_MESSAGES[name]
--- a/tests/compatibility/test_recorded_exchanges.py
+++ b/tests/compatibility/test_recorded_exchanges.py
@@ -16,23 +16,41 @@
 import msgspec
 import pytest
 
+from barleyhub.line.dispatch import TotalsReceived
 from barleyhub.line.quota import Account
 from latchspoke.configuration.patch import apply_patch, diff
 from latchspoke.dataplane.usage_reports import UsageReports
 from latchspoke.distribution.published_state import CommittedState, Follower, PublishedState, Subscriber
-from latchspoke.membership.compression import compress_updates, decompress_updates
+from latchspoke.membership.compression import PRESET_DICTIONARY, compress_updates, decompress_updates
 from latchspoke.membership.messages import Member, parse_message
 from latchspoke.membership.parameters import ProtocolParameters
 from latchspoke.membership.protocol import Membership
-from latchspoke.registry.registry import Entry, Registry, State, parse_heartbeat
+from latchspoke.registry.registry import STATE_BY_NAME, Entry, Registry, State, parse_heartbeat
 from latchspoke.session_records.record import ExchangeOutcome, Peer, SessionRecord
 from latchspoke.session_records.store import AttemptTarget, RecordStore, StoreOutput, StoreReply, parse_record
+from latchspoke.transport.netstring import FrameDecoder, encode_frame
 from tests.compatibility.documents import document
-from tests.compatibility.recorded import json_text, recorded_texts
+from tests.compatibility.recorded import json_text, recorded_bytes, recorded_texts
 
 Texts = list[tuple[str, str]]
 Message = dict[str, Any]
 
+
+def test_frame_of_a_connection() -> None:
+    [(_, data)] = recorded_bytes("frames")
+    message = {"k": "heard", "n": [1, 2.5, None, "\u010d"]}
+    assert encode_frame(message) == data
+    assert FrameDecoder().feed(data) == [message]
+
+
+def test_values_in_messages() -> None:
+    recorded = dict(recorded_texts("enumerations"))
+    assert json_text([outcome.value for outcome in ExchangeOutcome]) == recorded["exchange outcome"]
+    assert json_text([state.value for state in State]) == recorded["server state"]
+    states = {name: int(state) for name, state in STATE_BY_NAME.items()}
+    assert json_text(states) == recorded["heartbeat state"]
+
+
 # Cluster membership.
 
 NAMES = ("core-1", "core-2", "edge-1", "edge-2")
@@ -114,6 +132,7 @@
 
 def test_compressed_updates() -> None:
     plain = dict(recorded_texts("membership_messages"))
+    assert [data for _, data in recorded_bytes("membership_dictionary")] == [PRESET_DICTIONARY]
     compressed = recorded_texts("membership_compressed")
     assert compressed
     for label, text in compressed:
@@ -267,7 +286,12 @@
 
     def usage_reports(self, name: str, instance_id: str, accounts: dict[str, Account]) -> Any:
         dispatcher = cast(Any, SimpleNamespace(accounts=accounts, gateway_count=2))
-        return UsageReports(name, instance_id, self.time, dispatcher, lambda totals: None)
+        return UsageReports(name, instance_id, self.time, dispatcher, self.update_totals)
+
+    def update_totals(self, totals: TotalsReceived) -> None:
+        self.accounts[totals.tenant].update_totals(
+            totals.remaining, totals.offered, totals.admitted, totals.included, totals.asked_at
+        )
 
     def connect(self, owner_name: str, owner: Any) -> None:
         """Connect g1 to the only owner."""
