--- a/tests/compatibility/test_recorded_build.py
+++ b/tests/compatibility/test_recorded_build.py
@@ -207,6 +207,20 @@
     assert state.version == 2 and state.evacuated == {"zone-a"} and list(state.refused) == ["d4"]
 
 
+def test_verdicts_give_the_same_reasons(written: Any) -> None:
+    """A verdict travels between processes whole, so that its reason is on the wire too."""
+    _, _, verdicts = written
+    state = ConfigState(cast(Any, apply_patch))
+    rejections = [
+        json_text(state.apply(index, command))
+        for index, (_, command, _) in enumerate(recorded_rejections(), 11)
+    ]
+    assert rejections == [text for _, _, text in recorded_rejections()]
+    assert [json_text(verdict) for verdict in verdicts] == [
+        text for _, text in recorded_texts("register_verdicts")
+    ]
+
+
 # Messages.
 
 TERMS: dict[str, Any] = {"source": "a#1", "target": "b#2", "boot": 3, "term": 4}
