--- a/latchspoke/agent/api.py
+++ b/latchspoke/agent/api.py
@@ -171,7 +171,7 @@
             raise RefusalError(
                 426,
                 "interface",
-                f"this agent speaks interface {wire.INTERFACE_VERSION}, not {version or 'an unnamed one'}",
+                f"this agent speaks interface {wire.INTERFACE_VERSION}, not {version or 'one unnamed'}",
             )
 
     async def read_body(self, request: web.Request, kind: type[T]) -> T:
@@ -179,7 +179,7 @@
 
     def require_member(self) -> MemberDriver:
         if self.members is None:
-            raise RefusalError(404, "no-member", "this agent is not a member")
+            raise RefusalError(404, "no-member", "this agent is no member")
         return self.members
 
     @staticmethod
@@ -187,9 +187,7 @@
         """The reply, unless it is ``Refused``; then raises RefusalError."""
         if isinstance(reply, Rejected):
             code = "unknown" if reply.under_way else "no-leader"
-            text = (
-                "outcome unknown: the command may still be applied" if reply.under_way else "no known leader"
-            )
+            text = "it may have been done, or may yet be" if reply.under_way else "no leader is heard here"
             raise RefusalError(503, code, text)
         return reply
 
@@ -245,7 +243,7 @@
         body = await self.read_body(request, FetchRules)
         found: Content | None = self.require_member().replica.rules.content(body)
         if found is None:
-            raise RefusalError(404, "no-content", f"{body.name} {body.version} is not stored on this member")
+            raise RefusalError(404, "no-content", f"{body.name} {body.version} is not here")
         return answer(found)
 
     async def command(self, request: web.Request) -> web.Response:
@@ -308,7 +306,7 @@
     async def put_operation(self, request: web.Request) -> web.Response:
         plan = await self.read_body(request, wire.OperationPlan)
         if plan.id != request.match_info["id"]:
-            raise RefusalError(400, "bad-request", "the plan's id differs from the one in the path")
+            raise RefusalError(400, "bad-request", "the plan's id is not the address's")
         return answer(self.supervisor.put_operation(plan, request["caller"].name))
 
     async def close_operation(self, request: web.Request) -> web.Response:
--- a/latchspoke/agent/health_checks.py
+++ b/latchspoke/agent/health_checks.py
@@ -85,12 +85,8 @@
             if answer.status != 200:
                 return f"its admin socket answers {answer.status}"
             view = json.loads(await answer.content.read(VIEW_MAX_BYTES))
-            return (
-                view
-                if isinstance(view, dict)
-                else "its admin socket answers with something other than a view"
-            )
+            return view if isinstance(view, dict) else "its admin socket answers no view"
     except TimeoutError:
-        return "its admin socket does not answer in time"
+        return "its admin socket is silent"
     except REQUEST_ERRORS as e:
-        return f"request to its admin socket failed: {type(e).__name__}"
+        return f"its admin socket can't be asked: {type(e).__name__}"
--- a/latchspoke/agent/members.py
+++ b/latchspoke/agent/members.py
@@ -206,9 +206,9 @@
         member = self.replica.member
         current = member.members
         if add and add not in self.known_identities:
-            return f"{add} has not connected to this member"
+            return f"{add} has not been heard here"
         if remove and not any(name_of(identity) == remove for identity in current.all):
-            return f"{remove} is not a member"
+            return f"{remove} is no member"
         voters = tuple(n for n in current.voters if name_of(n) != remove)
         learners = tuple(n for n in current.learners if name_of(n) != remove)
         former = tuple(sorted({*current.former, remove} - {add, ""}))
--- a/latchspoke/agent/operations.py
+++ b/latchspoke/agent/operations.py
@@ -65,7 +65,7 @@
 
 
 class Refusal(Exception):  # noqa: N818  (an outcome, not an error)
-    """The operation was not begun, or can't continue; the message is one line with the reason."""
+    """The operation was not begun, or can't go on; the message is one line with the reason."""
 
 
 def split_id(ident: str) -> tuple[str, str]:
@@ -124,7 +124,7 @@
             await asyncio.shield(
                 self.close("interrupted", "by its operator") if self.interactive else self.release_claims()
             )
-            return self.report("interrupted", f"resume with: latchspoke fleet resume {self.plan.id}")
+            return self.report("interrupted", f"go on with: latchspoke fleet resume {self.plan.id}")
         finally:
             if renewing is not None:
                 renewing.cancel()
@@ -155,7 +155,7 @@
         self.not_begun = False
 
     def refusal_prefix(self) -> str:
-        return "nothing was begun" if self.not_begun else "can't continue"
+        return "nothing was begun" if self.not_begun else "can't go on"
 
     async def claim(self, agent: str) -> None:
         client = self.fleet.clients[agent]
@@ -272,7 +272,7 @@
             if e.problem.code != "claimed" or claim is None:
                 raise
             if claim.token != self.tokens[agent][name]:
-                raise Refusal(f"another tool has claimed the instance: {e}") from None
+                raise Refusal(f"another tool has taken over: {e}") from None
             # Our claim expired while the agent was unreachable, and nobody else has claimed the instance.
             with contextlib.suppress(UnreachableError):
                 await self.claim(agent)
@@ -296,7 +296,7 @@
         }  # fmt: skip
         detail = step.detail if step is not None else ""
         if stand is StepState.RUNNING:
-            detail = f"still under way: {seen.status.state if seen else 'no status received'}"
+            detail = f"still under way: {seen.status.state if seen else 'never heard'}"
             if seen and "silent" in seen.status.state:
                 detail += f", last answered {self.clock() - seen.status.answered_at:.1f} s ago"
         return Outcome(
@@ -317,7 +317,7 @@
     }
     if not recorded:
         unreachable = [str(status) for status in answers.values() if isinstance(status, UnreachableError)]
-        suffix = f"; unreachable: {'; '.join(unreachable)}" if unreachable else ""
+        suffix = f"; not heard: {'; '.join(unreachable)}" if unreachable else ""
         raise Refusal(f"no agent has operation {ident}{suffix}")
     return next(iter(recorded.values())).plan, recorded
 
--- a/latchspoke/agent/peer_transport.py
+++ b/latchspoke/agent/peer_transport.py
@@ -129,7 +129,7 @@
                         delay = RECONNECT_DELAY_S[0]
                         await self.run_connection(reader, writer)
                     else:
-                        self.log_refusal("its certificate names another agent")
+                        self.log_refusal("its certificate is another's")
                 finally:
                     writer.close()
             except ssl.SSLError as e:
@@ -207,14 +207,14 @@
             while True:
                 size = int.from_bytes(await reader.readexactly(4), "big")
                 if size > FRAME_MAX_BYTES:
-                    raise records.RecordsError(f"frame of {size} bytes exceeds the limit")
+                    raise records.RecordsError(f"a frame of {size} bytes")
                 frame = DECODER.decode(await reader.readexactly(size))
                 if isinstance(frame, Hello):
                     name = frame.name
                     if not certificate_matches(writer, name):
-                        raise records.RecordsError(f"its certificate does not name agent {name}")
+                        raise records.RecordsError(f"its certificate is not that of agent {name}")
                 if name not in self.connections:
-                    raise records.RecordsError(f"{name or 'unnamed peer'} is not a configured member")
+                    raise records.RecordsError(f"{name or 'one without a name'} is no member here")
                 self.on_frame(name, frame)
         except (records.RecordsError, msgspec.MsgspecError) as e:
             log.warning("refused", member=name, error=str(e))
--- a/latchspoke/agent/process.py
+++ b/latchspoke/agent/process.py
@@ -138,7 +138,7 @@
         self.wrappers.add(wrapper)
         pid = await wait_number(folder / "pid", PID_TIMEOUT_S)
         if pid is None:
-            return "its wrapper shell wrote no PID"
+            return "its keeper told no pid"
         return Process.find(pid, self.mark(name, launch)) or await self.already_ended(name, launch)
 
     async def already_ended(self, name: str, launch: int) -> str:
--- a/latchspoke/agent/raft_store.py
+++ b/latchspoke/agent/raft_store.py
@@ -43,7 +43,7 @@
     except (sqlite3.Error, OSError) as e:
         raise RaftStoreError(f"{path} can't be used: {e}") from None
     except msgspec.MsgspecError as e:
-        raise RaftStoreError(f"{path} holds data that can't be decoded: {e}") from None
+        raise RaftStoreError(f"{path} holds what can't be read: {e}") from None
 
 
 class RaftStore:
--- a/latchspoke/agent/store.py
+++ b/latchspoke/agent/store.py
@@ -50,7 +50,7 @@
     except sqlite3.Error as e:
         raise StoreError(f"the store can't be used: {e}") from e
     except msgspec.MsgspecError as e:
-        raise StoreError(f"the store holds data that can't be decoded: {e}") from e
+        raise StoreError(f"the store holds what can't be read: {e}") from e
 
 
 class Step(msgspec.Struct, frozen=True):
--- a/latchspoke/agent/tls.py
+++ b/latchspoke/agent/tls.py
@@ -95,7 +95,7 @@
             try:
                 if self.identity.reload_if_changed():
                     ends = self.identity.certificate_info.not_after
-                    self.supervisor.record("certificate", detail=f"renewed, valid until {ends:%Y-%m-%d}")
+                    self.supervisor.record("certificate", detail=f"renewed, good until {ends:%Y-%m-%d}")
                     self.supervisor.certificate_until = self.certificate_until
             except KeysError as e:
                 log.warning("certificate", error=str(e))
--- a/latchspoke/consensus/member.py
+++ b/latchspoke/consensus/member.py
@@ -62,7 +62,7 @@
     """Only the leader can do this; ``leader`` is its identity, or '' if unknown."""
 
     def __init__(self, leader: str) -> None:
-        super().__init__(f"not the leader; the leader is {leader or 'unknown'}")
+        super().__init__(f"the leader is {leader or 'not known'}")
         self.leader = leader
 
 
@@ -213,13 +213,13 @@
         """Starts a configuration change of at most one voter. Raises NotLeaderError, ChangeError."""
         self.require_leader()
         if not self.committed_in_term:
-            raise ChangeError("this leader has not committed an entry of its term yet")
+            raise ChangeError("this leader has not yet committed an entry of its term")
         if self.log.members_index() > self.commit_index:
-            raise ChangeError("another configuration change is under way")
+            raise ChangeError("a change of the members is under way")
         if len(set(members.voters) ^ set(self.members.voters)) > 1:
-            raise ChangeError("only one voter can be added or removed at a time")
+            raise ChangeError("one voter can be added or removed at a time")
         if not members.voters:
-            raise ChangeError("the configuration needs at least one voter")
+            raise ChangeError("nobody would be left to vote")
         index = self.log.last_index + 1
         entry = members_entry(index, self.term, members)
         self.append_entry(entry, now)
@@ -479,7 +479,7 @@
         if message.latest > self.boot:
             self.role, self.leader = Role.HALTED, ""
             self.record_event(
-                "old-disk", f"boot {self.boot}; {message.source} has seen boot {message.latest}"
+                "old-disk", f"start {self.boot}; {message.source} has heard of start {message.latest}"
             )
             return
         self.boot_confirmed_by.add(message.source)
--- a/latchspoke/consensus/state_machines.py
+++ b/latchspoke/consensus/state_machines.py
@@ -72,7 +72,7 @@
         machine = self.machines.get(command.machine)
         if machine is None:
             self.has_unknown_machine = True
-            return entry.index, f"this member has no state machine {command.machine}"
+            return entry.index, f"this member knows nothing of {command.machine}"
         if command.command_id in self.completed:
             return self.completed[command.command_id]
         result = entry.index, machine.apply(entry.index, command.body)
@@ -96,7 +96,7 @@
         try:
             states: dict[str, bytes] = msgspec.msgpack.decode(body, type=dict[str, bytes]) if body else {}
         except msgspec.MsgspecError as e:
-            raise RecordsError(f"cannot decode the snapshot up to index {index}: {e}") from None
+            raise RecordsError(f"the snapshot up to {index} can't be read: {e}") from None
         completed = states.pop(COMPLETED_KEY, b"")
         self.completed = msgspec.msgpack.decode(completed, type=dict[str, CommandResult]) if completed else {}
         for name, machine in self.machines.items():
--- a/latchspoke/ctl/app.py
+++ b/latchspoke/ctl/app.py
@@ -509,7 +509,7 @@
     if on_current:
         data = with_next_version(data, current_version(where))
     doc = value_or_fail(file_checks.configuration(data))
-    return submit_command(where, "configuration.replace", data, f"version {doc['version']} is current")
+    return submit_command(where, "configuration.replace", data, f"version {doc['version']} is in force")
 
 
 @config_app.command(name="modify")
@@ -524,7 +524,7 @@
     patch = value_or_fail(file_checks.parse_patch(data))
     if patch.get("baseVersion") == doc["version"]:
         value_or_fail(file_checks.apply_and_check(doc, data))
-    return submit_command(where, "configuration.modify", data, f"version {patch['version']} is current")
+    return submit_command(where, "configuration.modify", data, f"version {patch['version']} is in force")
 
 
 def current_version(options: ControlPlaneOptions) -> str:
--- a/latchspoke/duties/machine.py
+++ b/latchspoke/duties/machine.py
@@ -53,9 +53,9 @@
             case Grant(_, holder, after, ended):
                 return f"{holder} by token {state.token}" + (f", {after} ended" if ended and after else "")
             case Release(_, token, _):
-                return f"token {token} of {state.tenure.holder if state.tenure else 'no holder'}"
+                return f"token {token} of {state.tenure.holder if state.tenure else 'nobody'}"
             case Move(_, to):
-                return f"to {to or 'any other candidate'}"
+                return f"to {to or 'anybody else'}"
             case Define(_, rule):
                 return f"grants of {rule.length:g} s"
             case Remove():
--- a/latchspoke/fleet/lifecycle.py
+++ b/latchspoke/fleet/lifecycle.py
@@ -53,7 +53,7 @@
     """Timeouts and restart limits of an instance.
 
     ``drain_timeout_s`` is the longest request deadline. SIGKILL is sent no earlier than that plus
-    ``kill_margin_s`` after SIGTERM. ``max_crashes`` counts consecutive failures; the count is reset once a
+    ``kill_margin_s`` after SIGTERM. ``max_crashes`` counts ends in a row; the count is reset once a
     process has been up for ``settle_time_s``.
     """
 
@@ -288,7 +288,7 @@
     )  # fmt: skip
     # Without a process yet, SIGTERM is sent as soon as it has been started.
     return draining, [Signal.TERM, RecordEvent("draining")] if instance.pid else [
-        RecordEvent("draining", "no process yet")
+        RecordEvent("draining", "not up yet")
     ]
 
 
@@ -320,7 +320,7 @@
 
 def classify_exit(instance: Instance, status: int | None) -> tuple[ExitReason, str]:
     """Derives the exit reason from the phase, whether it was ever ready, and the exit status."""
-    detail = "exit status unknown" if status is None else f"code {status}"
+    detail = "nothing says how" if status is None else f"code {status}"
     if status is not None and status > 128:
         detail = f"signal {status - 128}"
     if instance.phase is Phase.KILLING:
@@ -351,12 +351,12 @@
     if crashes >= limits.max_crashes:
         return replace(exited, phase=Phase.FAILED, crashes=crashes), [
             *events,
-            RecordEvent("gave-up", f"{crashes} consecutive failures"),
+            RecordEvent("gave-up", f"{crashes} ends in a row"),
         ]
     backoff = min(limits.min_backoff_s * 2.0 ** (crashes - 1), limits.max_backoff_s)
     backoff *= 1 + limits.jitter_fraction * (2 * jitter_sample - 1)
     waiting = replace(exited, phase=Phase.WAITING, crashes=crashes, retry_at=now + backoff)
-    return waiting, [*events, RecordEvent("waiting", f"{backoff:.2f} s until the next start")]
+    return waiting, [*events, RecordEvent("waiting", f"{backoff:.2f} s before the next try")]
 
 
 def tick(instance: Instance, now: float, limits: Limits) -> Transition:
@@ -366,14 +366,14 @@
     if instance.phase is Phase.DRAINING and instance.pid and now >= instance.kill_at:
         killing = replace(instance, phase=Phase.KILLING, since=now)
         elapsed = now - instance.terminated_at
-        return killing, [Signal.KILL, RecordEvent("killing", f"{elapsed:.1f} s after SIGTERM still running")]
+        return killing, [Signal.KILL, RecordEvent("killing", f"{elapsed:.1f} s after SIGTERM it still ran")]
     if (
         instance.phase is Phase.STARTING
         and instance.pid
         and now - instance.spawned_at > limits.start_timeout_s
     ):
         return replace(instance, phase=Phase.SILENT, since=now), [
-            RecordEvent("silent", "not ready within the start timeout")
+            RecordEvent("silent", "not ready in its time")
         ]
     if instance.phase in (Phase.READY, Phase.UNREADY) and instance.silent_for(now) > limits.silence_timeout_s:
         return replace(instance, phase=Phase.SILENT, since=now), [RecordEvent("silent")]
--- a/latchspoke/fleet/rollout.py
+++ b/latchspoke/fleet/rollout.py
@@ -91,7 +91,7 @@
         if step.state is StepState.UNKNOWN and now - step.since >= plan.step_limit
     ]
     if unknown:
-        return Stop(f"step state unknown: {describe_steps(unknown, steps)}")
+        return Stop(f"nothing is known of {describe_steps(unknown, steps)}")
     for wave_index, wave in enumerate(plan.waves):
         pending = [name for name in wave if steps.get(name, NOT_STARTED).state is StepState.PENDING]
         running = [
--- a/latchspoke/fleet/steps.py
+++ b/latchspoke/fleet/steps.py
@@ -54,7 +54,7 @@
     if instance.phase in (Phase.WAITING, Phase.FAILED):
         return StepOutcome("failed", f"{instance.end.value}: {instance.end_detail}")
     if instance.phase is Phase.STOPPED:
-        return StepOutcome("failed", "was stopped by another request")
+        return StepOutcome("failed", "was stopped meanwhile")
     return IN_PROGRESS
 
 
@@ -68,7 +68,7 @@
         return StepOutcome("failed", f"{instance.end.value}: {instance.end_detail}")
     if instance.phase in (Phase.DRAINING, Phase.KILLING):
         return IN_PROGRESS
-    return StepOutcome("failed", f"is {instance.phase.value}: changed by another request")
+    return StepOutcome("failed", f"is {instance.phase.value}: something else acted on it")
 
 
 def restart_outcome(base: Instance, instance: Instance) -> StepOutcome:
@@ -76,11 +76,11 @@
     if instance.phase is Phase.READY and instance.launch > base.launch:
         if base.alive and instance.end is not ExitReason.CLEAN:
             return StepOutcome(
-                "failed", f"running again, but the drain ended {instance.end.value}: {instance.end_detail}"
+                "failed", f"up again, but its drain ended {instance.end.value}: {instance.end_detail}"
             )
         return StepOutcome("done", f"ready as launch {instance.launch}")
     if instance.phase in (Phase.WAITING, Phase.FAILED):
         return StepOutcome("failed", f"{instance.end.value}: {instance.end_detail}")
     if instance.phase is Phase.STOPPED:
-        return StepOutcome("failed", "was stopped by another request")
+        return StepOutcome("failed", "was stopped meanwhile")
     return IN_PROGRESS
