--- a/latchspoke/console/replay.py
+++ b/latchspoke/console/replay.py
@@ -45,7 +45,7 @@
 from latchspoke.lab.load import Arrival, Replayed
 from latchspoke.lab.loopback.player import Part, PlayError, Work, play_all
 from latchspoke.lab.outcome import Outcomes
-from latchspoke.traffic.trace import Reader, TraceError, between
+from latchspoke.traffic.trace import Reader, TraceError, requests_between
 
 
 def main(argv: list[str]) -> int:
@@ -93,13 +93,13 @@
 
 def arrivals(path: str, options: dict[str, Any], start: float, end: float) -> Iterator[Arrival]:
     """Made anew in each process of the player."""
-    yield from Replayed(**options).arrivals(between(Reader(path), start, end))
+    yield from Replayed(**options).arrivals(requests_between(Reader(path), start, end))
 
 
 def run(args: dict[str, Any]) -> int:
     path, start = args["TRACE"], read_duration(args, "--from", 0.0)
     end = read_duration(args, "--until", float("inf"))
-    recorded = list(dict.fromkeys(r.gateway for r in between(Reader(path), start, end)))
+    recorded = list(dict.fromkeys(r.gateway for r in requests_between(Reader(path), start, end)))
     addresses, numbers = read_gateways(args["--to"], recorded)
     options = {
         "gateways": numbers, "speed": number(args, "--speed"), "scale": number(args, "--scale"),
--- a/latchspoke/console/trace.py
+++ b/latchspoke/console/trace.py
@@ -48,7 +48,7 @@
 from latchspoke.console import tables
 from latchspoke.console.usage import UsageError, read_duration, read_usage, read_whole
 from latchspoke.records import RecordError
-from latchspoke.traffic.importing import Import, SourceFile, Told
+from latchspoke.traffic.importer import ImportReport, SourceFile, TraceImporter
 from latchspoke.traffic.mapping import read_mapping
 from latchspoke.traffic.readers.accesslog import FormatError
 from latchspoke.traffic.trace import (
@@ -60,7 +60,7 @@
     Request,
     TraceError,
     Writer,
-    between,
+    requests_between,
 )
 
 SUFFIXES = {".har": "har", ".json": "json", ".jsonl": "json", ".ndjson": "json"}
@@ -129,7 +129,7 @@
 
 
 def run_import(args: dict[str, Any]) -> int:
-    work = Import(
+    work = TraceImporter(
         sources(args),
         read_mapping(args["--map"]),
         read_whole(args, "--seed"),
@@ -146,11 +146,11 @@
     return 0
 
 
-def tell_import(args: dict[str, Any], told: Told) -> None:
+def tell_import(args: dict[str, Any], told: ImportReport) -> None:
     footer = told.footer
     assert footer is not None
     if args["--json"]:
-        value = {"footer": footer, "skipped": told.shown, "steps": told.steps}
+        value = {"footer": footer, "skipped": told.examples, "steps": told.clock_steps}
         print(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
         return
     print(
@@ -160,14 +160,14 @@
     for text, count in (
         ("without a time, placed between their neighbours", footer.estimated),
         ("of a coarse time, drawn within it", footer.spread),
-        (f"steps back of a clock ({', '.join(told.steps)})", footer.steps),
+        (f"steps back of a clock ({', '.join(told.clock_steps)})", footer.steps),
         ("names whose keys collided, and were told apart", footer.collisions),
     ):
         if count:
             print(f"  {count} {text}")
     for reason, count in sorted(footer.skipped.items(), key=lambda item: -item[1]):
         print(f"  {count} not taken: {reason}")
-        for line in told.shown.get(reason, ()):
+        for line in told.examples.get(reason, ()):
             print(f"      {line}")
 
 
@@ -188,8 +188,8 @@
     def add(self, request: Request) -> None:
         self.first_at = self.first_at if self.requests else request.at
         self.requests, self.last_at = self.requests + 1, request.at
-        self.firsts += request.is_first
-        self.customers[request.customer] += request.is_first
+        self.firsts += request.is_first_attempt
+        self.customers[request.customer] += request.is_first_attempt
         for name, value in (
             ("gateway", request.gateway), ("plan", request.plan or "(none)"), ("kind", request.kind),
             ("status", str(request.status or "(no answer)")), ("attempt", str(request.attempt)),
@@ -209,7 +209,9 @@
 
 
 def part(args: dict[str, Any], reader: Reader) -> Iterator[Request]:
-    return between(reader, read_duration(args, "--from", 0.0), read_duration(args, "--until", float("inf")))
+    return requests_between(
+        reader, read_duration(args, "--from", 0.0), read_duration(args, "--until", float("inf"))
+    )
 
 
 def run_show(args: dict[str, Any]) -> int:
@@ -255,7 +257,7 @@
         if request.at < last:
             raise TraceError(f"{at} comes before the one that it follows")
         last = request.at
-        if request.is_first:
+        if request.is_first_attempt:
             firsts[request.number] = request.customer
         elif firsts.get(request.first) != request.customer:
             raise TraceError(f"{at} repeats {request.first}, which is no first try of its customer")
@@ -304,5 +306,5 @@
             known[old.first] = first, attempts + 1
         writer.close()
     except BaseException:
-        writer.abandon()
+        writer.discard()
         raise
--- a/latchspoke/lab/loopback/run.py
+++ b/latchspoke/lab/loopback/run.py
@@ -22,7 +22,7 @@
 from latchspoke.lab.outcome import Outcomes
 from latchspoke.lab.ports import open_port
 from latchspoke.lab.quota import PlanFigures, QuotaJudge, Use
-from latchspoke.traffic.trace import Reader, between
+from latchspoke.traffic.trace import Reader, requests_between
 
 READY_WITHIN = 15.0  # s
 DRAIN_WITHIN = 10.0  # s
@@ -77,7 +77,7 @@
     path: str, options: dict[str, Any], start: float, end: float, plans: dict[str, PlanFigures]
 ) -> Iterator[Arrival]:
     """Arrivals of a trace; made anew in each process of the player."""
-    return inside_quotas(Replayed(**options).arrivals(between(Reader(path), start, end)), plans)
+    return inside_quotas(Replayed(**options).arrivals(requests_between(Reader(path), start, end)), plans)
 
 
 def drawn_again(experiment: Experiment, seed: int) -> Iterator[Arrival]:
--- a/latchspoke/traffic/__init__.py
+++ b/latchspoke/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded traffic: one trace format, readers for HAR files and logs, times set in order, retries found."""
+"""Recorded traffic: trace format, readers for HAR files and logs, timestamp repair, retry detection."""
--- a/latchspoke/traffic/mapping.py
+++ b/latchspoke/traffic/mapping.py
@@ -1,4 +1,4 @@
-"""Whose an entry is: a typed record (schema ``mapping``) says where customer, plan and the rest stand."""
+"""Extracts customer, plan and other attributes from recorded requests, using the ``mapping`` schema."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from latchspoke.records import load, load_text
 from latchspoke.records.load import Seconds
 from latchspoke.records.schemas import DEFINITIONS, schema_path
-from latchspoke.traffic.seen import Seen
+from latchspoke.traffic.recorded import RecordedExchange
 
-KEY_BITS = 33  # the gateways' keys are numbers below 2 to this
-KEY = re.compile(r"[0-9a-fA-F]{1,16}")
+KEY_BITS = 33  # width of the gateways' numeric customer keys
+HEX_KEY = re.compile(r"[0-9a-fA-F]{1,16}")
 
 
-class Source(msgspec.Struct, frozen=True):
-    """Where a text stands: exactly one of these is set."""
+class FieldSource(msgspec.Struct, frozen=True):
+    """Where to read a value from: exactly one field is set."""
 
     query: str = ""
     header: str = ""
@@ -30,23 +30,26 @@
 
 
 class MappingRecord(msgspec.Struct, frozen=True, rename="camel"):
-    """The whole record; see the schema."""
+    """The mapping as configured; the schema documents each field."""
 
-    customer: Source
-    plan: Source
-    kind: Source
-    gateway: Source
+    customer: FieldSource
+    plan: FieldSource
+    kind: FieldSource
+    gateway: FieldSource
     give_up: Seconds
     retries: int
-    units: Source | None = None
-    deadline: Source | None = None
-    try_id: Source | None = None
-    marked: Source | None = None
+    units: FieldSource | None = None
+    deadline: FieldSource | None = None
+    try_id: FieldSource | None = None
+    marked: FieldSource | None = None
     keep: str = ""
 
 
 def read_mapping(path: str | None) -> MappingRecord:
-    """Raises RecordError; without a file the defaults, which fit requests as gateways take them."""
+    """Read a mapping file, or return the defaults, which match requests as gateways receive them.
+
+    Raises RecordError.
+    """
     schema, definition = schema_path("mapping"), DEFINITIONS["mapping"]
     record = (
         load(path, schema=schema, definition=definition)
@@ -57,61 +60,64 @@
 
 
 @lru_cache(32768)
-def split(url: str) -> tuple[str, str, MappingOf[str, str]]:
-    """Path, path with query, and the query's parts. The same customers come again and again."""
+def split_url(url: str) -> tuple[str, str, MappingOf[str, str]]:
+    """Return the path, the path with the query, and the query parameters. Cached: targets repeat."""
     parts = urlsplit(url)
-    whole = f"{parts.path}?{parts.query}" if parts.query else parts.path or "/"
-    return parts.path, whole, dict(parse_qsl(parts.query, keep_blank_values=True))
+    target = f"{parts.path}?{parts.query}" if parts.query else parts.path or "/"
+    return parts.path, target, dict(parse_qsl(parts.query, keep_blank_values=True))
 
 
-class Lookup:
-    """Reads texts out of entries, by a record."""
+class FieldExtractor:
+    """Extracts request attributes from recorded exchanges according to a mapping."""
 
     def __init__(self, record: MappingRecord, gateway: str) -> None:
         self.record, self.gateway = record, gateway
-        self.keep = re.compile(record.keep) if record.keep else None
+        self.keep_pattern = re.compile(record.keep) if record.keep else None
 
-    def text(self, source: Source | None, seen: Seen, query: MappingOf[str, str], path: str) -> str:
+    def value_of(
+        self, source: FieldSource | None, exchange: RecordedExchange, query: MappingOf[str, str], path: str
+    ) -> str:
         if source is None:
             return ""
         if source.query:
             return query.get(source.query, "")
         if source.header:
-            return seen.headers.get(source.header.lower(), "")
+            return exchange.headers.get(source.header.lower(), "")
         if source.field:
-            value = seen.fields.get(source.field)
+            value = exchange.fields.get(source.field)
             return "" if value is None else str(value)
         if source.path is not None:
             parts = path.strip("/").split("/")
             return parts[source.path] if source.path < len(parts) else ""
         return source.constant
 
-    def read(self, seen: Seen) -> Named | str:
-        """Whose it is; or the reason why it can't be said, in few words."""
-        path, url, query = split(seen.url)
-        if self.keep is not None and not self.keep.search(url):
+    def extract(self, exchange: RecordedExchange) -> RequestAttributes | str:
+        """Return the request's attributes, or the reason for skipping the entry."""
+        path, url, query = split_url(exchange.url)
+        if self.keep_pattern is not None and not self.keep_pattern.search(url):
             return "not wanted"
         record = self.record
 
-        def told(source: Source | None) -> str:
-            return self.text(source, seen, query, path)
+        def value_of(source: FieldSource | None) -> str:
+            return self.value_of(source, exchange, query, path)
 
-        customer = told(record.customer)
+        customer = value_of(record.customer)
         if not customer:
             return "no customer"
         try:
-            units = float(told(record.units) or 1.0)
-            deadline = float(told(record.deadline) or record.give_up)
+            units = float(value_of(record.units) or 1.0)
+            deadline = float(value_of(record.deadline) or record.give_up)
         except ValueError:
             return "units or deadline is no number"
-        return Named(
-            customer, told(record.plan), told(record.kind), url, told(record.gateway) or self.gateway, units,
-            deadline, told(record.try_id), told(record.marked) not in ("", "0", "-"),
+        return RequestAttributes(
+            customer, value_of(record.plan), value_of(record.kind), url,
+            value_of(record.gateway) or self.gateway, units, deadline, value_of(record.try_id),
+            value_of(record.marked) not in ("", "0", "-"),
         )  # fmt: skip
 
 
-class Named(msgspec.Struct, frozen=True):
-    """An entry's texts."""
+class RequestAttributes(msgspec.Struct, frozen=True):
+    """Attributes of a recorded request that the mapping selects."""
 
     customer: str
     plan: str
@@ -124,35 +130,35 @@
     marked: bool
 
 
-class Keys:
-    """Customers' names to gateways' keys. A name that is a key stays it; others are hashed.
+class CustomerKeys:
+    """Maps customer names to numeric keys. A hexadecimal key is kept; other names are hashed.
 
-    Two names never share a key: where hashes collide, the later name takes the next hash, and the
+    Keys are unique: on a hash collision the later name is hashed again with the next salt, and the
     collision is counted. Memory grows with the number of customers.
     """
 
     def __init__(self) -> None:
         self.by_name: dict[str, int] = {}
-        self.taken: set[int] = set()
+        self.assigned: set[int] = set()
         self.collisions = 0
 
-    def key(self, name: str) -> int:
-        known = self.by_name.get(name)
-        if known is not None:
-            return known
-        key = int(name, 16) if KEY.fullmatch(name) else 1 << KEY_BITS
-        if key >= 1 << KEY_BITS or key in self.taken:
-            key = self.hashed(name)
+    def key_for(self, name: str) -> int:
+        existing = self.by_name.get(name)
+        if existing is not None:
+            return existing
+        key = int(name, 16) if HEX_KEY.fullmatch(name) else 1 << KEY_BITS
+        if key >= 1 << KEY_BITS or key in self.assigned:
+            key = self.unused_hash(name)
         self.by_name[name] = key
-        self.taken.add(key)
+        self.assigned.add(key)
         return key
 
-    def hashed(self, name: str) -> int:
+    def unused_hash(self, name: str) -> int:
         salt = 0
-        while (key := self.hash(name, salt)) in self.taken:
+        while (key := self.hash_name(name, salt)) in self.assigned:
             self.collisions += 1
             salt += 1
         return key
 
-    def hash(self, name: str, salt: int) -> int:
+    def hash_name(self, name: str, salt: int) -> int:
         return xxhash.xxh3_64_intdigest(name.encode(), salt) >> (64 - KEY_BITS)
--- a/latchspoke/traffic/readers/__init__.py
+++ b/latchspoke/traffic/readers/__init__.py
@@ -1,4 +1,7 @@
-"""One module a format; each gives ``Seen`` entries and ``Skipped`` ones in the file's order."""
+"""Readers of recorded traffic, one module for each format.
+
+Each yields ``RecordedExchange`` and ``SkippedEntry`` objects in file order.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +13,14 @@
 
 import zstandard
 
-from latchspoke.traffic.seen import Seen, Skipped
+from latchspoke.traffic.recorded import RecordedExchange, SkippedEntry
 
-Entries = Iterator[Seen | Skipped]
-LINE_MOST = 256 * 1024  # bytes; a longer line is skipped, and never held whole
+Entries = Iterator[RecordedExchange | SkippedEntry]
+MAX_LINE_BYTES = 256 * 1024  # longer lines are skipped without buffering them
 
 
-def open_file(path: str | Path) -> BinaryIO:
-    """Plain, gzip or zstandard, told apart by the first bytes; ``-`` is not read."""
+def open_decompressed(path: str | Path) -> BinaryIO:
+    """Open a plain, gzip or zstandard file, detected by its first bytes."""
     file = open(path, "rb")  # noqa: SIM115  (the caller closes it)
     magic = file.peek(4)[:4]
     if magic.startswith(b"\x1f\x8b"):
@@ -27,19 +30,19 @@
     return file
 
 
-def lines(path: str | Path) -> Iterator[tuple[int, bytes | None]]:
-    """Numbered lines without their ends; None for one that is longer than any log's.
+def numbered_lines(path: str | Path) -> Iterator[tuple[int, bytes | None]]:
+    """Yield numbered lines without line ends; None for a line above ``MAX_LINE_BYTES``.
 
-    The last line comes too if nothing ends it; whether it is whole, its reader must judge.
+    A last line without a line end is yielded too; the caller decides whether it is complete.
     """
-    with open_file(path) as file:
-        number, whole = 0, True
-        while data := file.readline(LINE_MOST):
+    with open_decompressed(path) as file:
+        number, at_line_start = 0, True
+        while data := file.readline(MAX_LINE_BYTES):
             ended = data.endswith(b"\n")
-            if whole:
+            if at_line_start:
                 number += 1
-                if len(data) < LINE_MOST or ended:
+                if len(data) < MAX_LINE_BYTES or ended:
                     yield number, data.rstrip(b"\r\n")
                 else:
                     yield number, None
-            whole = ended or len(data) < LINE_MOST
+            at_line_start = ended or len(data) < MAX_LINE_BYTES
--- a/latchspoke/traffic/readers/har.py
+++ b/latchspoke/traffic/readers/har.py
@@ -1,7 +1,7 @@
-"""HAR 1.2 captures: the entries that a browser or proxy recorded, aborted ones with them.
+"""Reader of HAR 1.2 captures, including aborted requests.
 
-Only the fields that count are decoded; the rest of the file is passed over. A capture is one JSON object,
-so it is read whole, and is bounded for that reason.
+Only the fields in use are decoded. A capture is a single JSON object and is read into memory, so its size
+is limited.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 import msgspec
 
 from latchspoke.traffic.readers import Entries
-from latchspoke.traffic.seen import Seen, Skipped, skipped
+from latchspoke.traffic.recorded import RecordedExchange, SkippedEntry, skip_entry
 
-FILE_MOST = 1024 * 1024 * 1024  # bytes
+MAX_CAPTURE_BYTES = 1024 * 1024 * 1024
 SKIPPED_SCHEMES = ("data:", "blob:", "chrome", "ws:", "wss:", "about:")
 
 
-class Pair(msgspec.Struct):
+class HarHeader(msgspec.Struct):
     name: str = ""
     value: str = ""
 
@@ -26,7 +26,7 @@
 class HarRequest(msgspec.Struct, rename={"body_size": "bodySize"}):
     method: str
     url: str
-    headers: list[Pair] = []
+    headers: list[HarHeader] = []
     body_size: float = 0
 
 
@@ -34,7 +34,7 @@
     status: int = 0
 
 
-class Timings(msgspec.Struct):
+class HarTimings(msgspec.Struct):
     """Milliseconds; -1 where a phase does not apply."""
 
     blocked: float | None = -1
@@ -50,55 +50,55 @@
     started: str = ""
     time: float | None = -1
     response: HarResponse | None = None
-    timings: Timings | None = None
+    timings: HarTimings | None = None
     server: str = ""
     connection: str = ""
 
 
-class Log(msgspec.Struct):
+class HarLog(msgspec.Struct):
     entries: list[msgspec.Raw]
     version: str = ""
 
 
 class Har(msgspec.Struct):
-    log: Log
+    log: HarLog
 
 
 def read_har(path: str | Path) -> Entries:
-    """Entries by number; their order in the file need not be that of their times."""
+    """Read the entries in file order, which need not be that of their times."""
     size = Path(path).stat().st_size
-    if size > FILE_MOST:
-        yield skipped(0, "capture too large", f"{size} bytes")
+    if size > MAX_CAPTURE_BYTES:
+        yield skip_entry(0, "capture too large", f"{size} bytes")
         return
     try:
         raw: list[msgspec.Raw] = msgspec.json.decode(Path(path).read_bytes(), type=Har).log.entries
     except msgspec.MsgspecError as e:
-        yield skipped(0, "no HAR capture", e)
+        yield skip_entry(0, "no HAR capture", e)
         return
     for number, entry in enumerate(raw, 1):
         yield read_entry(number, entry)
 
 
-def read_entry(number: int, raw: msgspec.Raw) -> Seen | Skipped:
+def read_entry(number: int, raw: msgspec.Raw) -> RecordedExchange | SkippedEntry:
     try:
         entry: HarEntry = msgspec.json.decode(raw, type=HarEntry)
     except msgspec.MsgspecError as e:
-        return skipped(number, "entry can't be read", e)
+        return skip_entry(number, "entry can't be read", e)
     request = entry.request
     if request.url.startswith(SKIPPED_SCHEMES):
-        return skipped(number, "no HTTP request", request.url)
-    headers = {pair.name.lower(): pair.value for pair in request.headers}
+        return skip_entry(number, "no HTTP request", request.url)
+    headers = {header.name.lower(): header.value for header in request.headers}
     status = entry.response.status if entry.response is not None else 0
-    # An aborted entry has status 0 or less, or no response; how long it lasted may still be known.
-    return Seen(
-        number, read_time(entry.started), request.method.upper(), request.url, max(status, 0),
+    # An aborted request has a status of 0 or less, or no response; its duration may be recorded.
+    return RecordedExchange(
+        number, parse_time(entry.started), request.method.upper(), request.url, max(status, 0),
         duration(entry), False, headers,
         {"server": entry.server, "connection": entry.connection}, max(int(request.body_size), 0),
     )  # fmt: skip
 
 
-def read_time(text: str) -> float | None:
-    """ISO 8601 with its zone; without one it can't be told, and is no time."""
+def parse_time(text: str) -> float | None:
+    """Parse an ISO 8601 time; None without a time zone."""
     try:
         moment = datetime.fromisoformat(text)
     except ValueError:
@@ -107,11 +107,11 @@
 
 
 def duration(entry: HarEntry) -> float | None:
-    """Seconds, from ``time`` or else from the phases."""
+    """Return the duration in seconds, from ``time`` or else the sum of the phases."""
     if entry.time is not None and entry.time >= 0:
         return entry.time / 1000
     timings = entry.timings
     if timings is None:
         return None
-    known = [phase for phase in msgspec.structs.astuple(timings) if phase is not None and phase >= 0]
-    return sum(known) / 1000 if known else None
+    phases = [phase for phase in msgspec.structs.astuple(timings) if phase is not None and phase >= 0]
+    return sum(phases) / 1000 if phases else None
--- a/latchspoke/traffic/readers/jsonlines.py
+++ b/latchspoke/traffic/readers/jsonlines.py
@@ -1,4 +1,4 @@
-"""Logs of one JSON object a line. Which names stand for what is told by a typed record, or by custom."""
+"""Reader of logs with one JSON object per line, under the field names in common use."""
 
 from __future__ import annotations
 
@@ -8,66 +8,67 @@
 
 import msgspec
 
-from latchspoke.traffic.readers import Entries, lines
-from latchspoke.traffic.seen import Seen, Skipped, skipped
+from latchspoke.traffic.readers import Entries, numbered_lines
+from latchspoke.traffic.recorded import RecordedExchange, SkippedEntry, skip_entry
 
-# Names in use, the first that is there counts; units of durations by their names.
-TIMES = ("time", "timestamp", "ts", "@timestamp", "at", "time_iso8601", "msec")
-METHODS = ("method", "request_method", "verb")
-URLS = ("url", "uri", "request_uri", "path", "target")
-STATUSES = ("status", "status_code", "code")
-DURATIONS = {
+# Accepted field names; the first one present is used. Durations map a name to its unit in seconds.
+TIME_NAMES = ("time", "timestamp", "ts", "@timestamp", "at", "time_iso8601", "msec")
+METHOD_NAMES = ("method", "request_method", "verb")
+URL_NAMES = ("url", "uri", "request_uri", "path", "target")
+STATUS_NAMES = ("status", "status_code", "code")
+DURATION_UNITS_S = {
     "duration": 1.0, "took": 1.0, "request_time": 1.0, "duration_s": 1.0, "duration_ms": 1e-3,
     "latency_ms": 1e-3, "duration_us": 1e-6,
 }  # fmt: skip
-HEADERS = ("headers", "request_headers")
+HEADER_NAMES = ("headers", "request_headers")
 
 
 def read_json_lines(path: str | Path) -> Entries:
-    for number, data in lines(path):
+    for number, data in numbered_lines(path):
         if data is None:
-            yield skipped(number, "line too long")
+            yield skip_entry(number, "line too long")
         elif not data.strip():
-            yield skipped(number, "empty line")
+            yield skip_entry(number, "empty line")
         else:
             yield read_object(number, data)
 
 
-def read_object(number: int, data: bytes) -> Seen | Skipped:
+def read_object(number: int, data: bytes) -> RecordedExchange | SkippedEntry:
     try:
-        told: dict[str, Any] = msgspec.json.decode(data, type=dict[str, Any])
+        record: dict[str, Any] = msgspec.json.decode(data, type=dict[str, Any])
     except msgspec.MsgspecError as e:
-        return skipped(number, "line is no JSON object", e)
-    url = first(told, URLS)
+        return skip_entry(number, "line is no JSON object", e)
+    url = first_present(record, URL_NAMES)
     if not isinstance(url, str) or not url:
-        return skipped(number, "no request", data[:100].decode(errors="replace"))
-    status = first(told, STATUSES)
+        return skip_entry(number, "no request", data[:100].decode(errors="replace"))
+    status = first_present(record, STATUS_NAMES)
     try:
-        code = int(status) if status not in (None, "") else 0
-        took = duration(told)
+        status_code = int(status) if status not in (None, "") else 0
+        duration_s = duration(record)
     except (TypeError, ValueError):
-        return skipped(number, "value out of range", data[:100].decode(errors="replace"))
-    headers = first(told, HEADERS)
+        return skip_entry(number, "value out of range", data[:100].decode(errors="replace"))
+    headers = first_present(record, HEADER_NAMES)
     pairs = headers.items() if isinstance(headers, dict) else ()
-    return Seen(
-        number, read_moment(first(told, TIMES)), str(first(told, METHODS) or "GET").upper(), url,
-        max(code, 0), took, bool(told.get("ends")), {str(k).lower(): str(v) for k, v in pairs}, told,
+    return RecordedExchange(
+        number, parse_time(first_present(record, TIME_NAMES)),
+        str(first_present(record, METHOD_NAMES) or "GET").upper(), url, max(status_code, 0), duration_s,
+        bool(record.get("ends")), {str(k).lower(): str(v) for k, v in pairs}, record,
     )  # fmt: skip
 
 
-def first(told: dict[str, Any], names: tuple[str, ...]) -> Any:
-    return next((told[name] for name in names if name in told), None)
+def first_present(record: dict[str, Any], names: tuple[str, ...]) -> Any:
+    return next((record[name] for name in names if name in record), None)
 
 
-def duration(told: dict[str, Any]) -> float | None:
-    for name, unit in DURATIONS.items():
-        if told.get(name) is not None:
-            return float(told[name]) * unit
+def duration(record: dict[str, Any]) -> float | None:
+    for name, unit in DURATION_UNITS_S.items():
+        if record.get(name) is not None:
+            return float(record[name]) * unit
     return None
 
 
-def read_moment(value: Any) -> float | None:
-    """Unix time in s, ms, µs or ns, told apart by size, or ISO 8601 with its zone."""
+def parse_time(value: Any) -> float | None:
+    """Parse a Unix time in s, ms, µs or ns (chosen by magnitude) or an ISO 8601 time with a time zone."""
     if isinstance(value, bool) or value is None:
         return None
     if isinstance(value, str):
@@ -75,12 +76,12 @@
             moment = datetime.fromisoformat(value)
         except ValueError:
             try:
-                return read_moment(float(value))
+                return parse_time(float(value))
             except ValueError:
                 return None
         return moment.timestamp() if moment.tzinfo is not None else None
     number = float(value)
-    for unit, above in ((1e-9, 1e17), (1e-6, 1e14), (1e-3, 1e11)):
-        if number > above:
+    for unit, threshold in ((1e-9, 1e17), (1e-6, 1e14), (1e-3, 1e11)):
+        if number > threshold:
             return number * unit
     return number if number > 0 else None
--- a/latchspoke/traffic/retries.py
+++ b/latchspoke/traffic/retries.py
@@ -1,13 +1,11 @@
-"""What belongs to one first try. Pure and streaming: memory holds what may still be repeated.
+"""Detects retries in a stream of requests. Memory holds only requests that can still be retried.
 
-An entry repeats an earlier one of the same customer, method, path and query if
+A request is a retry of an earlier one of the same customer if the retry limit is not reached and
 
-- both carry the same try id, where the source has such an id; or
-- the client marked it as a retry; or
-- the earlier one failed, was refused or broke off, and had ended before this one began;
-
-and if it came within the class's give-up time after the earlier one ended (or began, where no end is
-known), and the try has not had all its attempts.
+- both carry the same try ID, where the source has such IDs; or
+- method, path and query are the same, it came within the give-up time after the earlier one ended (or
+  began, where the end is unknown), and either the client marked it as a retry, or the earlier one failed,
+  was rejected or aborted, and had ended before this one began. Different try IDs rule this out.
 """
 
 from __future__ import annotations
@@ -15,78 +13,82 @@
 from collections import deque
 from dataclasses import dataclass
 
-SLACK = 0.05  # s; clocks of two gateways, and rounding, may let a retry seem to begin before the end
-# Below these a client has what it asked for, or is at fault itself.
-REPEATED = (408, 425, 429)
+CLOCK_TOLERANCE_S = 0.05  # covers clock skew between gateways and rounding
+# Statuses below 500 that clients retry.
+RETRYABLE_STATUSES = (408, 425, 429)
 
 
 @dataclass(slots=True)
-class Try:
-    """A first try and what followed it, as far as seen."""
+class RetryChain:
+    """A first attempt and its retries so far; times in seconds."""
 
-    number: int
-    ended: float
-    until: float
-    status: int
-    attempts: int = 0
-    ident: str = ""
+    first_number: int
+    ended_at: float
+    retry_until: float
+    last_status: int
+    retries: int = 0
+    try_id: str = ""
 
 
-def bad(status: int) -> bool:
-    """Whether a client repeats after this: no answer, a failure of the other side, or a refusal."""
-    return status == 0 or status >= 500 or status in REPEATED
+def is_retryable(status: int) -> bool:
+    """Whether clients retry after this status: no response, a server error or a rejection."""
+    return status == 0 or status >= 500 or status in RETRYABLE_STATUSES
 
 
-class Retries:
-    """Recognises retries in entries that come in order of their times."""
+class RetryDetector:
+    """Detects retries among requests that are added in order of time."""
 
-    def __init__(self, give_up: float, most: int) -> None:
-        self.give_up, self.most = give_up, most
-        self.open: dict[tuple[int, str, str], Try] = {}
-        self.idents: dict[tuple[int, str], Try] = {}
-        self.queue: deque[tuple[float, tuple[int, str, str], str]] = deque()
+    def __init__(self, give_up_s: float, max_retries: int) -> None:
+        self.give_up_s, self.max_retries = give_up_s, max_retries
+        self.by_request: dict[tuple[int, str, str], RetryChain] = {}
+        self.by_try_id: dict[tuple[int, str], RetryChain] = {}
+        self.expiry_queue: deque[tuple[float, tuple[int, str, str], str]] = deque()
 
-    def place(
+    def assign(
         self,
         number: int,
         at: float,
         key: tuple[int, str, str],
         status: int,
-        took: float | None,
-        ident: str = "",
+        duration_s: float | None,
+        try_id: str = "",
         marked: bool = False,
     ) -> tuple[int, int]:
-        """The number of the first try, and which attempt of it this is (0 for the first itself)."""
-        self.forget(at)
-        ended = at + (took if took is not None else 0.0)
-        known = self.idents.get((key[0], ident)) if ident else None
-        if known is None:
-            known = self.open.get(key)
-            if known is not None and not self.repeats(known, at, ident, marked):
-                known = None
-        if known is None or known.attempts >= self.most:
-            known = Try(number, ended, ended + self.give_up, status, 0, ident)
+        """Return the number of the first attempt, and the attempt index of this request (0 for the first)."""
+        self.expire(at)
+        ended_at = at + (duration_s if duration_s is not None else 0.0)
+        chain = self.by_try_id.get((key[0], try_id)) if try_id else None
+        if chain is None:
+            chain = self.by_request.get(key)
+            if chain is not None and not self.is_retry(chain, at, try_id, marked):
+                chain = None
+        if chain is None or chain.retries >= self.max_retries:
+            chain = RetryChain(number, ended_at, ended_at + self.give_up_s, status, 0, try_id)
         else:
-            known.attempts += 1
-            known.ended, known.status = max(known.ended, ended), status
-            known.until = max(known.until, ended + self.give_up)
-        self.open[key] = known
-        if ident:
-            self.idents[key[0], ident] = known
-        self.queue.append((at, key, ident))
-        return known.number, known.attempts
-
-    def repeats(self, known: Try, at: float, ident: str, marked: bool) -> bool:
-        if at > known.until or (ident and known.ident):
-            return False  # two ids are two tries, whatever else they share
-        return marked or (bad(known.status) and at >= known.ended - SLACK)
-
-    def forget(self, now: float) -> None:
-        """Tries that nothing can repeat any more."""
-        while self.queue and now - self.queue[0][0] > 2 * self.give_up:
-            _, key, ident = self.queue.popleft()
-            known = self.open.get(key)
-            if known is not None and known.until < now:
-                del self.open[key]
-            if ident and (by_id := self.idents.get((key[0], ident))) is not None and by_id.until < now:
-                del self.idents[key[0], ident]
+            chain.retries += 1
+            chain.ended_at, chain.last_status = max(chain.ended_at, ended_at), status
+            chain.retry_until = max(chain.retry_until, ended_at + self.give_up_s)
+        self.by_request[key] = chain
+        if try_id:
+            self.by_try_id[key[0], try_id] = chain
+        self.expiry_queue.append((at, key, try_id))
+        return chain.first_number, chain.retries
+
+    def is_retry(self, chain: RetryChain, at: float, try_id: str, marked: bool) -> bool:
+        if at > chain.retry_until or (try_id and chain.try_id):
+            return False  # different IDs are different tries
+        return marked or (is_retryable(chain.last_status) and at >= chain.ended_at - CLOCK_TOLERANCE_S)
+
+    def expire(self, now: float) -> None:
+        """Drop requests that can no longer be retried."""
+        while self.expiry_queue and now - self.expiry_queue[0][0] > 2 * self.give_up_s:
+            _, key, try_id = self.expiry_queue.popleft()
+            chain = self.by_request.get(key)
+            if chain is not None and chain.retry_until < now:
+                del self.by_request[key]
+            if (
+                try_id
+                and (chain_by_id := self.by_try_id.get((key[0], try_id))) is not None
+                and chain_by_id.retry_until < now
+            ):
+                del self.by_try_id[key[0], try_id]
--- a/latchspoke/traffic/trace.py
+++ b/latchspoke/traffic/trace.py
@@ -1,9 +1,9 @@
-"""The trace format, version 1: what arrived when, of whom, at which gateway, and how it ended.
+"""The trace format, version 1: recorded requests with arrival time, customer, gateway and outcome.
 
-A file is a line that names the format, then blocks: four bytes of length (big endian) and that many bytes
-of zstandard over msgpack. The first block is the ``Header``, the last one the ``Footer``; between them each
-holds a list of records in order of their times. A file without its footer was cut off, and is told so.
-It is read and written as a stream: memory holds one block.
+A file starts with a line that names the format. Blocks follow, each with a four-byte big-endian length and
+msgpack data compressed with zstandard. The first block is the ``Header``, the last one the ``Footer``; the
+others hold lists of requests in order of time. A file without a footer is truncated, which is an error.
+Files are streamed: memory holds one block.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 import zstandard
 
 MAGIC = b"latchspoke-trace 1\n"
-BLOCK = 4096  # records
-BLOCK_MOST = 64 * 1024 * 1024  # bytes of one block, packed or not
-LEVEL = 6
+RECORDS_PER_BLOCK = 4096
+MAX_BLOCK_BYTES = 64 * 1024 * 1024  # of one block, compressed or not
+COMPRESSION_LEVEL = 6
 
-# Flags of a record.
-ESTIMATED = 1  # its time was not recorded; it stands between its neighbours
-SPREAD = 2  # its time was recorded too coarsely, and was drawn within what was recorded
-STEPPED = 4  # the clock had stepped back before it; its time is what the clock would have shown
-MARKED = 8  # the client itself marked it as a retry
+# Flags of a request.
+ESTIMATED = 1  # time not recorded, interpolated between the neighbours
+SPREAD = 2  # time recorded too coarsely, chosen at random within the clock's resolution
+STEPPED = 4  # the clock stepped back before it; time corrected by the step
+MARKED = 8  # marked as a retry by the client
 
 
 class TraceError(Exception):
-    """A trace can't be read or written; one line says where and why."""
+    """A trace can't be read or written; the message is one line with the place and the reason."""
 
 
 class Request(msgspec.Struct, array_like=True, frozen=True):
-    """One request as it arrived. Numbers count from 1 in a trace's own order.
+    """A recorded request. Numbers count from 1 in the order of the trace.
 
-    ``at`` and ``took`` are whole microseconds, ``at`` from the trace's start; ``took`` is -1 and ``status``
-    is 0 where nothing was recorded (a break, an abort). ``first`` is the number of the try that this one
-    repeats, or its own; ``attempt`` counts from 0.
+    ``at`` and ``took`` are in whole microseconds, ``at`` from the start of the trace; ``took`` is -1 and
+    ``status`` 0 where nothing was recorded (aborted requests). ``first`` is the number of the first attempt
+    that this request retries, or its own; ``attempt`` counts from 0.
     """
 
     number: int
@@ -60,22 +60,22 @@
     body: int = 0
 
     @property
-    def is_first(self) -> bool:
+    def is_first_attempt(self) -> bool:
         return self.attempt == 0
 
 
 class Header(msgspec.Struct, frozen=True):
-    """What a trace says of itself before its first record. ``began`` is Unix time in seconds."""
+    """Metadata of a trace. ``began`` is Unix time in seconds."""
 
     began: float
     sources: list[str]
-    resolution: float = 0.0  # s; the coarsest of its sources' clocks
+    resolution: float = 0.0  # seconds; that of the coarsest source clock
     seed: int = 0
     note: str = ""
 
 
 class Footer(msgspec.Struct, frozen=True):
-    """What was counted while it was written; readers check it."""
+    """Totals of a trace; readers compare ``requests`` with what they read."""
 
     requests: int
     first_tries: int
@@ -89,24 +89,24 @@
 
 
 class Writer:
-    """Writes a trace; the file has its name only once it is whole."""
+    """Writes a trace to a temporary file that is renamed when complete."""
 
     def __init__(self, path: str | Path, header: Header) -> None:
         self.path = Path(path)
-        self.part = self.path.with_name(f".{self.path.name}.part")
+        self.temporary_path = self.path.with_name(f".{self.path.name}.part")
         try:
-            self.file: BinaryIO = open(self.part, "wb")  # noqa: SIM115  (closed in close)
+            self.file: BinaryIO = open(self.temporary_path, "wb")  # noqa: SIM115  (closed in close)
         except OSError as e:
             raise TraceError(f"can't write {self.path}: {e.strerror}") from None
-        self.packer = zstandard.ZstdCompressor(level=LEVEL)
+        self.compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
         self.encoder = msgspec.msgpack.Encoder()
         self.batch: list[Request] = []
-        self.requests = self.first_tries = self.last_at = 0
+        self.request_count = self.first_try_count = self.last_at = 0
         self.file.write(MAGIC)
-        self.block(header)
+        self.write_block(header)
 
-    def block(self, value: Any) -> None:
-        data = self.packer.compress(self.encoder.encode(value))
+    def write_block(self, value: Any) -> None:
+        data = self.compressor.compress(self.encoder.encode(value))
         try:
             self.file.write(struct.pack(">I", len(data)) + data)
         except OSError as e:
@@ -114,37 +114,37 @@
 
     def add(self, request: Request) -> None:
         if request.at < self.last_at:
-            raise TraceError(f"{self.path}: request {request.number} comes before the one that it follows")
-        self.requests, self.last_at = self.requests + 1, request.at
-        self.first_tries += request.is_first
+            raise TraceError(f"{self.path}: request {request.number} is earlier than the previous one")
+        self.request_count, self.last_at = self.request_count + 1, request.at
+        self.first_try_count += request.is_first_attempt
         self.batch.append(request)
-        if len(self.batch) >= BLOCK:
+        if len(self.batch) >= RECORDS_PER_BLOCK:
             self.flush()
 
     def flush(self) -> None:
         if self.batch:
-            self.block(self.batch)
+            self.write_block(self.batch)
             self.batch = []
 
     def close(self, **counts: Any) -> Footer:
-        """The footer, and the file gets its name."""
+        """Write the footer, sync the file and move it to its final path."""
         self.flush()
-        footer = Footer(self.requests, self.first_tries, self.last_at, **counts)
-        self.block(footer)
+        footer = Footer(self.request_count, self.first_try_count, self.last_at, **counts)
+        self.write_block(footer)
         self.file.flush()
         os.fsync(self.file.fileno())
         self.file.close()
-        self.part.rename(self.path)
+        self.temporary_path.rename(self.path)
         return footer
 
-    def abandon(self) -> None:
+    def discard(self) -> None:
         self.file.close()
         with contextlib.suppress(OSError):
-            self.part.unlink()
+            self.temporary_path.unlink()
 
 
 class Reader:
-    """Reads a trace as a stream; several readers may stand in one file at different places."""
+    """Reads a trace as a stream. Each iteration opens the file and starts at the first request."""
 
     def __init__(self, path: str | Path) -> None:
         self.path = Path(path)
@@ -153,59 +153,61 @@
         try:
             with open(self.path, "rb") as file:
                 if file.read(len(MAGIC)) != MAGIC:
-                    raise TraceError(f"{self.path} is no trace, or of another version")
-                data = self.block(file)
+                    raise TraceError(f"{self.path} is not a trace of a supported version")
+                data = self.read_block(file)
         except OSError as e:
             raise TraceError(f"can't read {self.path}: {e.strerror}") from None
         if data is None:
             raise TraceError(f"{self.path} is cut off before its header")
         self.header = self.decode(data, Header)
 
-    def block(self, file: BinaryIO) -> bytes | None:
-        """The next block unpacked; None at the file's end."""
+    def read_block(self, file: BinaryIO) -> bytes | None:
+        """Return the next block decompressed; None at the end of the file."""
         head = file.read(4)
         if not head:
             return None
-        at = file.tell()
-        size = struct.unpack(">I", head)[0] if len(head) == 4 else BLOCK_MOST + 1
-        data = file.read(size) if size <= BLOCK_MOST else b""
+        offset = file.tell()
+        size = struct.unpack(">I", head)[0] if len(head) == 4 else MAX_BLOCK_BYTES + 1
+        data = file.read(size) if size <= MAX_BLOCK_BYTES else b""
         if len(data) != size:
-            raise TraceError(f"{self.path} is cut off or spoilt at byte {at}")
+            raise TraceError(f"{self.path} is cut off or corrupt at byte {offset}")
         try:
-            return zstandard.ZstdDecompressor().decompress(data, max_output_size=BLOCK_MOST)
+            return zstandard.ZstdDecompressor().decompress(data, max_output_size=MAX_BLOCK_BYTES)
         except zstandard.ZstdError:
-            raise TraceError(f"{self.path} is spoilt at byte {at}") from None
+            raise TraceError(f"{self.path} is corrupt at byte {offset}") from None
 
-    def decode(self, data: bytes, kind: Any) -> Any:
+    def decode(self, data: bytes, record_type: Any) -> Any:
         try:
-            return msgspec.msgpack.decode(data, type=kind)
+            return msgspec.msgpack.decode(data, type=record_type)
         except msgspec.MsgspecError as e:
-            raise TraceError(f"{self.path} holds what can't be read: {e}") from None
+            raise TraceError(f"{self.path} contains invalid data: {e}") from None
 
     def __iter__(self) -> Iterator[Request]:
-        """All requests in order. At the end ``footer`` is set, or TraceError says that it is cut off."""
+        """Yield all requests in order, then set ``footer``. Raises TraceError for a truncated trace."""
         with open(self.path, "rb") as file:
             file.seek(len(MAGIC))
-            self.block(file)
-            seen = 0
-            while (data := self.block(file)) is not None:
-                # A footer is a map, a batch a list: the first byte tells them apart.
+            self.read_block(file)
+            request_count = 0
+            while (data := self.read_block(file)) is not None:
+                # In msgpack the footer is a map and a batch an array; the first byte identifies the type.
                 if data[0] & 0xF0 == 0x80 or data[0] in (0xDE, 0xDF):
                     self.footer = self.decode(data, Footer)
-                    if self.footer.requests != seen:
-                        raise TraceError(f"{self.path}: {seen} requests, its end says {self.footer.requests}")
+                    if self.footer.requests != request_count:
+                        raise TraceError(
+                            f"{self.path}: {request_count} requests, footer says {self.footer.requests}"
+                        )
                     return
                 try:
                     batch = self.decoder.decode(data)
                 except msgspec.MsgspecError as e:
-                    raise TraceError(f"{self.path} holds what can't be read: {e}") from None
-                seen += len(batch)
+                    raise TraceError(f"{self.path} contains invalid data: {e}") from None
+                request_count += len(batch)
                 yield from batch
-        raise TraceError(f"{self.path} is cut off after {seen} requests")
+        raise TraceError(f"{self.path} is cut off after {request_count} requests")
 
 
-def between(requests: Iterable[Request], start: float, end: float) -> Iterator[Request]:
-    """Those with ``start <= at < end``, in seconds of the trace."""
+def requests_between(requests: Iterable[Request], start: float, end: float) -> Iterator[Request]:
+    """Yield the requests with ``start <= at < end``, in seconds from the start of the trace."""
     for request in requests:
         if request.at >= end * 1e6:
             return
