--- a/latchspoke/records/__init__.py
+++ b/latchspoke/records/__init__.py
@@ -1,8 +1,8 @@
-"""Settings as typed records: a strict subset of CUE, read, unified, and turned into plain values.
+"""Settings as typed records in a strict subset of CUE.
 
-``load`` reads files and unifies them; ``Record.value`` is what JSON can hold; ``Record.convert`` makes
-msgspec records. Every error is a ``RecordError`` that names file, line, column, path, what stood there
-and what was wanted. ``docs/records.md`` says what of CUE is understood.
+``load`` reads and unifies files; ``Record.value`` returns JSON-compatible data; ``Record.convert`` returns
+msgspec records. Every error is a ``RecordError`` with file, line, column, path, and the found and expected
+values. ``docs/records.md`` lists the supported parts of CUE.
 """
 
 from latchspoke.records.load import Record, load, load_text
--- a/latchspoke/records/load.py
+++ b/latchspoke/records/load.py
@@ -1,4 +1,4 @@
-"""Reading files, and turning what they come to into msgspec records."""
+"""Reads record files and converts the evaluated result into msgspec records."""
 
 from __future__ import annotations
 
@@ -13,83 +13,90 @@
 from latchspoke.records.syntax import File, Position, RecordError, parse, seconds
 
 T = TypeVar("T")
-FILE_MOST = 4 * 1024 * 1024  # bytes
+MAX_FILE_BYTES = 4 * 1024 * 1024
 
 
 class Record:
-    """Files unified into one; evaluated when it is made, so that it holds no conflict."""
+    """The unification of several files. Evaluated on creation, so conflicts raise RecordError there."""
 
     def __init__(self, files: Iterable[File], definition: str = "") -> None:
         self.files = list(files)
         self.vertex = root(f.body for f in self.files)
         if definition:
-            self.vertex = self.under(definition)
+            self.vertex = self.apply_definition(definition)
         self.vertex.evaluate()
 
-    def under(self, definition: str) -> Vertex:
-        """The same, with a definition of one of the files imposed on the whole."""
+    def apply_definition(self, definition: str) -> Vertex:
+        """Return the unification of the files under a definition of the first one."""
         from latchspoke.records.evaluate import Closure, Scope
         from latchspoke.records.syntax import Reference, Struct
 
-        schema, *rest = self.files
+        schema, *other_files = self.files
         if definition not in schema.body.names():
             raise RecordError(schema.body.at, "", f"no {definition}", f"a schema that defines {definition}")
-        # The schema's names are seen by the schema alone: a settings file can't lean on, or clash with, them.
-        base = root([schema.body])
-        scope = Scope(base, schema.body, None)
-        whole = root(f.body for f in rest)
-        whole.closures.append(Closure(Reference(schema.body.at, (definition,)), scope))
-        if not rest:
-            whole.closures.append(Closure(Struct(schema.body.at, ()), scope))
-        return whole
+        # Only the schema sees its own names: settings files can't refer to them or conflict with them.
+        schema_root = root([schema.body])
+        scope = Scope(schema_root, schema.body, None)
+        record_root = root(f.body for f in other_files)
+        record_root.closures.append(Closure(Reference(schema.body.at, (definition,)), scope))
+        if not other_files:
+            record_root.closures.append(Closure(Struct(schema.body.at, ()), scope))
+        return record_root
 
     def value(self) -> Any:
-        """What JSON can hold; raises RecordError where something is not concrete."""
+        """Return JSON-compatible data; raises RecordError for a value that is not concrete."""
         return self.vertex.export()
 
-    def convert(self, kind: type[T]) -> T:
-        """As msgspec records; ``Seconds`` fields take durations. Its errors get their places too."""
-        places: dict[str, tuple[Position, Any]] = {}
-        value = self.vertex.export(places)
+    def convert(self, record_type: type[T]) -> T:
+        """Convert to a msgspec type; ``Seconds`` fields accept durations. Raises RecordError."""
+        positions: dict[str, tuple[Position, Any]] = {}
+        value = self.vertex.export(positions)
         try:
-            return msgspec.convert(value, kind, dec_hook=read_seconds)
+            return msgspec.convert(value, record_type, dec_hook=decode_seconds)
         except msgspec.ValidationError as e:
-            raise located(e, places) from None
+            raise with_position(e, positions) from None
 
 
 class Seconds(float):
-    """A time in seconds that is written as a duration."""
+    """A number of seconds, written as a duration such as ``1m30s``."""
 
 
-def read_seconds(kind: type[Any], value: Any) -> Any:
-    if kind is Seconds and isinstance(value, str):
+def decode_seconds(record_type: type[Any], value: Any) -> Any:
+    if record_type is Seconds and isinstance(value, str):
         return Seconds(seconds(value))
-    raise NotImplementedError(f"no reader for {kind}")
+    raise NotImplementedError(f"no reader for {record_type}")
 
 
-def located(error: msgspec.ValidationError, places: dict[str, tuple[Position, Any]]) -> RecordError:
-    """msgspec names a path like ``$.agents[...].name`` at the end of its text, without the map's key."""
+def with_position(error: msgspec.ValidationError, positions: dict[str, tuple[Position, Any]]) -> RecordError:
+    """Find the position of a msgspec error.
+
+    msgspec ends its message with a path like ``$.agents[...].name``, which lacks the keys of maps.
+    """
     text = str(error)
-    told = re.search(r" - at `\$\.?(.*?)`$", text)
-    path, said = (told.group(1), text[: told.start()]) if told else ("", text)
-    got = re.search(r"got `(\w+)`", said)
-    shape = re.escape(path).replace(r"\[\.\.\.\]", r"\.(?:[^.\[\"]+|\"[^\"]*\")")
-    found = [p for p in places if re.fullmatch(shape, p)]
-    fitting = [p for p in found if got is None or type(places[p][1]).__name__ == got.group(1)]
-    path = (fitting or found or [path])[0]
-    near = path
-    while near and near not in places:
-        near = near.rpartition(".")[0]
-    return RecordError(places.get(near, (Position(), None))[0], path, "a value that does not fit", said)
+    path_match = re.search(r" - at `\$\.?(.*?)`$", text)
+    path, message = (path_match.group(1), text[: path_match.start()]) if path_match else ("", text)
+    type_match = re.search(r"got `(\w+)`", message)
+    path_pattern = re.escape(path).replace(r"\[\.\.\.\]", r"\.(?:[^.\[\"]+|\"[^\"]*\")")
+    matching = [p for p in positions if re.fullmatch(path_pattern, p)]
+    matching_type = [
+        p for p in matching if type_match is None or type(positions[p][1]).__name__ == type_match.group(1)
+    ]
+    path = (matching_type or matching or [path])[0]
+    nearest = path
+    while nearest and nearest not in positions:
+        nearest = nearest.rpartition(".")[0]
+    return RecordError(
+        positions.get(nearest, (Position(), None))[0], path, "a value that does not fit", message
+    )
 
 
 def read_file(path: str | Path) -> File:
-    """Raises RecordError also where the file can't be read."""
+    """Read and parse a file. Raises RecordError, also for a file that can't be read."""
     name = str(path)
     try:
         data = Path(path).read_bytes()
-        if len(data) > FILE_MOST:
-            raise RecordError(Position(name, 1, 1), "", f"{len(data)} bytes", f"at most {FILE_MOST}")
+        if len(data) > MAX_FILE_BYTES:
+            raise RecordError(Position(name, 1, 1), "", f"{len(data)} bytes", f"at most {MAX_FILE_BYTES}")
         return parse(data.decode(), name)
     except OSError as e:
         raise RecordError(Position(name, 1, 1), "", f"no file to read ({e.strerror})", "a file") from None
@@ -99,12 +106,12 @@
 
 
 def load(*paths: str | Path, schema: str | Path | None = None, definition: str = "") -> Record:
-    """Files unified; with a schema, under its definition."""
+    """Unify files; with a schema, under its definition."""
     files = [read_file(p) for p in ([schema] if schema else []) + list(paths)]
     return Record(files, definition)
 
 
 def load_text(text: str, name: str = "text", schema: str = "", definition: str = "") -> Record:
-    """The same from texts."""
+    """Like ``load``, from texts."""
     files = [parse(schema, "schema")] if schema else []
     return Record([*files, parse(text, name)], definition)
--- a/latchspoke/records/schemas/__init__.py
+++ b/latchspoke/records/schemas/__init__.py
@@ -1,4 +1,4 @@
-"""The program's own schemas, as files beside this one."""
+"""Schemas shipped with the program, as files in this directory."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     "lab": "#Experiment",
     "mapping": "#Mapping",
     "rules": "#Rules",
-}  # a schema and what a whole file must fit
+}  # schema name to the definition that a file must satisfy
 
 
 def schema_path(name: str) -> Path:
-    """The file of a schema by its short name."""
+    """Return the path of a schema by its short name."""
     return Path(__file__).with_name(f"{name}.cue")
