--- a/latchspoke/records/evaluate.py
+++ b/latchspoke/records/evaluate.py
@@ -1,12 +1,12 @@
-"""Unification: what all that is said of one place comes to.
+"""Unification of all expressions for one path.
 
-A *vertex* is one place (a path). It holds closures: expressions, each with the scope that it was written
-in. To evaluate a vertex its closures are opened into structs, lists and constraints, which must all hold
-together; a conflict is an error and never an override. A reference adds the closures of its target, so
-that a definition's own references then mean the place that uses it.
+A *vertex* is one path. It holds closures: expressions, each with its lexical scope. To evaluate a vertex,
+its closures are expanded into structs, lists and constraints, which must all be satisfied; a conflict is
+an error and never an override. A reference adds the closures of its target, so that references within a
+definition resolve relative to the vertex that uses it.
 
-A definition (``#Name``) closes what refers to it: a field that it does not name is an error. Each use of
-one makes a *group*; all structs of a group together say which fields there may be.
+A definition (``#Name``) closes the structs that refer to it: other fields are errors. Each use of a
+definition creates a *group*; the structs of a group together determine the allowed fields.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
     seconds,
 )
 
-DEPTH_MOST = 64  # deeper than this a record refers to itself without end
-CHOICES_MOST = 512  # combinations of alternatives looked at for one place
+MAX_DEPTH = 64  # of nested vertices; deeper records are treated as infinitely recursive
+MAX_ALTERNATIVE_COMBINATIONS = 512  # evaluated for one vertex
 Groups = frozenset[object]
 NO_GROUPS: Groups = frozenset()
 
 
 class Scope:
-    """Where names are looked up: a struct as it was written, and the place that it is part of."""
+    """A lexical scope: a struct as written, and the vertex that it is part of."""
 
     __slots__ = ("struct", "up", "vertex")
 
@@ -50,7 +50,7 @@
 
 
 class Closure:
-    """An expression, its scope, and the definitions' uses that it is part of."""
+    """An expression, its scope, and the groups (uses of definitions) that it is part of."""
 
     __slots__ = ("expr", "groups", "scope")
 
@@ -58,8 +58,8 @@
         self.expr, self.scope, self.groups = expr, scope, groups
 
 
-class Opened:
-    """The closures of one vertex, sorted by what they are."""
+class ExpandedClosures:
+    """The expanded closures of one vertex by kind of expression."""
 
     def __init__(self) -> None:
         self.structs: list[Closure] = []
@@ -69,70 +69,72 @@
 
 
 class Vertex:
-    """One place: its path, what is said of it, and once evaluated what that comes to."""
+    """One path: its closures and, once evaluated, the result of unifying them."""
 
     def __init__(self, path: str, closures: list[Closure], depth: int = 0) -> None:
         self.path, self.closures, self.depth = path, closures, depth
-        self.arcs: dict[str, Vertex] = {}  # of a struct, or of a list by index
+        self.arcs: dict[str, Vertex] = {}  # fields of a struct, or list items by index
         self.kind = ""  # '', struct, list, scalar, open (not concrete)
         self.value: Any = None
-        self.wanted = ""  # for an open one: what would do
+        self.wanted = ""  # for kind ``open``: description of the accepted values
         self.open = False
         self.required: dict[str, Position] = {}
         self.optional: dict[str, list[Closure]] = {}
         self.definition = False
-        self.state = 0  # 0 not evaluated, 1 under way, 2 done
+        self.state = 0  # 0 not evaluated, 1 in progress, 2 done
 
     @property
     def at(self) -> Position:
         return self.closures[0].expr.at if self.closures else Position()
 
-    def fail(self, at: Position, found: str, wanted: str) -> RecordError:
+    def error(self, at: Position, found: str, wanted: str) -> RecordError:
         return RecordError(at, self.path, found, wanted)
 
-    # Opening.
+    # Expansion.
 
-    def open_all(self) -> Opened:
-        opened, seen = Opened(), {id(self)}
-        work = list(reversed(self.closures))
-        while work:
-            self.open_one(work.pop(), opened, work, seen)
-        return opened
+    def expand(self) -> ExpandedClosures:
+        expanded, visited = ExpandedClosures(), {id(self)}
+        stack = list(reversed(self.closures))
+        while stack:
+            self.expand_closure(stack.pop(), expanded, stack, visited)
+        return expanded
 
-    def open_one(self, closure: Closure, opened: Opened, work: list[Closure], seen: set[int]) -> None:
+    def expand_closure(
+        self, closure: Closure, expanded: ExpandedClosures, stack: list[Closure], visited: set[int]
+    ) -> None:
         expr, scope, groups = closure.expr, closure.scope, closure.groups
         match expr:
             case Struct():
-                opened.structs.append(closure)
+                expanded.structs.append(closure)
             case ListNode():
-                opened.lists.append(closure)
+                expanded.lists.append(closure)
             case Conjunction(_, parts):
-                work += [Closure(part, scope, groups) for part in reversed(parts)]
+                stack += [Closure(part, scope, groups) for part in reversed(parts)]
             case Disjunction():
-                opened.choices.append(closure)
+                expanded.choices.append(closure)
             case Interpolated():
-                opened.scalars.append(self.interpolate(expr, scope))
+                expanded.scalars.append(self.interpolate(expr, scope))
             case Bound(_, op, Reference() as name):
                 value = self.scalar_of(name, scope)
-                opened.scalars.append(Bound(expr.at, op, value) if value else Pending(expr.at, expr))
+                expanded.scalars.append(Bound(expr.at, op, value) if value else Pending(expr.at, expr))
             case Reference():
                 target = self.resolve(expr, scope)
-                if id(target) in seen:
-                    return  # a: b, b: a says nothing more of either
-                seen.add(id(target))
+                if id(target) in visited:
+                    return  # a reference cycle such as a: b, b: a adds no constraint
+                visited.add(id(target))
                 if any("#" in name[:2] for name in expr.names):
                     groups |= {object()}
-                work += [Closure(c.expr, c.scope, c.groups | groups) for c in reversed(target.closures)]
+                stack += [Closure(c.expr, c.scope, c.groups | groups) for c in reversed(target.closures)]
             case _:
-                opened.scalars.append(expr)
+                expanded.scalars.append(expr)
 
     def resolve(self, name: Reference, scope: Scope | None) -> Vertex:
-        """The place that a name means: the nearest struct around it that has the first part, then down."""
+        """Resolve a reference: the innermost enclosing struct with the first name, then field by field."""
         first, *rest = name.names
         while scope is not None and first not in scope.struct.names():
             scope = scope.up
         if scope is None:
-            raise self.fail(name.at, f"the name {first!r}", "a name that stands in a struct around it")
+            raise self.error(name.at, f"the name {first!r}", "a name that stands in a struct around it")
         target = scope.vertex.arc(first, name)
         for part in rest:
             target.evaluate(deep=False)
@@ -140,24 +142,24 @@
         return target
 
     def arc(self, label: str, name: Reference) -> Vertex:
-        """A part of this place; one that is optional and not given is still a type to refer to."""
+        """Return a field. An optional field without a value can be referred to as a type."""
         if self.state == 0:
             self.evaluate(deep=False)
         if label not in self.arcs and self.state != 0:
             optional = self.optional.get(label)
             if optional is None:
-                raise self.fail(name.at, f"the name {name}", f"a field that is there ({label!r} is not)")
-            return Vertex(join(self.path, label), optional, self.depth + 1)
+                raise self.error(name.at, f"the name {name}", f"a field that is there ({label!r} is not)")
+            return Vertex(join_path(self.path, label), optional, self.depth + 1)
         return self.arcs[label]
 
     def scalar_of(self, name: Reference, scope: Scope | None) -> Literal | None:
-        """The plain value that a name has; None where it has none yet."""
+        """Return the scalar value of a reference; None if it is not concrete."""
         target = self.resolve(name, scope)
         target.evaluate()
         if target.kind == "open":
             return None
         if target.kind != "scalar":
-            raise self.fail(name.at, f"{name}, which is {target.describe()}", "a plain value")
+            raise self.error(name.at, f"{name}, which is {target.describe()}", "a plain value")
         return Literal(name.at, target.value)
 
     def interpolate(self, text: Interpolated, scope: Scope | None) -> Literal | Pending:
@@ -165,55 +167,61 @@
         for part in text.parts:
             value = part
             if isinstance(part, Reference):
-                told = self.scalar_of(part, scope)
-                if told is None:
+                literal = self.scalar_of(part, scope)
+                if literal is None:
                     return Pending(text.at, text)
-                value = told.value
+                value = literal.value
             if isinstance(value, bool) or value is None:
-                raise self.fail(text.at, f"{value} in a string", "a string or a number")
+                raise self.error(text.at, f"{value} in a string", "a string or a number")
             parts.append(str(value))
         return Literal(text.at, "".join(parts))
 
-    # Evaluating.
+    # Evaluation.
 
     def evaluate(self, deep: bool = True) -> None:
-        """Work out what this place is; ``deep`` also its parts. Raises RecordError."""
-        if self.depth > DEPTH_MOST:
-            raise self.fail(self.at, "a record within itself without end", "one that ends")
+        """Unify the closures; with ``deep`` also those of all fields. Raises RecordError."""
+        if self.depth > MAX_DEPTH:
+            raise self.error(self.at, "a record within itself without end", "one that ends")
         if self.state == 0:
             self.state = 1
-            opened = self.open_all()
-            if opened.choices:
-                self.choose(opened)
+            expanded = self.expand()
+            if expanded.choices:
+                self.resolve_alternatives(expanded)
             else:
-                self.settle(opened)
+                self.unify(expanded)
             self.state = 2
         if deep and self.state == 2:
             for arc in self.arcs.values():
                 arc.evaluate()
 
-    def settle(self, opened: Opened) -> None:
-        kinds = [bool(opened.structs), bool(opened.lists), bool([s for s in opened.scalars if not any_(s)])]
+    def unify(self, expanded: ExpandedClosures) -> None:
+        kinds = [
+            bool(expanded.structs),
+            bool(expanded.lists),
+            bool([s for s in expanded.scalars if not is_top(s)]),
+        ]
         if sum(kinds) > 1:
-            raise self.clash(opened)
-        if opened.structs:
-            self.settle_struct(opened.structs)
-        elif opened.lists:
-            self.settle_list(opened.lists)
+            raise self.kind_conflict(expanded)
+        if expanded.structs:
+            self.unify_structs(expanded.structs)
+        elif expanded.lists:
+            self.unify_lists(expanded.lists)
         else:
-            self.settle_scalar(opened.scalars)
-
-    def clash(self, opened: Opened) -> RecordError:
-        """Things of different kinds for one place; the one said last is likely the one to change."""
-        said = [(c.expr, "a struct") for c in opened.structs] + [(c.expr, "a list") for c in opened.lists]
-        said += [(s, str(s)) for s in opened.scalars if not any_(s)]
-        literal = next((s for s in said if isinstance(s[0], Literal)), None)
-        found = literal or said[-1]
-        other = next(s for s in said if s[1] != found[1])
-        return self.fail(found[0].at, found[1], f"{other[1]} as at {other[0].at}")
-
-    def settle_struct(self, structs: list[Closure]) -> None:
-        self.kind, given, optional = "struct", dict[str, list[Closure]](), dict[str, list[Closure]]()
+            self.unify_scalars(expanded.scalars)
+
+    def kind_conflict(self, expanded: ExpandedClosures) -> RecordError:
+        """Build the error for conflicting kinds; it points to a literal or else the last expression."""
+        described = [(c.expr, "a struct") for c in expanded.structs] + [
+            (c.expr, "a list") for c in expanded.lists
+        ]
+        described += [(s, str(s)) for s in expanded.scalars if not is_top(s)]
+        literal = next((s for s in described if isinstance(s[0], Literal)), None)
+        found = literal or described[-1]
+        other = next(s for s in described if s[1] != found[1])
+        return self.error(found[0].at, found[1], f"{other[1]} as at {other[0].at}")
+
+    def unify_structs(self, structs: list[Closure]) -> None:
+        self.kind, regular_fields, optional = "struct", dict[str, list[Closure]](), dict[str, list[Closure]]()
         patterns: list[tuple[Closure, FieldNode]] = []
         for closure in structs:
             scope = Scope(self, closure.expr, closure.scope)
@@ -226,27 +234,27 @@
                     if item.mark == "!":
                         self.required.setdefault(item.label, item.at)
                 else:
-                    given.setdefault(item.label, []).append(part)
+                    regular_fields.setdefault(item.label, []).append(part)
         self.optional = optional
-        for label, parts in given.items():
+        for label, parts in regular_fields.items():
             matching = [
-                Closure(item.value, test.scope, self.pattern_groups(structs, item))
-                for test, item in patterns
-                if hidden(label) == "" and self.matches(label, test)
+                Closure(item.value, pattern.scope, self.pattern_groups(structs, item))
+                for pattern, item in patterns
+                if hidden_prefix(label) == "" and self.matches(label, pattern)
             ]
             vertex = Vertex(
-                join(self.path, label), parts + optional.get(label, []) + matching, self.depth + 1
+                join_path(self.path, label), parts + optional.get(label, []) + matching, self.depth + 1
             )
             vertex.definition = "#" in label[:2]
             self.arcs[label] = vertex
-        self.check_closed(structs, given, patterns)
+        self.check_closed(structs, regular_fields, patterns)
 
     @staticmethod
     def pattern_groups(structs: list[Closure], item: FieldNode) -> Groups:
         return next((c.groups for c in structs if any(f is item for f in c.expr.fields)), NO_GROUPS)
 
-    def matches(self, label: str, test: Closure) -> bool:
-        name = Vertex("", [Closure(Literal(Position(), label), None), test], self.depth + 1)
+    def matches(self, label: str, pattern: Closure) -> bool:
+        name = Vertex("", [Closure(Literal(Position(), label), None), pattern], self.depth + 1)
         try:
             name.evaluate()
         except RecordError:
@@ -256,46 +264,50 @@
     def check_closed(
         self,
         structs: list[Closure],
-        given: dict[str, list[Closure]],
+        regular_fields: dict[str, list[Closure]],
         patterns: list[tuple[Closure, FieldNode]],
     ) -> None:
         for group in set[object]().union(*(c.groups for c in structs)):
-            inside = [c for c in structs if group in c.groups]
-            if any(c.expr.open for c in inside):
+            members = [c for c in structs if group in c.groups]
+            if any(c.expr.open for c in members):
                 continue
-            allowed = set[str]().union(*(c.expr.names() for c in inside))
-            tests = [t for t, item in patterns if any(item in c.expr.fields for c in inside)]
-            for label, parts in given.items():
-                if label in allowed or hidden(label) or any(self.matches(label, t) for t in tests):
+            allowed = set[str]().union(*(c.expr.names() for c in members))
+            label_patterns = [t for t, item in patterns if any(item in c.expr.fields for c in members)]
+            for label, parts in regular_fields.items():
+                if (
+                    label in allowed
+                    or hidden_prefix(label)
+                    or any(self.matches(label, t) for t in label_patterns)
+                ):
                     continue
-                wanted = ", ".join(sorted(name for name in allowed if not hidden(name))) or "no field"
+                wanted = ", ".join(sorted(name for name in allowed if not hidden_prefix(name))) or "no field"
                 raise RecordError(
-                    parts[0].expr.at, join(self.path, label), f"the field {label!r}", f"one of: {wanted}"
+                    parts[0].expr.at, join_path(self.path, label), f"the field {label!r}", f"one of: {wanted}"
                 )
 
-    def settle_list(self, lists: list[Closure]) -> None:
+    def unify_lists(self, lists: list[Closure]) -> None:
         self.kind = "list"
         longest = max(lists, key=lambda c: len(c.expr.items))
         size = len(longest.expr.items)
         for closure in lists:
-            have = len(closure.expr.items)
-            if have < size and closure.expr.rest is None:
-                raise self.fail(
-                    longest.expr.at, f"a list of {size}", f"one of {have} as at {closure.expr.at}"
+            length = len(closure.expr.items)
+            if length < size and closure.expr.rest is None:
+                raise self.error(
+                    longest.expr.at, f"a list of {size}", f"one of {length} as at {closure.expr.at}"
                 )
         self.open = all(c.expr.rest is not None for c in lists)
-        for place in range(size):
+        for index in range(size):
             parts = []
             for closure in lists:
-                item = closure.expr.items[place] if place < len(closure.expr.items) else closure.expr.rest
+                item = closure.expr.items[index] if index < len(closure.expr.items) else closure.expr.rest
                 parts.append(Closure(item, closure.scope, closure.groups))
-            # What was written out comes first, as errors point there.
+            # Literal items first: errors point to the first closure.
             parts.sort(key=lambda c: isinstance(c.expr, Kind | Reference))
-            self.arcs[str(place)] = Vertex(f"{self.path}[{place}]", parts, self.depth + 1)
+            self.arcs[str(index)] = Vertex(f"{self.path}[{index}]", parts, self.depth + 1)
 
-    def settle_scalar(self, scalars: list[Any]) -> None:
+    def unify_scalars(self, scalars: list[Any]) -> None:
         literals = [s for s in scalars if isinstance(s, Literal)]
-        limits = [s for s in scalars if not isinstance(s, Literal) and not any_(s)]
+        limits = [s for s in scalars if not isinstance(s, Literal) and not is_top(s)]
         pending = [s for s in limits if isinstance(s, Pending)]
         if pending or not literals:
             self.check_kinds([s for s in limits if s not in pending])
@@ -303,71 +315,75 @@
             return
         first = literals[0]
         for other in literals[1:]:
-            if not same(first.value, other.value):
-                raise self.fail(other.at, str(other), f"{first} as at {first.at}")
+            if not is_same_value(first.value, other.value):
+                raise self.error(other.at, str(other), f"{first} as at {first.at}")
         for limit in limits:
-            if not holds(first.value, limit):
-                raise self.fail(first.at, str(first), f"{limit} (at {limit.at})")
+            if not satisfies(first.value, limit):
+                raise self.error(first.at, str(first), f"{limit} (at {limit.at})")
         self.kind, self.value = "scalar", first.value
 
     def check_kinds(self, limits: list[Any]) -> None:
-        """Types that exclude each other are a mistake, though nothing concrete stands there yet."""
+        """Raise RecordError for types that exclude each other, even without a concrete value."""
         kinds: set[str] | None = None
         for limit in limits:
-            mine = KIND_SETS[limit.name] if isinstance(limit, Kind) else bound_kinds(limit)
-            if kinds is not None and not kinds & mine:
-                raise self.fail(limit.at, str(limit), " & ".join(str(x) for x in limits if x is not limit))
-            kinds = mine if kinds is None else kinds & mine
+            limit_kinds = KIND_SETS[limit.name] if isinstance(limit, Kind) else bound_kinds(limit)
+            if kinds is not None and not kinds & limit_kinds:
+                raise self.error(limit.at, str(limit), " & ".join(str(x) for x in limits if x is not limit))
+            kinds = limit_kinds if kinds is None else kinds & limit_kinds
 
     # Alternatives.
 
-    def choose(self, opened: Opened) -> None:
-        """Try each combination of alternatives; those without conflict remain, defaults before others."""
+    def resolve_alternatives(self, expanded: ExpandedClosures) -> None:
+        """Evaluate all combinations of alternatives, drop conflicting ones, and prefer defaults."""
         count = 1
-        for choice in opened.choices:
+        for choice in expanded.choices:
             count *= len(choice.expr.parts)
-        if count > CHOICES_MOST:
-            raise self.fail(self.at, f"{count} combinations of alternatives", f"at most {CHOICES_MOST}")
-        base = [*opened.structs, *opened.lists, *(Closure(s, None) for s in opened.scalars)]
-        kept: list[tuple[Vertex, bool]] = []
+        if count > MAX_ALTERNATIVE_COMBINATIONS:
+            raise self.error(
+                self.at, f"{count} combinations of alternatives", f"at most {MAX_ALTERNATIVE_COMBINATIONS}"
+            )
+        base = [*expanded.structs, *expanded.lists, *(Closure(s, None) for s in expanded.scalars)]
+        consistent: list[tuple[Vertex, bool]] = []
         errors: list[RecordError] = []
-        for picks in itertools.product(*(range(len(c.expr.parts)) for c in opened.choices)):
+        for indexes in itertools.product(*(range(len(c.expr.parts)) for c in expanded.choices)):
             parts = [
                 Closure(c.expr.parts[n], c.scope, c.groups)
-                for c, n in zip(opened.choices, picks, strict=True)
+                for c, n in zip(expanded.choices, indexes, strict=True)
             ]
             default = all(
                 c.expr.default[n] or not any(c.expr.default)
-                for c, n in zip(opened.choices, picks, strict=True)
+                for c, n in zip(expanded.choices, indexes, strict=True)
             )
-            trial = Vertex(self.path, base + parts, self.depth)
+            candidate = Vertex(self.path, base + parts, self.depth)
             try:
-                trial.evaluate()
+                candidate.evaluate()
             except RecordError as e:
                 errors.append(e)
             else:
-                kept.append((trial, default))
-        if not kept:
-            raise self.no_alternative(opened, errors)
-        best = distinct([trial for trial, default in kept if default]) or distinct([t for t, _ in kept])
+                consistent.append((candidate, default))
+        if not consistent:
+            raise self.no_alternative_error(expanded, errors)
+        best = distinct([candidate for candidate, default in consistent if default]) or distinct(
+            [t for t, _ in consistent]
+        )
         if len(best) > 1:
             self.kind, self.wanted = "open", " | ".join(dict.fromkeys(t.describe() for t in best))
             return
-        self.adopt(best[0])
+        self.copy_result(best[0])
 
-    def adopt(self, trial: Vertex) -> None:
+    def copy_result(self, candidate: Vertex) -> None:
         for name in ("arcs", "kind", "value", "wanted", "open", "required", "optional"):
-            setattr(self, name, getattr(trial, name))
+            setattr(self, name, getattr(candidate, name))
 
-    def no_alternative(self, opened: Opened, errors: list[RecordError]) -> RecordError:
-        literal = next((s for s in opened.scalars if isinstance(s, Literal)), None)
+    def no_alternative_error(self, expanded: ExpandedClosures, errors: list[RecordError]) -> RecordError:
+        literal = next((s for s in expanded.scalars if isinstance(s, Literal)), None)
         if literal is not None:
-            wanted = " and ".join(str(c.expr) for c in opened.choices)
-            return self.fail(literal.at, str(literal), f"{wanted} (at {opened.choices[0].expr.at})")
-        # Of structs the alternative that came furthest is likely the one that was meant.
+            wanted = " and ".join(str(c.expr) for c in expanded.choices)
+            return self.error(literal.at, str(literal), f"{wanted} (at {expanded.choices[0].expr.at})")
+        # Report the error with the longest path: that alternative is the most likely intent.
         return max(errors, key=lambda e: len(e.path))
 
-    # What it came to.
+    # Result.
 
     def describe(self) -> str:
         if self.kind == "scalar":
@@ -376,43 +392,47 @@
             return self.wanted
         return {"struct": "a struct", "list": "a list"}.get(self.kind, "nothing")
 
-    def export(self, places: dict[str, tuple[Position, Any]] | None = None) -> Any:
-        """Plain values, without definitions and hidden fields; RecordError where one is still open."""
+    def export(self, positions: dict[str, tuple[Position, Any]] | None = None) -> Any:
+        """Return plain values without definitions and hidden fields.
+
+        Raises RecordError for a value that is not concrete. ``positions`` collects position and value
+        by path.
+        """
         self.evaluate()
-        if places is not None:
-            places[self.path] = self.at, self.value
+        if positions is not None:
+            positions[self.path] = self.at, self.value
         if self.kind == "open":
-            raise self.fail(self.at, "no value", self.wanted)
+            raise self.error(self.at, "no value", self.wanted)
         if self.kind == "list":
-            return [arc.export(places) for arc in self.arcs.values()]
+            return [arc.export(positions) for arc in self.arcs.values()]
         if self.kind != "struct":
             return self.value
         for label, at in self.required.items():
             if label not in self.arcs:
                 missing = RecordError(
-                    self.at, join(self.path, label), "nothing", f"a value (required at {at})"
+                    self.at, join_path(self.path, label), "nothing", f"a value (required at {at})"
                 )
                 raise missing
-        return {label: arc.export(places) for label, arc in self.arcs.items() if not hidden(label)}
+        return {label: arc.export(positions) for label, arc in self.arcs.items() if not hidden_prefix(label)}
 
 
-def any_(node: Any) -> bool:
+def is_top(node: Any) -> bool:
     return isinstance(node, Kind) and node.name == "_"
 
 
-def hidden(label: str) -> str:
-    """What keeps a field out of the values: it is a definition, or its name begins with ``_``."""
+def hidden_prefix(label: str) -> str:
+    """Return the prefix that excludes a field from export (``#`` or ``_``), or an empty string."""
     return label[0] if label[:1] in ("#", "_") else ""
 
 
-def join(path: str, label: str) -> str:
+def join_path(path: str, label: str) -> str:
     plain = re.fullmatch(r"_?#?[A-Za-z_$][A-Za-z0-9_$]*", label)
-    step = label if plain else f'"{label}"'
-    return f"{path}.{step}" if path else step
+    segment = label if plain else f'"{label}"'
+    return f"{path}.{segment}" if path else segment
 
 
-def same(a: Any, b: Any) -> bool:
-    """Equal, and of one kind: 1 and true are two values, 1 and 1.0 two numbers."""
+def is_same_value(a: Any, b: Any) -> bool:
+    """Whether value and type are equal: 1, true and 1.0 are all different."""
     return type(a) is type(b) and a == b
 
 
@@ -438,8 +458,8 @@
     return NUMBERS if kind in NUMBERS else {kind}
 
 
-def holds(value: Any, limit: Any) -> bool:
-    """Whether a concrete value keeps to a type or bound."""
+def satisfies(value: Any, limit: Any) -> bool:
+    """Whether a concrete value satisfies a type or bound."""
     kind = kind_of(value)
     if isinstance(limit, Kind):
         if limit.name == "time.Duration":
@@ -451,7 +471,7 @@
 COMPARE: dict[str, Callable[[Any, Any], bool]] = {
     "=~": lambda value, other: re.search(other, value) is not None,
     "!~": lambda value, other: re.search(other, value) is None,
-    "!=": lambda value, other: not same(value, other),
+    "!=": lambda value, other: not is_same_value(value, other),
     ">": operator.gt,
     ">=": operator.ge,
     "<": operator.lt,
@@ -468,27 +488,27 @@
 
 
 def distinct(vertices: Iterable[Vertex]) -> list[Vertex]:
-    """One of each that came to the same."""
+    """Drop vertices with the same result as an earlier one."""
     found: dict[str, Vertex] = {}
     for vertex in vertices:
-        found.setdefault(shape(vertex), vertex)
+        found.setdefault(canonical_form(vertex), vertex)
     return list(found.values())
 
 
-def shape(vertex: Vertex) -> str:
+def canonical_form(vertex: Vertex) -> str:
     if vertex.kind in ("struct", "list"):
-        inner = ",".join(f"{label}:{shape(arc)}" for label, arc in sorted(vertex.arcs.items()))
+        inner = ",".join(f"{label}:{canonical_form(arc)}" for label, arc in sorted(vertex.arcs.items()))
         return f"{vertex.kind}({inner})"
     return f"{vertex.kind}:{vertex.describe()}"
 
 
-def root(structs: Iterable[Struct]) -> Vertex:
-    """The whole of several files: each struct's names are seen from all of them."""
+def root_vertex(structs: Iterable[Struct]) -> Vertex:
+    """Return the root vertex of several files, which see each other's top-level names."""
     structs = list(structs)
     vertex = Vertex("", [])
     if structs:
-        # Files of one package share their outermost scope, so each gets a scope that knows all names.
-        every = tuple(f for s in structs for f in s.fields)
-        shared = Scope(vertex, Struct(structs[0].at, every), None)
+        # Files of one package share the outermost scope.
+        all_fields = tuple(f for s in structs for f in s.fields)
+        shared = Scope(vertex, Struct(structs[0].at, all_fields), None)
         vertex.closures = [Closure(s, shared) for s in structs]
     return vertex
--- a/latchspoke/records/load.py
+++ b/latchspoke/records/load.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from latchspoke.records.evaluate import Vertex, root
+from latchspoke.records.evaluate import Vertex, root_vertex
 from latchspoke.records.syntax import File, Position, RecordError, parse, seconds
 
 T = TypeVar("T")
@@ -21,7 +21,7 @@
 
     def __init__(self, files: Iterable[File], definition: str = "") -> None:
         self.files = list(files)
-        self.vertex = root(f.body for f in self.files)
+        self.vertex = root_vertex(f.body for f in self.files)
         if definition:
             self.vertex = self.apply_definition(definition)
         self.vertex.evaluate()
@@ -35,9 +35,9 @@
         if definition not in schema.body.names():
             raise RecordError(schema.body.at, "", f"no {definition}", f"a schema that defines {definition}")
         # Only the schema sees its own names: settings files can't refer to them or conflict with them.
-        schema_root = root([schema.body])
+        schema_root = root_vertex([schema.body])
         scope = Scope(schema_root, schema.body, None)
-        record_root = root(f.body for f in other_files)
+        record_root = root_vertex(f.body for f in other_files)
         record_root.closures.append(Closure(Reference(schema.body.at, (definition,)), scope))
         if not other_files:
             record_root.closures.append(Closure(Struct(schema.body.at, ()), scope))
--- a/latchspoke/records/syntax.py
+++ b/latchspoke/records/syntax.py
@@ -1,4 +1,4 @@
-"""What a file holds, as a tree: the grammar, the nodes, and how texts and numbers are read."""
+"""Syntax of record files: the grammar, the syntax tree and the parser."""
 
 from __future__ import annotations
 
@@ -65,18 +65,18 @@
 %ignore WS
 """
 
-# As in Go and CUE: a line's end after one of these ends the field too.
-ENDS = {"IDENT", "STRING", "NUMBER", "RBRACE", "RSQB", "RPAR", "__ANON_0", "ELLIPSIS"}
+# As in Go and CUE, a comma is inserted at a line end after one of these tokens.
+FIELD_ENDING_TOKENS = {"IDENT", "STRING", "NUMBER", "RBRACE", "RSQB", "RPAR", "__ANON_0", "ELLIPSIS"}
 KINDS = ("string", "int", "float", "number", "bool", "null")
-MULTIPLES = {"K": 10**3, "M": 10**6, "G": 10**9, "T": 10**12}
-MULTIPLES |= {f"{name}i": 1024**power for power, name in enumerate("KMGT", 1)}
-DURATION = re.compile(r"[+-]?(\d+(?:\.\d+)?(?:ns|us|µs|ms|s|m|h))+")
-UNITS = {"ns": 1e-9, "us": 1e-6, "µs": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
+NUMBER_SUFFIXES = {"K": 10**3, "M": 10**6, "G": 10**9, "T": 10**12}
+NUMBER_SUFFIXES |= {f"{name}i": 1024**power for power, name in enumerate("KMGT", 1)}
+DURATION_PATTERN = re.compile(r"[+-]?(\d+(?:\.\d+)?(?:ns|us|µs|ms|s|m|h))+")
+DURATION_UNITS_S = {"ns": 1e-9, "us": 1e-6, "µs": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
 
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where something stands; lines and columns from 1."""
+    """A source position; lines and columns count from 1."""
 
     file: str = "?"
     line: int = 0
@@ -87,7 +87,7 @@
 
 
 class RecordError(Exception):
-    """One plain line: place, path, what stood there, what was wanted."""
+    """An invalid record. The message is one line: position, path, found and expected value."""
 
     def __init__(self, at: Position, path: str, found: str, wanted: str) -> None:
         where = f"{at}: {path}" if path else str(at)
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """``at`` is not compared: two files that say the same are the same."""
+    """Base of syntax nodes. Comparison ignores ``at``, so equal content compares equal."""
 
     at: Position = field(compare=False, repr=False)
 
@@ -105,7 +105,7 @@
 @dataclass(frozen=True, slots=True)
 class Literal(Node):
     value: Any  # str, int, float, bool or None
-    raw: str = field(default="", compare=False, repr=False)  # as it was written, where that tells more
+    raw: str = field(default="", compare=False, repr=False)  # source text of a number
 
     def __str__(self) -> str:
         return self.raw or json.dumps(self.value, ensure_ascii=False)
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interpolated(Node):
-    """A string with references in it: texts and references by turns."""
+    """A string with interpolated references: alternating texts and references."""
 
     parts: tuple[Any, ...]  # str | Reference
 
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind(Node):
-    """A type's name, ``_`` for anything, or ``time.Duration``."""
+    """A type name, ``_`` for any value, or ``time.Duration``."""
 
     name: str
 
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pending(Node):
-    """Something that leans on a name which has no plain value yet, as in a definition."""
+    """An expression that depends on a reference without a concrete value, as in a definition."""
 
     node: Any
 
@@ -208,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListNode(Node):
-    """``rest`` is the type of what may follow, None where nothing may."""
+    """``rest`` is the type of further items, None if there may be none."""
 
     items: tuple[Any, ...]
     rest: Any = None
@@ -224,33 +224,35 @@
 
 @dataclass(frozen=True, slots=True)
 class File:
-    """A file's fields, and its comments by line for whoever writes it again."""
+    """A parsed file: its fields, and the comments by line for the formatter."""
 
     name: str
     package: str
     imports: tuple[str, ...]
     body: Struct
-    comments: tuple[tuple[int, bool, str], ...]  # line, whether it stands alone there, text
+    comments: tuple[tuple[int, bool, str], ...]  # line, whether it is alone on the line, text
 
 
 PLAIN_LABEL = re.compile(r"_?#?[A-Za-z_$][A-Za-z0-9_$]*")
 
 
 def quote(label: str) -> str:
-    """A label as it must be written."""
+    """Return a label in source form, quoted if necessary."""
     return label if PLAIN_LABEL.fullmatch(label) else json.dumps(label, ensure_ascii=False)
 
 
 def seconds(text: str) -> float:
-    """A duration such as "1m30s" or "250ms" in seconds; raises ValueError."""
-    if not DURATION.fullmatch(text):
+    """Parse a duration such as "1m30s" or "250ms" into seconds; raises ValueError."""
+    if not DURATION_PATTERN.fullmatch(text):
         raise ValueError(f"not a duration: {text!r}")
-    total = sum(float(n) * UNITS[u] for n, u in re.findall(r"(\d+(?:\.\d+)?)(ns|us|µs|ms|s|m|h)", text))
+    total = sum(
+        float(n) * DURATION_UNITS_S[u] for n, u in re.findall(r"(\d+(?:\.\d+)?)(ns|us|µs|ms|s|m|h)", text)
+    )
     return -total if text.startswith("-") else total
 
 
-class Commas:
-    """Between lexer and parser: line ends become commas where they end something, and else vanish."""
+class CommaInserter:
+    """Lexer post-processor: line ends become commas where they end a field, and are dropped elsewhere."""
 
     always_accept = ("NEWLINE", "COMMENT")
 
@@ -260,18 +262,18 @@
             if token.type == "COMMENT":
                 continue
             if token.type == "NEWLINE":
-                if last is None or (last.type not in ENDS and last.value not in ("...", "?")):
+                if last is None or (last.type not in FIELD_ENDING_TOKENS and last.value not in ("...", "?")):
                     continue
                 token = Token.new_borrow_pos("_COMMA", ",", token)
             last = token
             yield token
-        if last is not None and last.type in ENDS:
+        if last is not None and last.type in FIELD_ENDING_TOKENS:
             yield Token.new_borrow_pos("_COMMA", ",", last)
 
 
 @lru_cache(1)
 def parser() -> Lark:
-    return Lark(GRAMMAR, parser="lalr", lexer="basic", postlex=Commas(), propagate_positions=True)
+    return Lark(GRAMMAR, parser="lalr", lexer="basic", postlex=CommaInserter(), propagate_positions=True)
 
 
 def read_number(text: str) -> int | float:
@@ -283,12 +285,12 @@
     value = float(number) if re.search(r"[.eE]", number) else int(number)
     if not suffix:
         return value
-    whole = value * MULTIPLES[suffix.group()]
-    return int(whole) if whole == int(whole) else whole
+    scaled = value * NUMBER_SUFFIXES[suffix.group()]
+    return int(scaled) if scaled == int(scaled) else scaled
 
 
 @v_args(meta=True)
-class Build(Transformer[Token, Any]):
+class TreeBuilder(Transformer[Token, Any]):
     """Lark's tree to nodes."""
 
     def __init__(self, name: str) -> None:
@@ -401,13 +403,13 @@
         if names == ("time", "Duration"):
             return Kind(at, "time.Duration")
         if len(names) == 1:
-            word = names[0]
-            if word in ("true", "false"):
-                return Literal(at, word == "true")
-            if word == "null":
+            keyword = names[0]
+            if keyword in ("true", "false"):
+                return Literal(at, keyword == "true")
+            if keyword == "null":
                 return Literal(at, None)
-            if word == "_" or word in KINDS:
-                return Kind(at, word)
+            if keyword == "_" or keyword in KINDS:
+                return Kind(at, keyword)
         return Reference(at, names)
 
     def struct(self, meta: Any, items: list[Any]) -> Struct:
@@ -418,36 +420,36 @@
         return items
 
     def sequence(self, meta: Any, items: list[Any]) -> ListNode:
-        given = list(items[0] if len(items) == 1 and isinstance(items[0], list) else items)
-        rest = given.pop()[0] if given and isinstance(given[-1], tuple) else None
-        if any(isinstance(i, tuple) for i in given):
+        elements = list(items[0] if len(items) == 1 and isinstance(items[0], list) else items)
+        rest = elements.pop()[0] if elements and isinstance(elements[-1], tuple) else None
+        if any(isinstance(i, tuple) for i in elements):
             raise RecordError(self.at(meta), "", "'...' before the end of a list", "it at the end")
-        return ListNode(self.at(meta), tuple(given), rest, self.end(meta))
+        return ListNode(self.at(meta), tuple(elements), rest, self.end(meta))
 
     def rest(self, meta: Any, items: list[Any]) -> tuple[Any]:
         return (items[0] if items else ANYTHING,)
 
 
 def comments(text: str) -> Iterator[tuple[int, bool, str]]:
-    """``//`` outside strings, with its line and whether nothing stands before it."""
-    outside = re.compile(r'"(?:[^"\\\n]|\\.)*"|(//[^\n]*)')
+    """Yield ``//`` comments with the line and whether the comment is alone on it."""
+    string_or_comment = re.compile(r'"(?:[^"\\\n]|\\.)*"|(//[^\n]*)')
     for number, line in enumerate(text.split("\n"), 1):
-        for found in outside.finditer(line):
-            if found.group(1):
-                yield number, not line[: found.start()].strip(), found.group(1).rstrip()
+        for match in string_or_comment.finditer(line):
+            if match.group(1):
+                yield number, not line[: match.start()].strip(), match.group(1).rstrip()
 
 
-WORDS = {"$END": "the end of the file", "_COMMA": "a comma or a new line", "IDENT": "a name",
+TOKEN_DESCRIPTIONS = {"$END": "the end of the file", "_COMMA": "a comma or a new line", "IDENT": "a name",
          "STRING": "a string", "NUMBER": "a number", "COLON": "':'", "RBRACE": "'}'", "RSQB": "']'",
          "LBRACE": "'{'", "LSQB": "'['", "RPAR": "')'", "LPAR": "'('"}  # fmt: skip
 
 
 def parse(text: str, name: str = "?") -> File:
-    """Raises RecordError at the first thing that can't be read."""
+    """Parse a file. Raises RecordError at the first syntax error."""
     try:
-        package, imports, body = Build(name).transform(parser().parse(text))
+        package, imports, body = TreeBuilder(name).transform(parser().parse(text))
     except UnexpectedInput as e:
-        raise unreadable(e, text, name) from None
+        raise syntax_error(e, text, name) from None
     except VisitError as e:
         if isinstance(e.orig_exc, RecordError):
             raise e.orig_exc from None
@@ -455,10 +457,10 @@
     return File(name, package, imports, body, tuple(comments(text)))
 
 
-def unreadable(error: UnexpectedInput, text: str, name: str) -> RecordError:
+def syntax_error(error: UnexpectedInput, text: str, name: str) -> RecordError:
     lines = text.split("\n")
     line, column = error.line, error.column
-    if not isinstance(line, int) or line < 1:  # the parser has come to the end
+    if not isinstance(line, int) or line < 1:  # error at the end of the file
         line, column = len(lines), len(lines[-1]) + 1
     token = getattr(error, "token", None)
     if token is None:
@@ -468,11 +470,12 @@
     else:
         found = "the end of the line" if token.type == "_COMMA" and token.value == "," else repr(str(token))
     expected = sorted(
-        WORDS.get(w, w.lower()) for w in getattr(error, "accepts", None) or error_expected(error)
+        TOKEN_DESCRIPTIONS.get(w, w.lower())
+        for w in getattr(error, "accepts", None) or expected_tokens(error)
     )
     wanted = " or ".join(expected[:5]) + (" or other" if len(expected) > 5 else "")
     return RecordError(Position(name, line, column), "", found, wanted or "something else")
 
 
-def error_expected(error: UnexpectedInput) -> set[str]:
+def expected_tokens(error: UnexpectedInput) -> set[str]:
     return set(getattr(error, "expected", None) or getattr(error, "allowed", None) or ())
--- a/tests/records/test_records.py
+++ b/tests/records/test_records.py
@@ -1,4 +1,4 @@
-"""Typed records: what unifies to what, and what each mistake is told as."""
+"""Typed records: unification, error messages, conversion and formatting."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from latchspoke.records.load import Seconds
 from latchspoke.records.schemas import DEFINITIONS, schema_path
 
-GOOD: dict[str, Any] = {
+VALID_RECORDS: dict[str, Any] = {
     "a: 1, b: a": {"a": 1, "b": 1},
     "a: b\nb: a\nb: 3": {"a": 3, "b": 3},
     "a: b: c: 1\na: b: d: 2": {"a": {"b": {"c": 1, "d": 2}}},
@@ -45,7 +45,7 @@
     "": {},
 }  # fmt: skip
 
-BAD = {
+INVALID_RECORDS = {
     "a: 1\na: 2": "f:2:4: a: found 2, wanted 1 as at f:1:4",
     'a: int\na: "x"': 'f:2:4: a: found "x", wanted int (at f:1:4)',
     "a: int\na: true": "f:2:4: a: found true, wanted int (at f:1:4)",
@@ -71,39 +71,39 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("text", GOOD)
-def test_what_unifies(text: str) -> None:
-    assert load_text(text, "f").value() == GOOD[text]
+@pytest.mark.parametrize("text", VALID_RECORDS)
+def test_valid_records_evaluate_to_the_expected_value(text: str) -> None:
+    assert load_text(text, "f").value() == VALID_RECORDS[text]
 
 
-@pytest.mark.parametrize("text", BAD)
-def test_each_mistake_names_place_path_found_and_wanted(text: str) -> None:
-    with pytest.raises(RecordError) as told:
+@pytest.mark.parametrize("text", INVALID_RECORDS)
+def test_errors_contain_position_path_found_and_expected_value(text: str) -> None:
+    with pytest.raises(RecordError) as error:
         load_text(text, "f").value()
-    assert BAD[text] in str(told.value) and "\n" not in str(told.value)
+    assert INVALID_RECORDS[text] in str(error.value) and "\n" not in str(error.value)
 
 
-def test_the_order_of_what_is_said_never_matters() -> None:
-    """Unification commutes: any order of a file's lines comes to the same values or is an error too."""
+def test_unification_is_independent_of_line_order() -> None:
+    """Unification is commutative: any order of the lines gives the same values."""
     lines = [
         "#I: {n: string, p: int & >0 | *80, s: \"\\(n):\\(p)\", t?: bool}", "m: [string]: #I",
         "m: a: n: \"a\"", "m: b: {n: \"b\", p: q}", "q: 7", "m: b: t: true",
         "l: [...{k: int}]", "l: [{k: q}, {k: 2}]",
     ]  # fmt: skip
-    wanted = load_text("\n".join(lines)).value()
-    assert wanted["m"]["b"] == {"n": "b", "p": 7, "s": "b:7", "t": True}
+    expected = load_text("\n".join(lines)).value()
+    assert expected["m"]["b"] == {"n": "b", "p": 7, "s": "b:7", "t": True}
     for seed in range(40):
         random.Random(seed).shuffle(lines)
-        assert load_text("\n".join(lines)).value() == wanted, f"seed {seed}: {lines}"
+        assert load_text("\n".join(lines)).value() == expected, f"seed {seed}: {lines}"
 
 
-def test_several_files_are_one_record(tmp_path: Path) -> None:
+def test_several_files_are_unified(tmp_path: Path) -> None:
     (tmp_path / "a.cue").write_text("package p\n#L: int & <9\nx: #L\n")
     (tmp_path / "b.cue").write_text("package p\nx: 4\ny: x & #L\n")
     assert load(tmp_path / "a.cue", tmp_path / "b.cue").value() == {"x": 4, "y": 4}
 
 
-def test_a_settings_file_does_not_see_the_schema_s_names() -> None:
+def test_settings_files_cannot_refer_to_schema_names() -> None:
     schema = "#Whole: {a: #Part, b?: int}\n#Part: int"
     assert load_text("a: 1", "f", schema, "#Whole").value() == {"a": 1}
     with pytest.raises(RecordError, match="the name '#Part'"):
@@ -121,19 +121,19 @@
     inner: dict[str, Inner]
 
 
-def test_records_come_out_with_durations_in_seconds() -> None:
-    made = load_text('inner: x: {wait: "1.5s", most: 2}').convert(Outer)
-    assert made.inner["x"].wait == 1.5 and made.inner["x"].most == 2
+def test_durations_are_converted_to_seconds() -> None:
+    record = load_text('inner: x: {wait: "1.5s", most: 2}').convert(Outer)
+    assert record.inner["x"].wait == 1.5 and record.inner["x"].most == 2
 
 
-def test_what_msgspec_refuses_has_its_place_too() -> None:
+def test_conversion_errors_contain_the_position() -> None:
     with pytest.raises(RecordError, match=r"f:1:30: inner\.x\.most: .*`int`, got `str`"):
         load_text('inner: x: {wait: "1s", most: "2"}', "f").convert(Outer)
 
 
-def test_durations() -> None:
-    told = {"1m30s": 90.0, "250ms": 0.25, "1h": 3600.0, "1.5s": 1.5, "-2s": -2.0, "3µs": 3e-6}
-    assert {text: seconds(text) for text in told} == pytest.approx(told)
+def test_duration_syntax() -> None:
+    durations_s = {"1m30s": 90.0, "250ms": 0.25, "1h": 3600.0, "1.5s": 1.5, "-2s": -2.0, "3µs": 3e-6}
+    assert {text: seconds(text) for text in durations_s} == pytest.approx(durations_s)
     for text in ("", "5", "s", "5 s", "1s2"):
         with pytest.raises(ValueError, match="not a duration"):
             seconds(text)
@@ -163,27 +163,34 @@
 """
 
 
-def test_the_layout_keeps_all_that_is_said_and_every_comment() -> None:
-    written = layout_text(LAYOUT)
-    assert layout_text(written) == written
-    for kept in ("// Head.", "b: 1 // beside b", "\t// above d", "\t// at the end", "1, // one", "c: [1, 2]"):
-        assert kept in written
-    assert 'd: e: f: "x\\(a.b)"' in written
+def test_formatting_keeps_fields_and_comments() -> None:
+    formatted = layout_text(LAYOUT)
+    assert layout_text(formatted) == formatted
+    for fragment in (
+        "// Head.",
+        "b: 1 // beside b",
+        "\t// above d",
+        "\t// at the end",
+        "1, // one",
+        "c: [1, 2]",
+    ):
+        assert fragment in formatted
+    assert 'd: e: f: "x\\(a.b)"' in formatted
 
 
-@pytest.mark.parametrize("text", [t for t in GOOD if t])
-def test_the_layout_changes_no_value(text: str) -> None:
-    assert load_text(layout_text(text)).value() == GOOD[text]
+@pytest.mark.parametrize("text", [t for t in VALID_RECORDS if t])
+def test_formatting_changes_no_value(text: str) -> None:
+    assert load_text(layout_text(text)).value() == VALID_RECORDS[text]
 
 
 @pytest.mark.parametrize("name", DEFINITIONS)
-def test_the_program_s_schemas_are_in_the_layout_and_sound(name: str) -> None:
+def test_shipped_schemas_are_valid_and_formatted(name: str) -> None:
     text = schema_path(name).read_text()
     assert layout_text(text) == text
     load_text(text, name)
 
 
-def test_the_command(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_records_command(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "f.cue"
     file.write_text('agents: h1:  socket: "/s"\n')
     assert command.main(["export", "--schema", "fleet", str(file)]) == 0
@@ -194,23 +201,23 @@
     capsys.readouterr()
     file.write_text("agents: h1: {}\nlimit: 3\n")
     assert command.main(["vet", "--schema", "fleet", str(file)]) == 1
-    told = capsys.readouterr().err
-    assert told.startswith(f"{file}:2:8: limit: found 3, wanted ") and told.count("\n") == 1
+    error_output = capsys.readouterr().err
+    assert error_output.startswith(f"{file}:2:8: limit: found 3, wanted ") and error_output.count("\n") == 1
     assert command.main(["vet", str(tmp_path / "none.cue")]) == 1
     assert "no file to read" in capsys.readouterr().err
     assert command.main(["sing"]) == 2
 
 
-def test_garbage_is_an_error_and_nothing_else() -> None:
-    """Any cut or change of a good file either reads or is a RecordError with a place."""
-    whole = schema_path("agent").read_text()
+def test_malformed_input_raises_only_record_errors() -> None:
+    """A damaged file either parses or raises a RecordError with a position."""
+    schema_text = schema_path("agent").read_text()
     for seed in range(400):
-        draw = random.Random(seed)
-        start = draw.randrange(len(whole))
-        text = whole[:start] + draw.choice(
+        rng = random.Random(seed)
+        start = rng.randrange(len(schema_text))
+        text = schema_text[:start] + rng.choice(
             ['"', "{", "}", "[", "&", "|", "\n", "\\(", "\0", "...", "é", ": :"]
         )
-        text += whole[start + draw.randrange(30) :]
+        text += schema_text[start + rng.randrange(30) :]
         try:
             load_text(text, "f")
         except RecordError as e:
