--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -24,9 +24,9 @@
 from typing import Any
 
 from latchspoke.lab.clients import ClientSettings
-from latchspoke.lab.load import Arrival, PlanLoad, drawn
-from latchspoke.lab.loopback.http import Link, Place, response
-from latchspoke.lab.loopback.player import Part, Work, play_all
+from latchspoke.lab.load import Arrival, PlanLoad, poisson_arrivals
+from latchspoke.lab.loopback.http import HttpServerConnection, PendingResponse, response
+from latchspoke.lab.loopback.player import PlayerJob, PlayerSettings, play_all
 from latchspoke.lab.outcome import Outcomes, quantiles
 
 FORM = '$remote_addr [$time_local] "$request" $status $body_bytes_sent $request_time "$http_x_tier"'
@@ -37,8 +37,8 @@
 # Instant answers.
 
 
-class Instant(Link):
-    def asked(self, place: Place) -> None:
+class Instant(HttpServerConnection):
+    def handle_request(self, place: PendingResponse) -> None:
         place.answer(response(200, b"{}"))
 
 
@@ -108,14 +108,14 @@
 
 
 def poisson(rate: float, seconds: float) -> Iterator[Arrival]:
-    return drawn([PlanLoad("p", 200, rate / 200)], "balance-read", seconds, 3, 3, 1)
+    return poisson_arrivals([PlanLoad("p", 200, rate / 200)], "balance-read", seconds, 3, 3, 1)
 
 
 def played(rate: float, seconds: float, processes: int, ports: list[int]) -> Outcomes:
     outcomes = Outcomes(1.2)
     works = [
-        Work(
-            Part([("127.0.0.1", p) for p in ports], ClientSettings(), 1, False, n, processes),
+        PlayerJob(
+            PlayerSettings([("127.0.0.1", p) for p in ports], ClientSettings(), 1, False, n, processes),
             poisson, (rate, seconds),
         )
         for n in range(processes)
@@ -151,7 +151,7 @@
     """Three gateways' logs of drawn traffic, whole seconds at the answer as nginx writes them."""
     files = [open(folder / f"g{n}.log", "w") for n in range(3)]  # noqa: SIM115
     draw, lines = random.Random(5), [[], [], []]  # type: ignore[var-annotated]
-    for a in drawn(
+    for a in poisson_arrivals(
         [PlanLoad("mala", 100, 0.5), PlanLoad("pelna", 5, 10.0)], "balance-read", seconds, 3, 3, 5
     ):
         took = round(draw.lognormvariate(-2, 0.4), 3)
--- a/latchspoke/console/lab.py
+++ b/latchspoke/console/lab.py
@@ -46,7 +46,7 @@
 from latchspoke.console.usage import UsageError, read_usage, read_whole
 from latchspoke.lab import report, virtual_run
 from latchspoke.lab.experiment import Experiment, read_experiment, variants
-from latchspoke.lab.loopback.player import PlayError
+from latchspoke.lab.loopback.player import PlayerError
 from latchspoke.lab.loopback.run import Run, RunError, RunResult
 from latchspoke.records import RecordError
 from latchspoke.traffic.trace import TraceError
@@ -78,14 +78,14 @@
     except RecordError as e:
         print(e, file=sys.stderr)
         return 2
-    except (RunError, PlayError, TraceError, OSError) as e:
+    except (RunError, PlayerError, TraceError, OSError) as e:
         print(f"latchspoke lab: {e}", file=sys.stderr)
         return 1
 
 
 def run(args: dict[str, Any], experiment: Experiment) -> int:
     out, console = Path(args["--out"]), Console(stderr=True, highlight=False)
-    shown: list[report.Shown] = []
+    shown: list[report.ReportedRun] = []
     # Turn by turn, not variant by variant: what the machine does meanwhile hits all alike.
     made = list(variants(experiment, args["EXPERIMENT"]))
     for turn in range(experiment.repeats):
@@ -116,7 +116,7 @@
     return virtual_run.play(experiment, name, seed)
 
 
-def show(experiment: Experiment, result: RunResult) -> report.Shown:
+def show(experiment: Experiment, result: RunResult) -> report.ReportedRun:
     gateways = [
         {
             "name": g.name, "cpu": g.cpu, "memory_mb": g.memory_mb, "ended": g.ended,
@@ -136,7 +136,7 @@
     ]  # fmt: skip
     more = {"counter_calls": result.counter_calls, "attempts_at_nodes": result.attempts,
             "nodes": result.served_by_nodes}  # fmt: skip
-    return report.Shown(
+    return report.ReportedRun(
         result.variant,
         result.seed,
         result.outcomes,
@@ -149,7 +149,7 @@
     )
 
 
-def notes_of(shown: list[report.Shown]) -> list[str]:
+def notes_of(shown: list[report.ReportedRun]) -> list[str]:
     """What must be known before any figure is believed."""
     notes = []
     for item in shown:
@@ -165,8 +165,8 @@
     return notes
 
 
-def tell(args: dict[str, Any], out: Path, shown: list[report.Shown], notes: list[str]) -> None:
-    rows = report.compared(shown)
+def tell(args: dict[str, Any], out: Path, shown: list[report.ReportedRun], notes: list[str]) -> None:
+    rows = report.compare_variants(shown)
     names = list(dict.fromkeys(item.variant for item in shown))
     if args["--json"]:
         value = {r.name: dict(zip(names, r.values, strict=True)) | {"verdict": r.verdict} for r in rows}
--- a/latchspoke/console/replay.py
+++ b/latchspoke/console/replay.py
@@ -42,8 +42,8 @@
 from latchspoke.console import tables
 from latchspoke.console.usage import UsageError, read_duration, read_usage, read_whole
 from latchspoke.lab.clients import ClientSettings
-from latchspoke.lab.load import Arrival, Replayed
-from latchspoke.lab.loopback.player import Part, PlayError, Work, play_all
+from latchspoke.lab.load import Arrival, TraceReplay
+from latchspoke.lab.loopback.player import PlayerError, PlayerJob, PlayerSettings, play_all
 from latchspoke.lab.outcome import Outcomes
 from latchspoke.traffic.trace import Reader, TraceError, between
 
@@ -57,7 +57,7 @@
     except UsageError as e:
         print(f"latchspoke replay: {e}", file=sys.stderr)
         return 2
-    except (TraceError, PlayError, OSError) as e:
+    except (TraceError, PlayerError, OSError) as e:
         print(f"latchspoke replay: {e}", file=sys.stderr)
         return 1
 
@@ -93,7 +93,7 @@
 
 def arrivals(path: str, options: dict[str, Any], start: float, end: float) -> Iterator[Arrival]:
     """Made anew in each process of the player."""
-    yield from Replayed(**options).arrivals(between(Reader(path), start, end))
+    yield from TraceReplay(**options).arrivals(between(Reader(path), start, end))
 
 
 def run(args: dict[str, Any]) -> int:
@@ -107,19 +107,19 @@
         "spread": read_whole(args, "--spread", 1) if args["--spread"] else len(addresses),
     }  # fmt: skip
     clients = ClientSettings(
-        give_up=read_duration(args, "--give-up", 4.0), retries=read_whole(args, "--retries", 0),
-        aim=read_duration(args, "--aim", 1.2),
+        request_timeout=read_duration(args, "--give-up", 4.0), retries=read_whole(args, "--retries", 0),
+        target_latency=read_duration(args, "--aim", 1.2),
     )  # fmt: skip
     processes = read_whole(args, "--processes", 1)
     works = [
-        Work(
-            Part(addresses, clients, options["seed"], args["--verbatim"], n, processes),
+        PlayerJob(
+            PlayerSettings(addresses, clients, options["seed"], args["--verbatim"], n, processes),
             arrivals,
             (path, options, start, end),
         )
         for n in range(processes)
     ]
-    outcomes, interrupted = Outcomes(clients.aim), False
+    outcomes, interrupted = Outcomes(clients.target_latency), False
 
     def interrupt(number: int, frame: FrameType | None) -> None:
         nonlocal interrupted
@@ -139,7 +139,9 @@
     if args["--out"]:
         from latchspoke.lab import report  # the library for plots takes a second to load
 
-        shown = report.Shown(Path(args["TRACE"]).name, int(args["--seed"]), outcomes, interrupted=interrupted)
+        shown = report.ReportedRun(
+            Path(args["TRACE"]).name, int(args["--seed"]), outcomes, interrupted=interrupted
+        )
         report.write(Path(args["--out"]), f"Replay of {Path(args['TRACE']).name}", [shown], notes)
     if args["--json"]:
         print(json.dumps(summary | {"interrupted": interrupted, "notes": notes}, indent=2))
--- a/latchspoke/lab/counter.py
+++ b/latchspoke/lab/counter.py
@@ -6,17 +6,17 @@
 
 import xxhash
 
-LIFE_MOST = 60.0  # s
-TRIM_EVERY = 4096  # calls
+MAX_LIFETIME_S = 60.0  # s
+EXPIRY_INTERVAL_CALLS = 4096  # calls
 
 
 @dataclass(frozen=True, slots=True)
 class CounterSettings:
     """``capacity`` is calls a second in all, ``call`` the time that a call needs beside waiting, in s."""
 
-    parts: int = 2
+    shards: int = 2
     capacity: float = 650.0
-    call: float = 0.001
+    call_time: float = 0.001
 
 
 @dataclass(slots=True)
@@ -25,29 +25,29 @@
 
     settings: CounterSettings
     totals: dict[str, tuple[float, float]] = field(default_factory=dict)  # total, forgotten at
-    free_at: list[float] = field(default_factory=list)
+    shard_free_at: list[float] = field(default_factory=list)
     calls: int = 0
 
     def __post_init__(self) -> None:
-        self.free_at = [0.0] * self.settings.parts
+        self.shard_free_at = [0.0] * self.settings.shards
 
     def add(
-        self, name: str, amount: float, life: float, now: float, slow: float = 1.0
+        self, name: str, amount: float, lifetime: float, now: float, slowdown: float = 1.0
     ) -> tuple[float, float]:
         """The total, and when its answer goes out: the call waits its turn at its part."""
-        part = xxhash.xxh3_64_intdigest(name.encode()) % self.settings.parts
-        turn = self.settings.parts / self.settings.capacity * slow
-        begins = max(self.free_at[part], now)
-        self.free_at[part] = begins + turn
-        total, until = self.totals.get(name, (0.0, 0.0))
-        if until <= now:
-            total, until = 0.0, now + min(life, LIFE_MOST)
+        shard = xxhash.xxh3_64_intdigest(name.encode()) % self.settings.shards
+        service_time = self.settings.shards / self.settings.capacity * slowdown
+        begins_at = max(self.shard_free_at[shard], now)
+        self.shard_free_at[shard] = begins_at + service_time
+        total, expires_at = self.totals.get(name, (0.0, 0.0))
+        if expires_at <= now:
+            total, expires_at = 0.0, now + min(lifetime, MAX_LIFETIME_S)
         total += amount
-        self.totals[name] = total, until
+        self.totals[name] = total, expires_at
         self.calls += 1
-        if self.calls % TRIM_EVERY == 0:
-            self.totals = {n: v for n, v in self.totals.items() if v[1] > now}
-        return total, begins + turn + self.settings.call * slow
+        if self.calls % EXPIRY_INTERVAL_CALLS == 0:
+            self.totals = {other_name: entry for other_name, entry in self.totals.items() if entry[1] > now}
+        return total, begins_at + service_time + self.settings.call_time * slowdown
 
     def reset(self) -> None:
         """One that is new: it knows no name."""
--- a/latchspoke/lab/experiment.py
+++ b/latchspoke/lab/experiment.py
@@ -11,10 +11,10 @@
 
 from latchspoke.lab.clients import ClientSettings
 from latchspoke.lab.counter import CounterSettings
-from latchspoke.lab.faults import NODE, Fault, Schedule, Trouble
+from latchspoke.lab.faults import NODE_FAULTS, Fault, FaultEvent, FaultSchedule
 from latchspoke.lab.load import PlanLoad
 from latchspoke.lab.node import NodeSettings
-from latchspoke.lab.quota import PlanFigures
+from latchspoke.lab.quota import PlanQuota
 from latchspoke.records import Position, RecordError, load, load_text
 from latchspoke.records.load import Seconds
 from latchspoke.records.schemas import DEFINITIONS, schema_path
@@ -89,8 +89,8 @@
     pays: float
     over_cost: float
 
-    def figures(self, name: str) -> PlanFigures:
-        return PlanFigures(name, self.rate, self.burst, self.ceiling_rate, self.ceiling_burst, pays=self.pays)
+    def quota(self, name: str) -> PlanQuota:
+        return PlanQuota(name, self.rate, self.burst, self.ceiling_rate, self.ceiling_burst, pays=self.pays)
 
 
 class TraceRecord(msgspec.Struct, frozen=True):
@@ -108,9 +108,9 @@
     nodes: int
     amount: float
 
-    def trouble(self) -> Trouble:
-        nodes = frozenset(f"s-{n}" for n in range(self.nodes)) if self.kind in NODE else frozenset()
-        return Trouble(self.kind, self.at, self.lasts, nodes, self.amount)
+    def event(self) -> FaultEvent:
+        nodes = frozenset(f"s-{n}" for n in range(self.nodes)) if self.kind in NODE_FAULTS else frozenset()
+        return FaultEvent(self.kind, self.at, self.lasts, nodes, self.amount)
 
 
 class Variant(msgspec.Struct, frozen=True):
@@ -134,11 +134,11 @@
     faults: list[FaultRecord] = []
     variants: dict[str, Variant] = {}
 
-    def schedule(self) -> Schedule:
-        return Schedule(fault.trouble() for fault in self.faults)
+    def schedule(self) -> FaultSchedule:
+        return FaultSchedule(fault.event() for fault in self.faults)
 
-    def figures(self) -> dict[str, PlanFigures]:
-        return {name: plan.figures(name) for name, plan in self.plans.items()}
+    def plan_quotas(self) -> dict[str, PlanQuota]:
+        return {name: plan.quota(name) for name, plan in self.plans.items()}
 
     def loads(self) -> list[PlanLoad]:
         return [PlanLoad(name, p.customers, p.use * p.rate) for name, p in self.plans.items()]
@@ -192,7 +192,7 @@
     for place, fault in enumerate(told.faults):
         if fault.nodes > told.nodes.count:
             raise RecordError(at, f"faults[{place}].nodes", str(fault.nodes), f"at most {told.nodes.count}")
-        if fault.kind in NODE and not fault.nodes:
+        if fault.kind in NODE_FAULTS and not fault.nodes:
             raise RecordError(at, f"faults[{place}].nodes", "0", f"how many nodes have {fault.kind.value}")
     if told.trace is not None:
         file = str(Path(path).resolve().parent / told.trace.file)
--- a/latchspoke/lab/faults.py
+++ b/latchspoke/lab/faults.py
@@ -13,24 +13,24 @@
     FAIL_FAST = "fail-fast"  # answers 500 at once, with this chance
     SLOW = "slow"  # works at this part of its pace
     HANG = "hang"  # takes requests in and never answers
-    VANISH = "vanish"  # says nothing more to anybody, open connections stay open
+    UNRESPONSIVE = "vanish"  # says nothing more to anybody, open connections stay open
     RESET = "reset"  # breaks all its connections off, again and again
     RESTART = "restart"  # dies at the start and is back, cold, at the end
-    SPOIL = "spoil"  # its answers are cut off or no HTTP, with this chance
+    CORRUPT = "spoil"  # its answers are cut off or no HTTP, with this chance
     COUNTER_SLOW = "counter-slow"  # so many times slower
-    COUNTER_GONE = "counter-gone"
+    COUNTER_DOWN = "counter-gone"
     COUNTER_RESET = "counter-reset"  # forgets all at the start, as one that is new
     DISCOVERY_SILENT = "discovery-silent"
-    DISCOVERY_LATE = "discovery-late"  # tells so many seconds late
+    DISCOVERY_DELAYED = "discovery-late"  # tells so many seconds late
 
 
-NODE = frozenset(
-    (Fault.FAIL_FAST, Fault.SLOW, Fault.HANG, Fault.VANISH, Fault.RESET, Fault.RESTART, Fault.SPOIL)
+NODE_FAULTS = frozenset(
+    (Fault.FAIL_FAST, Fault.SLOW, Fault.HANG, Fault.UNRESPONSIVE, Fault.RESET, Fault.RESTART, Fault.CORRUPT)
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class FaultEvent:
     """One fault from ``at`` for ``lasts`` seconds, on these nodes; ``amount`` as its kind means it."""
 
     kind: Fault
@@ -43,7 +43,7 @@
     def ends(self) -> float:
         return self.at + self.lasts
 
-    def on(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         return self.at <= now < self.ends
 
     def words(self) -> str:
@@ -51,21 +51,23 @@
         return f"{self.kind.value}{where}"
 
 
-class Schedule:
+class FaultSchedule:
     """All troubles of a run."""
 
-    def __init__(self, troubles: Iterable[Trouble] = ()) -> None:
-        self.troubles = sorted(troubles, key=lambda t: (t.at, t.kind.value))
+    def __init__(self, troubles: Iterable[FaultEvent] = ()) -> None:
+        self.troubles = sorted(troubles, key=lambda event: (event.at, event.kind.value))
 
     def amount(self, kind: Fault, now: float, node: str = "") -> float | None:
         """How strong this kind is now; None where it is not on. The last one begun counts."""
-        found = None
-        for trouble in self.troubles:
-            if trouble.kind is kind and trouble.on(now) and (not node or node in trouble.nodes):
-                found = trouble.amount
-        return found
+        amount = None
+        for event in self.troubles:
+            if event.kind is kind and event.is_active(now) and (not node or node in event.nodes):
+                amount = event.amount
+        return amount
 
-    def edges(self) -> list[tuple[float, Trouble, bool]]:
+    def transitions(self) -> list[tuple[float, FaultEvent, bool]]:
         """Beginnings (True) and ends (False), in order; an end comes before a beginning at one time."""
-        edges = [(t.at, t, True) for t in self.troubles] + [(t.ends, t, False) for t in self.troubles]
-        return sorted(edges, key=lambda edge: (edge[0], edge[2]))
+        transitions = [(event.at, event, True) for event in self.troubles] + [
+            (event.ends, event, False) for event in self.troubles
+        ]
+        return sorted(transitions, key=lambda transition: (transition[0], transition[2]))
--- a/latchspoke/lab/load.py
+++ b/latchspoke/lab/load.py
@@ -9,10 +9,10 @@
 import numpy as np
 import xxhash
 
-from latchspoke.lab.quota import PlanFigures, Store
+from latchspoke.lab.quota import PlanQuota, TokenBucket
 from latchspoke.traffic.trace import Request
 
-KEYS = 1 << 33
+CUSTOMER_KEY_SPACE = 1 << 33
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,24 +35,24 @@
     first: int = 0
     attempt: int = 0
     spread: int = 1
-    from_: int = 0
-    inside: bool = True  # whether its customer's quota held it, had all been let through
+    first_gateway: int = 0
+    inside_quota: bool = True  # whether its customer's quota held it, had all been let through
 
 
-def inside_quotas(arrivals: Iterable[Arrival], plans: dict[str, PlanFigures]) -> Iterator[Arrival]:
+def mark_inside_quota(arrivals: Iterable[Arrival], plans: dict[str, PlanQuota]) -> Iterator[Arrival]:
     """Mark each first try as inside or beyond its customer's quota, by what is asked, whatever is let in."""
-    stores: dict[tuple[str, int], Store] = {}
+    buckets: dict[tuple[str, int], TokenBucket] = {}
     for arrival in arrivals:
-        figures = plans.get(arrival.plan)
-        if figures is None or arrival.attempt:
+        quota = plans.get(arrival.plan)
+        if quota is None or arrival.attempt:
             yield arrival
             continue
-        store = stores.setdefault((arrival.plan, arrival.customer), Store(figures.burst, arrival.at))
-        held = store.take(arrival.units, figures.rate, figures.burst, arrival.at)
-        yield arrival if held else replace(arrival, inside=False)
+        bucket = buckets.setdefault((arrival.plan, arrival.customer), TokenBucket(quota.burst, arrival.at))
+        within_quota = bucket.take(arrival.units, quota.rate, quota.burst, arrival.at)
+        yield arrival if within_quota else replace(arrival, inside_quota=False)
 
 
-class Replayed:
+class TraceReplay:
     """A trace as arrivals: from a part of it, at a speed, with more customers or louder ones.
 
     ``scale`` above 1 adds customers of the same habits: copies of each request, whole copies first and the
@@ -78,7 +78,7 @@
         self.gateways, self.speed, self.scale, self.louder = gateways, speed, scale, louder
         self.verbatim, self.jitter, self.seed, self.spread = verbatim, jitter, seed, spread
 
-    def part(self, *of: int) -> float:
+    def hash_fraction(self, *of: int) -> float:
         """A number in 0..1 that is always the same for the same words."""
         text = ":".join(map(str, (self.seed, *of)))
         return xxhash.xxh3_64_intdigest(text.encode()) / 2.0**64
@@ -86,7 +86,7 @@
     def copies(self, customer: int, number: int) -> int:
         whole = int(self.scale)
         who = (customer, number) if self.louder else (customer,)
-        return whole + (self.part(*who) < self.scale - whole)
+        return whole + (self.hash_fraction(*who) < self.scale - whole)
 
     def arrivals(self, requests: Iterable[Request]) -> Iterator[Arrival]:
         """In order of their times; memory holds what lies within the jitter."""
@@ -99,7 +99,7 @@
             at = (request.at - start) / 1e6 / self.speed
             for copy in range(self.copies(request.customer, request.first)):
                 made += 1
-                later = self.jitter * self.part(copy, request.first) / self.speed if copy else 0.0
+                later = self.jitter * self.hash_fraction(copy, request.first) / self.speed if copy else 0.0
                 arrival = self.arrival(request, at + later, made, copy)
                 heapq.heappush(heap, (arrival.at, made, arrival))
             while heap and heap[0][0] <= at:
@@ -110,7 +110,7 @@
     def arrival(self, request: Request, at: float, number: int, copy: int) -> Arrival:
         customer = request.customer
         if copy and not self.louder:
-            customer = int(self.part(customer, copy) * KEYS)
+            customer = int(self.hash_fraction(customer, copy) * CUSTOMER_KEY_SPACE)
         gateway = self.gateways[request.gateway]
         first = request.first * (int(self.scale) + 1) + copy
         path = request.url.partition("?")[0]
@@ -130,7 +130,7 @@
     rate: float
 
 
-def drawn(
+def poisson_arrivals(
     plans: Iterable[PlanLoad], kind: str, duration: float, gateways: int, spread: int, seed: int
 ) -> Iterator[Arrival]:
     """Poisson arrivals of every plan, merged; a customer's requests come in through its own set, unevenly."""
@@ -153,8 +153,8 @@
     rate = plan.customers * plan.rate
     if rate <= 0:
         return
-    keys = draw.integers(1, KEYS, plan.customers)
-    firsts = draw.integers(0, gateways, plan.customers)
+    keys = draw.integers(1, CUSTOMER_KEY_SPACE, plan.customers)
+    first_gateways = draw.integers(0, gateways, plan.customers)
     weights = draw.dirichlet(np.ones(spread), plan.customers)
     at = 0.0
     while True:
@@ -163,7 +163,7 @@
             return
         who = int(draw.integers(0, plan.customers))
         step = int(draw.choice(spread, p=weights[who]))
-        first = int(firsts[who])
+        first = int(first_gateways[who])
         yield Arrival(
             at, 0, int(keys[who]), plan.plan, kind, "GET", f"/{kind}", (first + step) % gateways, 1.0, 0.0,
             0, 0, spread, first,
--- a/latchspoke/lab/loopback/http.py
+++ b/latchspoke/lab/loopback/http.py
@@ -19,26 +19,26 @@
     return head.encode() + body
 
 
-class Place:
+class PendingResponse:
     """An answer's place in its connection's order; it goes out once all before it have."""
 
-    __slots__ = ("data", "link")
+    __slots__ = ("connection", "data")
 
-    def __init__(self, link: Link) -> None:
-        self.link, self.data = link, b""
+    def __init__(self, connection: HttpServerConnection) -> None:
+        self.connection, self.data = connection, b""
 
     def answer(self, data: bytes) -> None:
         self.data = data
-        self.link.flush()
+        self.connection.flush()
 
 
-class Link(asyncio.Protocol):
+class HttpServerConnection(asyncio.Protocol):
     """One connection to a stand-in."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.places: deque[Place] = deque()
+        self.pending: deque[PendingResponse] = deque()
         self.url, self.headers, self.body = b"", dict[bytes, bytes](), b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -64,16 +64,16 @@
         self.body += part
 
     def on_message_complete(self) -> None:
-        place = Place(self)
-        self.places.append(place)
-        self.asked(place)
+        pending_response = PendingResponse(self)
+        self.pending.append(pending_response)
+        self.handle_request(pending_response)
 
-    def asked(self, place: Place) -> None:
+    def handle_request(self, pending_response: PendingResponse) -> None:
         raise NotImplementedError
 
     def flush(self) -> None:
-        while self.places and self.places[0].data:
-            data = self.places.popleft().data
+        while self.pending and self.pending[0].data:
+            data = self.pending.popleft().data
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.write(data)
 
--- a/latchspoke/lab/loopback/player.py
+++ b/latchspoke/lab/loopback/player.py
@@ -19,25 +19,25 @@
 import httptools
 import uvloop
 
-from latchspoke.lab.clients import Clients, ClientSettings
+from latchspoke.lab.clients import ClientModel, ClientSettings
 from latchspoke.lab.load import Arrival
-from latchspoke.lab.outcome import Outcomes, outcome
+from latchspoke.lab.outcome import Outcomes, classify_outcome
 
-LEAD = 0.0005  # s; the loop's timers are this coarse: what is due within it goes out now
+TIMER_RESOLUTION_S = 0.0005  # s; the loop's timers are this coarse: what is due within it goes out now
 SETTLE = 1.0  # s after the last client could have given up
-PER_GATEWAY = 400  # connections that one process keeps to a gateway, at most
-CONNECT = 2.0  # s
-START = 0.25  # s between the word to all processes and the run's beginning
+MAX_CONNECTIONS_PER_GATEWAY = 400  # connections that one process keeps to a gateway, at most
+CONNECT_TIMEOUT_S = 2.0  # s
+START_DELAY_S = 0.25  # s between the word to all processes and the run's beginning
 
 
-def ident_of(number: int, process: int, attempt: int, plan: str, units: float) -> str:
+def format_request_id(number: int, process: int, attempt: int, plan: str, units: float) -> str:
     """A request's id says by itself whose it is: nodes judge quotas by it."""
     return f"{number:x}.{attempt}.{process}~{plan}~{units:g}"
 
 
-def read_ident(ident: str) -> tuple[str, float] | None:
+def parse_request_id(request_id: str) -> tuple[str, float] | None:
     """Plan and units of such an id."""
-    parts = ident.split("~")
+    parts = request_id.split("~")
     if len(parts) != 3:
         return None
     try:
@@ -46,37 +46,37 @@
         return None
 
 
-class ClientLink(asyncio.Protocol):
+class GatewayConnection(asyncio.Protocol):
     """A connection to a gateway."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.advice: float | None = None
+        self.retry_after: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         assert self.transport is not None
-        self.attempt, self.advice = attempt, None
-        attempt.link = self
+        self.attempt, self.retry_after = attempt, None
+        attempt.connection = self
         self.transport.write(attempt.request())
 
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.give_up()
+            self.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"retry-after":
             try:
-                self.advice = float(value)
+                self.retry_after = float(value)
             except ValueError:
-                self.advice = None
+                self.retry_after = None
 
     def on_message_complete(self) -> None:
         attempt, self.attempt = self.attempt, None
@@ -88,131 +88,147 @@
         elif self.transport is not None:
             self.transport.close()
         if attempt is not None:
-            attempt.link = None
-            attempt.answered(status, self.advice)
+            attempt.connection = None
+            attempt.on_response(status, self.retry_after)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.lost(self)
+        self.pool.connection_closed(self)
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            attempt.link = None
-            attempt.broken("broken")
+            attempt.connection = None
+            attempt.fail("broken")
 
-    def give_up(self) -> None:
+    def abort(self) -> None:
         """A client that leaves closes its connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one gateway."""
 
     def __init__(self, player: Player, number: int, address: tuple[str, int]) -> None:
         self.player, self.number, self.address = player, number, address
-        self.idle: list[ClientLink] = []
-        self.links = 0
-        self.opening: set[asyncio.Task[None]] = set()
+        self.idle: list[GatewayConnection] = []
+        self.connection_count = 0
+        self.opening_tasks: set[asyncio.Task[None]] = set()
 
     def send(self, attempt: Attempt) -> None:
         while self.idle:
-            link = self.idle.pop()
-            if link.transport is not None and not link.transport.is_closing():
-                link.ask(attempt)
+            connection = self.idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                connection.send_attempt(attempt)
                 return
-        if self.links >= PER_GATEWAY:
-            attempt.broken("not connected")
+        if self.connection_count >= MAX_CONNECTIONS_PER_GATEWAY:
+            attempt.fail("not connected")
             return
-        self.links += 1
+        self.connection_count += 1
         task = asyncio.get_running_loop().create_task(self.open(attempt))
-        self.opening.add(task)
-        task.add_done_callback(self.opening.discard)
+        self.opening_tasks.add(task)
+        task.add_done_callback(self.opening_tasks.discard)
 
     async def open(self, attempt: Attempt) -> None:
         loop = asyncio.get_running_loop()
         try:
-            _, link = await asyncio.wait_for(
-                loop.create_connection(lambda: ClientLink(self), *self.address), CONNECT
+            _, connection = await asyncio.wait_for(
+                loop.create_connection(lambda: GatewayConnection(self), *self.address), CONNECT_TIMEOUT_S
             )
         except OSError:
-            self.links -= 1
-            if not attempt.over:
-                attempt.broken("not connected")
+            self.connection_count -= 1
+            if not attempt.finished:
+                attempt.fail("not connected")
             return
-        if attempt.over:
-            self.idle.append(link)
+        if attempt.finished:
+            self.idle.append(connection)
         else:
-            link.ask(attempt)
+            connection.send_attempt(attempt)
 
-    def lost(self, link: ClientLink) -> None:
-        self.links -= 1
-        if link in self.idle:
-            self.idle.remove(link)
+    def connection_closed(self, connection: GatewayConnection) -> None:
+        self.connection_count -= 1
+        if connection in self.idle:
+            self.idle.remove(connection)
 
     def close(self) -> None:
-        for task in self.opening:
+        for task in self.opening_tasks:
             task.cancel()
-        for link in self.idle:
-            if link.transport is not None:
-                link.transport.abort()
+        for connection in self.idle:
+            if connection.transport is not None:
+                connection.transport.abort()
 
 
 class Attempt:
     """One try of a client at one gateway; the first of them carries the whole story."""
 
-    __slots__ = ("arrival", "deadline", "due", "link", "number", "over", "player", "sent_at", "timer")
+    __slots__ = (
+        "arrival",
+        "connection",
+        "deadline",
+        "due",
+        "finished",
+        "number",
+        "player",
+        "sent_at",
+        "timer",
+    )
 
     def __init__(self, player: Player, arrival: Arrival, number: int, due: float) -> None:
         self.player, self.arrival, self.number, self.due = player, arrival, number, due
         self.sent_at = 0.0
-        self.over = False
-        self.link: ClientLink | None = None
+        self.finished = False
+        self.connection: GatewayConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.deadline = arrival.deadline or player.clients.deadline()
+        self.deadline = arrival.deadline or player.clients.draw_timeout()
 
     def request(self) -> bytes:
-        a = self.arrival
-        left = max(self.deadline - (self.player.clock() - self.sent_at), 0.001)
-        ident = ident_of(a.number, self.player.process, self.number, a.plan, a.units)
+        arrival = self.arrival
+        remaining = max(self.deadline - (self.player.clock() - self.sent_at), 0.001)
+        request_id = format_request_id(
+            arrival.number, self.player.process, self.number, arrival.plan, arrival.units
+        )
         retry = "Req-Retry: 1\r\n" if self.number else ""
         return (
-            f"{a.method} {a.path}?key={a.customer:016x} HTTP/1.1\r\nHost: gateway\r\nReq-Id: {ident}\r\n"
-            f"Req-Kind: {a.kind}\r\nX-Tier: {a.plan}\r\nReq-Deadline: {left:.3f}\r\n"
-            f"X-Call-Terms: units={a.units:g},spread={a.spread},first={a.from_}\r\n{retry}\r\n"
+            f"{arrival.method} {arrival.path}?key={arrival.customer:016x} HTTP/1.1\r\n"
+            f"Host: gateway\r\nReq-Id: {request_id}\r\n"
+            f"Req-Kind: {arrival.kind}\r\nX-Tier: {arrival.plan}\r\nReq-Deadline: {remaining:.3f}\r\n"
+            f"X-Call-Terms: units={arrival.units:g},spread={arrival.spread},"
+            f"first={arrival.first_gateway}\r\n{retry}\r\n"
         ).encode()
 
     def start(self, gateway: int) -> None:
         player = self.player
         self.sent_at = player.clock()
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(self.deadline, self.given_up)
-        player.out += 1
+        self.timer = loop.call_later(self.deadline, self.on_timeout)
+        player.in_flight += 1
         player.pools[gateway].send(self)
 
-    def given_up(self) -> None:
-        link, self.link = self.link, None
-        if link is not None:
-            link.attempt = None
-            link.give_up()
+    def on_timeout(self) -> None:
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.attempt = None
+            connection.abort()
         self.finish("given up", 0, None)
 
-    def broken(self, word: str) -> None:
-        if not self.over:
-            self.finish(word, 0, None)
+    def fail(self, outcome: str) -> None:
+        if not self.finished:
+            self.finish(outcome, 0, None)
 
-    def answered(self, status: int, advice: float | None) -> None:
-        if not self.over:
-            word = outcome(status, self.player.clock() - self.due, self.player.outcomes.aim)
-            self.finish(word, status, advice)
+    def on_response(self, status: int, retry_after: float | None) -> None:
+        if not self.finished:
+            outcome = classify_outcome(
+                status, self.player.clock() - self.due, self.player.outcomes.target_latency
+            )
+            self.finish(outcome, status, retry_after)
 
-    def finish(self, word: str, status: int, advice: float | None) -> None:
-        self.over = True
+    def finish(self, outcome: str, status: int, retry_after: float | None) -> None:
+        self.finished = True
         if self.timer is not None:
             self.timer.cancel()
-        self.player.ended(self, word, status, advice)
+        self.player.attempt_finished(self, outcome, status, retry_after)
 
 
 @dataclass
-class Part:
+class PlayerSettings:
     """What one process plays."""
 
     addresses: list[tuple[str, int]]
@@ -221,20 +237,22 @@
     verbatim: bool = False
     process: int = 0
     processes: int = 1
-    began: float = 0.0  # Unix time at which the run's time is 0; told when all are there
+    started_at: float = 0.0  # Unix time at which the run's time is 0; told when all are there
 
 
 class Player:
     """Plays one part of a run in this process."""
 
-    def __init__(self, part: Part, arrivals: Iterator[Arrival]) -> None:
-        self.part, self.process = part, part.process
-        self.arrivals = (a for a in arrivals if a.number % part.processes == part.process)
-        self.clients = Clients(part.clients, part.seed * 64 + part.process)
-        self.outcomes = Outcomes(part.clients.aim)
-        self.pools = [Pool(self, n, address) for n, address in enumerate(part.addresses)]
-        self.out = 0
-        self.waiting = 0
+    def __init__(self, settings: PlayerSettings, arrivals: Iterator[Arrival]) -> None:
+        self.settings, self.process = settings, settings.process
+        self.arrivals = (
+            arrival for arrival in arrivals if arrival.number % settings.processes == settings.process
+        )
+        self.clients = ClientModel(settings.clients, settings.seed * 64 + settings.process)
+        self.outcomes = Outcomes(settings.clients.target_latency)
+        self.pools = [ConnectionPool(self, n, address) for n, address in enumerate(settings.addresses)]
+        self.in_flight = 0
+        self.pending_retries = 0
         self.origin = 0.0
         self.stopped = False
         self.next: Arrival | None = None
@@ -245,12 +263,14 @@
 
     async def run(self) -> Outcomes:
         loop = asyncio.get_running_loop()
-        self.origin = loop.time() + (self.part.began - time.time() if self.part.began else 0.0)
+        self.origin = loop.time() + (
+            self.settings.started_at - time.time() if self.settings.started_at else 0.0
+        )
         with contextlib.suppress(NotImplementedError):  # a loop in virtual time hears no signals
             loop.add_signal_handler(signal.SIGINT, self.stop)
             loop.add_signal_handler(signal.SIGTERM, self.stop)
         self.next = next(self.arrivals, None)
-        self.turn()
+        self.send_due_arrivals()
         await self.done.wait()
         for pool in self.pools:
             pool.close()
@@ -261,101 +281,105 @@
         self.stopped = True
         self.check_done()
 
-    def turn(self) -> None:
+    def send_due_arrivals(self) -> None:
         """Send all that is due, and come back when the next is."""
         now = self.clock()
-        while self.next is not None and self.next.at <= now + LEAD and not self.stopped:
+        while self.next is not None and self.next.at <= now + TIMER_RESOLUTION_S and not self.stopped:
             self.send(self.next)
             self.next = next(self.arrivals, None)
             now = self.clock()
         if self.next is None or self.stopped:
             self.check_done()
             return
-        asyncio.get_running_loop().call_at(self.origin + self.next.at, self.turn)
+        asyncio.get_running_loop().call_at(self.origin + self.next.at, self.send_due_arrivals)
 
     def send(self, arrival: Arrival) -> None:
         outcomes = self.outcomes
-        outcomes.arrives(arrival.at, arrival.gateway, arrival.customer)
-        outcomes.sent(arrival.at, self.clock(), arrival.gateway, arrival.customer)
-        Attempt(self, arrival, arrival.attempt if self.part.verbatim else 0, arrival.at).start(
+        outcomes.record_arrival(arrival.at, arrival.gateway, arrival.customer)
+        outcomes.record_sent(arrival.at, self.clock(), arrival.gateway, arrival.customer)
+        Attempt(self, arrival, arrival.attempt if self.settings.verbatim else 0, arrival.at).start(
             arrival.gateway
         )
 
-    def ended(self, attempt: Attempt, word: str, status: int, advice: float | None) -> None:
+    def attempt_finished(
+        self, attempt: Attempt, outcome: str, status: int, retry_after: float | None
+    ) -> None:
         now, arrival = self.clock(), attempt.arrival
-        self.out -= 1
-        self.outcomes.attempt(arrival.plan, arrival.gateway, word, now - attempt.sent_at)
-        again = None
-        if not self.part.verbatim and not self.stopped:
-            again = self.clients.after(status, advice, attempt.number, now)
-        if again is None:
-            if not (self.part.verbatim and arrival.attempt):
-                self.outcomes.ended(arrival.plan, word, attempt.due, now - attempt.due, arrival.inside)
+        self.in_flight -= 1
+        self.outcomes.record_attempt(arrival.plan, arrival.gateway, outcome, now - attempt.sent_at)
+        retry = None
+        if not self.settings.verbatim and not self.stopped:
+            retry = self.clients.next_retry(status, retry_after, attempt.number, now)
+        if retry is None:
+            if not (self.settings.verbatim and arrival.attempt):
+                self.outcomes.record_first_try(
+                    arrival.plan, outcome, attempt.due, now - attempt.due, arrival.inside_quota
+                )
             self.check_done()
             return
-        self.waiting += 1
+        self.pending_retries += 1
         self.outcomes.retries += 1
-        asyncio.get_running_loop().call_later(max(again.at - now, 0.0), self.retry, attempt)
+        asyncio.get_running_loop().call_later(max(retry.at - now, 0.0), self.retry, attempt)
 
-    def retry(self, before: Attempt) -> None:
-        self.waiting -= 1
-        arrival = before.arrival
-        attempt = Attempt(self, arrival, before.number + 1, before.due)
+    def retry(self, failed_attempt: Attempt) -> None:
+        self.pending_retries -= 1
+        arrival = failed_attempt.arrival
+        attempt = Attempt(self, arrival, failed_attempt.number + 1, failed_attempt.due)
         # Through another gateway of the customer's set, as the front deals it.
-        step = int(self.clients.waits.integers(0, arrival.spread))
-        attempt.start((arrival.from_ + step) % len(self.pools))
+        step = int(self.clients.retry_draws.integers(0, arrival.spread))
+        attempt.start((arrival.first_gateway + step) % len(self.pools))
 
     def check_done(self) -> None:
-        if (self.next is None or self.stopped) and not self.out and not self.waiting:
+        if (self.next is None or self.stopped) and not self.in_flight and not self.pending_retries:
             self.done.set()
 
 
-def play(part: Part, arrivals: Iterator[Arrival]) -> dict[str, Any]:
+def play(settings: PlayerSettings, arrivals: Iterator[Arrival]) -> dict[str, Any]:
     """One part, in this process, to its end; the counts come back plain."""
-    outcomes = uvloop.run(Player(part, arrivals).run())
-    return outcomes.plain()
+    outcomes = uvloop.run(Player(settings, arrivals).run())
+    return outcomes.as_dict()
 
 
 @dataclass
-class Work:
+class PlayerJob:
     """What a child process needs: its part, and a way to make the arrivals anew."""
 
-    part: Part
-    make: Callable[..., Iterator[Arrival]]
-    words: tuple[Any, ...] = field(default_factory=tuple)
+    settings: PlayerSettings
+    make_arrivals: Callable[..., Iterator[Arrival]]
+    arguments: tuple[Any, ...] = field(default_factory=tuple)
 
 
-def child(work: Work, pipe: Any) -> None:
+def run_child(job: PlayerJob, pipe: Any) -> None:
     try:
         # Ctrl-C before the run's beginning ends it like any other process.
         pipe.send("ready")
-        work.part.began = pipe.recv()
-        pipe.send(play(work.part, work.make(*work.words)))
-    except BaseException as e:
-        pipe.send(f"{type(e).__name__}: {e}")
+        job.settings.started_at = pipe.recv()
+        pipe.send(play(job.settings, job.make_arrivals(*job.arguments)))
+    except BaseException as error:
+        pipe.send(f"{type(error).__name__}: {error}")
         raise
     finally:
         pipe.close()
 
 
-class PlayError(Exception):
+class PlayerError(Exception):
     """A process of the player has ended without its counts."""
 
 
-def heard(process: Any, pipe: Any) -> Any:
+def receive(process: Any, pipe: Any) -> Any:
     """What a process says next; PlayError where it has ended instead, or failed."""
     try:
-        told = pipe.recv()
+        received = pipe.recv()
     except EOFError:
         process.join()
-        told = f"it ended with code {process.exitcode}"
-    if isinstance(told, str) and told != "ready":
-        raise PlayError(f"a process of the player failed: {told}")
-    return told
+        received = f"it ended with code {process.exitcode}"
+    if isinstance(received, str) and received != "ready":
+        raise PlayerError(f"a process of the player failed: {received}")
+    return received
 
 
 def play_all(
-    works: list[Work], outcomes: Outcomes, on_begin: Callable[[float], object] = lambda began: None
+    jobs: list[PlayerJob], outcomes: Outcomes, on_begin: Callable[[float], object] = lambda started_at: None
 ) -> None:
     """All parts side by side, each in a process of its own; their counts are added up.
 
@@ -364,25 +388,25 @@
     of its own, so that this process waits for them.
     """
     context = multiprocessing.get_context("spawn")
-    running = []
-    for work in works:
-        ours, theirs = context.Pipe()
-        process = context.Process(target=child, args=(work, theirs))
+    children = []
+    for job in jobs:
+        parent_pipe, child_pipe = context.Pipe()
+        process = context.Process(target=run_child, args=(job, child_pipe))
         process.start()
-        theirs.close()
-        running.append((process, ours))
+        child_pipe.close()
+        children.append((process, parent_pipe))
     try:
-        for process, pipe in running:
-            heard(process, pipe)
-        began = time.time() + START
-        for _, pipe in running:
-            pipe.send(began)
-        on_begin(began)
-        for process, pipe in running:
-            outcomes.add(heard(process, pipe))
+        for process, pipe in children:
+            receive(process, pipe)
+        started_at = time.time() + START_DELAY_S
+        for _, pipe in children:
+            pipe.send(started_at)
+        on_begin(started_at)
+        for process, pipe in children:
+            outcomes.merge(receive(process, pipe))
             process.join()
     finally:
-        for process, _ in running:
+        for process, _ in children:
             if process.is_alive():
                 process.terminate()
                 process.join()
--- a/latchspoke/lab/loopback/run.py
+++ b/latchspoke/lab/loopback/run.py
@@ -15,13 +15,13 @@
 from typing import Any
 
 from latchspoke.lab.experiment import KIND, Experiment
-from latchspoke.lab.load import Arrival, Replayed, drawn, inside_quotas
-from latchspoke.lab.loopback.player import Part, Work, play_all
-from latchspoke.lab.loopback.servers import HOST, World
-from latchspoke.lab.loopback.servers import Work as NodeWork
+from latchspoke.lab.load import Arrival, TraceReplay, mark_inside_quota, poisson_arrivals
+from latchspoke.lab.loopback.player import PlayerJob, PlayerSettings, play_all
+from latchspoke.lab.loopback.servers import HOST, SimulatedServers
+from latchspoke.lab.loopback.servers import WorkSampler as NodeWorkSampler
 from latchspoke.lab.outcome import Outcomes
 from latchspoke.lab.ports import open_port
-from latchspoke.lab.quota import PlanFigures, QuotaJudge, Use
+from latchspoke.lab.quota import PlanQuota, QuotaAuditor, QuotaUsage
 from latchspoke.traffic.trace import Reader, between
 
 READY_WITHIN = 15.0  # s
@@ -54,15 +54,15 @@
     variant: str
     seed: int
     outcomes: Outcomes
-    use: dict[str, Use]
+    use: dict[str, QuotaUsage]
     gateways: list[Gateway]
     counter_calls: int
     attempts: int
     served_by_nodes: dict[str, tuple[int, int]]
     interrupted: bool = False
     stats: list[dict[str, int]] = field(default_factory=list)  # gateways' counters, in virtual time
-    fallen: list[str] = field(default_factory=list)  # nodes pushed over while they were cold
-    most_links: int = 0  # connections that one node held at once, at most
+    overloaded_nodes: list[str] = field(default_factory=list)  # nodes pushed over while they were cold
+    peak_connections: int = 0  # connections that one node held at once, at most
 
 
 def trace_gateways(path: str, count: int) -> dict[str, int]:
@@ -73,17 +73,19 @@
     return names
 
 
-def replayed(
-    path: str, options: dict[str, Any], start: float, end: float, plans: dict[str, PlanFigures]
+def recorded_arrivals(
+    path: str, options: dict[str, Any], start: float, end: float, plans: dict[str, PlanQuota]
 ) -> Iterator[Arrival]:
     """Arrivals of a trace; made anew in each process of the player."""
-    return inside_quotas(Replayed(**options).arrivals(between(Reader(path), start, end)), plans)
+    return mark_inside_quota(TraceReplay(**options).arrivals(between(Reader(path), start, end)), plans)
 
 
-def drawn_again(experiment: Experiment, seed: int) -> Iterator[Arrival]:
+def generated_arrivals(experiment: Experiment, seed: int) -> Iterator[Arrival]:
     gateways = experiment.gateways
-    arrivals = drawn(experiment.loads(), KIND, experiment.duration, gateways.count, gateways.spread, seed)
-    return inside_quotas(arrivals, experiment.figures())
+    arrivals = poisson_arrivals(
+        experiment.loads(), KIND, experiment.duration, gateways.count, gateways.spread, seed
+    )
+    return mark_inside_quota(arrivals, experiment.plan_quotas())
 
 
 class Run:
@@ -96,14 +98,14 @@
         self.tree, self.folder, self.processes = tree, folder, processes
         self.gateways: list[Gateway] = []
         self.interrupted = False
-        self.judge = QuotaJudge(experiment.figures())
+        self.quota_auditor = QuotaAuditor(experiment.plan_quotas())
 
     async def play(self) -> RunResult:
         experiment = self.experiment
         nodes = experiment.nodes
-        world = World(
-            nodes.count, nodes.settings(), NodeWork(nodes.work, nodes.sigma, self.seed),
-            experiment.counter.settings(), experiment.schedule(), self.judge, nodes.late, self.seed,
+        world = SimulatedServers(
+            nodes.count, nodes.settings(), NodeWorkSampler(nodes.work, nodes.sigma, self.seed),
+            experiment.counter.settings(), experiment.schedule(), self.quota_auditor, nodes.late, self.seed,
             experiment.gateways.zones,
         )  # fmt: skip
         await world.start()
@@ -117,10 +119,10 @@
             with self.watch_interrupts():
                 await loop.run_in_executor(None, play_all, self.works(), outcomes, begin)
             await self.stop_gateways()
-            served = {name: (h.node.served, h.node.declined) for name, h in world.nodes.items()}
+            served = {name: (h.node.served, h.node.rejected) for name, h in world.nodes.items()}
             return RunResult(
-                self.variant, self.seed, outcomes, self.judge.use, self.gateways, world.counter.model.calls,
-                self.judge.attempts, served, self.interrupted,
+                self.variant, self.seed, outcomes, self.quota_auditor.use, self.gateways,
+                world.counter.model.calls, self.quota_auditor.attempts, served, self.interrupted,
             )  # fmt: skip
         finally:
             await self.kill_gateways()
@@ -139,13 +141,15 @@
     def interrupt(self) -> None:
         self.interrupted = True
 
-    def works(self) -> list[Work]:
+    def works(self) -> list[PlayerJob]:
         experiment = self.experiment
         addresses = [(HOST, gateway.port) for gateway in self.gateways]
         make, words, verbatim = self.arrivals()
         return [
-            Work(
-                Part(addresses, experiment.clients.settings(), self.seed, verbatim, n, self.processes),
+            PlayerJob(
+                PlayerSettings(
+                    addresses, experiment.clients.settings(), self.seed, verbatim, n, self.processes
+                ),
                 make,
                 words,
             )
@@ -155,17 +159,17 @@
     def arrivals(self) -> tuple[Callable[..., Iterator[Arrival]], tuple[Any, ...], bool]:
         experiment, trace = self.experiment, self.experiment.trace
         if trace is None:
-            return drawn_again, (experiment, self.seed), False
+            return generated_arrivals, (experiment, self.seed), False
         options = {
             "gateways": trace_gateways(trace.file, experiment.gateways.count), "speed": trace.speed,
             "scale": trace.scale, "louder": trace.louder, "verbatim": trace.verbatim, "seed": self.seed,
         }  # fmt: skip
         end = experiment.duration * trace.speed
-        return replayed, (trace.file, options, 0.0, end, experiment.figures()), trace.verbatim
+        return recorded_arrivals, (trace.file, options, 0.0, end, experiment.plan_quotas()), trace.verbatim
 
     # Gateways.
 
-    def configuration(self, index: int, port: int, world: World) -> dict[str, Any]:
+    def configuration(self, index: int, port: int, world: SimulatedServers) -> dict[str, Any]:
         entries = list(world.discovery.entries.values())
         return {
             "name": f"n{index}", "listen": f"{HOST}:{port}", "discovery": f"{HOST}:{world.discovery.port}",
@@ -175,7 +179,7 @@
             "settings": self.experiment.settings(index),
         }  # fmt: skip
 
-    async def start_gateways(self, world: World) -> None:
+    async def start_gateways(self, world: SimulatedServers) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
         for index in range(self.experiment.gateways.count):
             with open_port() as probe:
--- a/latchspoke/lab/loopback/servers.py
+++ b/latchspoke/lab/loopback/servers.py
@@ -13,67 +13,70 @@
 import numpy as np
 
 from latchspoke.lab.counter import CounterModel, CounterSettings
-from latchspoke.lab.faults import Fault, Schedule, Trouble
-from latchspoke.lab.loopback.http import Link, Place, response
-from latchspoke.lab.loopback.player import read_ident
-from latchspoke.lab.node import Node, NodeSettings
-from latchspoke.lab.quota import QuotaJudge
+from latchspoke.lab.faults import Fault, FaultEvent, FaultSchedule
+from latchspoke.lab.loopback.http import HttpServerConnection, PendingResponse, response
+from latchspoke.lab.loopback.player import parse_request_id
+from latchspoke.lab.node import NodeModel, NodeSettings
+from latchspoke.lab.quota import QuotaAuditor
 
 HOST = "127.0.0.1"
 KEY = re.compile(r"[?&]key=([0-9a-fA-F]+)")
-EMPTY_EVERY = 2.0  # s between the empty lines of a watch
+KEEPALIVE_INTERVAL_S = 2.0  # s between the empty lines of a watch
 Clock = Callable[[], float]
 
 
-class Work:
+class WorkSampler:
     """Draws the work of requests, in seconds of one core: lognormal with this mean and spread."""
 
     def __init__(self, mean: float, sigma: float, seed: int) -> None:
         self.mean, self.sigma = mean, sigma
-        self.draw = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 3])))
+        self.random = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 3])))
 
-    def one(self) -> float:
-        return float(self.draw.lognormal(np.log(self.mean) - self.sigma**2 / 2, self.sigma))
+    def draw(self) -> float:
+        return float(self.random.lognormal(np.log(self.mean) - self.sigma**2 / 2, self.sigma))
 
 
-class NodeLink(Link):
+class NodeConnection(HttpServerConnection):
     """A gateway's connection to a node."""
 
-    def __init__(self, host: NodeHost) -> None:
+    def __init__(self, host: NodeServer) -> None:
         super().__init__()
         self.host = host
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         host = self.host
-        if host.down or len(host.links) >= host.node.settings.connections:
+        if host.down or len(host.connections) >= host.node.settings.max_connections:
             self.abort()
             return
-        host.links[self] = None
-        host.node.connected(len(host.links) + 1)
+        host.connections[self] = None
+        host.node.connection_opened(len(host.connections) + 1)
         if host.vanished and self.transport is not None:
             self.transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.host.links.pop(self, None)
-        for place in self.places:
-            self.host.node.cancel(place)
+        self.host.connections.pop(self, None)
+        for pending_response in self.pending:
+            self.host.node.cancel(pending_response)
 
-    def asked(self, place: Place) -> None:
-        self.host.asked(place, self.url.decode("latin-1"), self.headers.get(b"req-id", b"").decode("latin-1"))
+    def handle_request(self, pending_response: PendingResponse) -> None:
+        self.host.handle_request(
+            pending_response, self.url.decode("latin-1"), self.headers.get(b"req-id", b"").decode("latin-1")
+        )
 
 
-class NodeHost:
+class NodeServer:
     """One node: the model, its listening socket, its connections, its troubles."""
 
     def __init__(
-        self, name: str, settings: NodeSettings, work: Work, schedule: Schedule, clock: Clock, seed: int,
-        on_sent: Callable[[str, str], None],
+        self, name: str, settings: NodeSettings, work: WorkSampler, schedule: FaultSchedule, clock: Clock,
+        seed: int, on_attempt: Callable[[str, str], None],
     ) -> None:  # fmt: skip
         self.name, self.work, self.schedule, self.clock = name, work, schedule, clock
-        self.node, self.on_sent = Node(settings), on_sent
-        self.draw = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 5])))
-        self.links: dict[NodeLink, None] = {}  # in the order of their coming, so that runs can be repeated
+        self.node, self.on_attempt = NodeModel(settings), on_attempt
+        self.random = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 5])))
+        # Kept in connection order, so that runs are reproducible.
+        self.connections: dict[NodeConnection, None] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -82,54 +85,54 @@
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: NodeLink(self), HOST, self.port, backlog=1024)
+        self.server = await loop.create_server(lambda: NodeConnection(self), HOST, self.port, backlog=1024)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def slow(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         return self.schedule.amount(Fault.SLOW, now, self.name) or 1.0
 
-    def chance(self, kind: Fault, now: float) -> bool:
+    def occurs(self, kind: Fault, now: float) -> bool:
         amount = self.schedule.amount(kind, now, self.name)
-        return amount is not None and float(self.draw.random()) < amount
+        return amount is not None and float(self.random.random()) < amount
 
-    def asked(self, place: Place, url: str, ident: str) -> None:
+    def handle_request(self, pending_response: PendingResponse, url: str, request_id: str) -> None:
         now = self.clock()
-        if not ident:
-            place.answer(response(404))
+        if not request_id:
+            pending_response.answer(response(404))
             return
-        self.on_sent(ident, url)
+        self.on_attempt(request_id, url)
         if self.schedule.amount(Fault.HANG, now, self.name) is not None:
             return
-        if self.chance(Fault.FAIL_FAST, now):
-            place.answer(response(500, headers=self.load(now)))
+        if self.occurs(Fault.FAIL_FAST, now):
+            pending_response.answer(response(500, headers=self.load_header(now)))
             return
         self.advance()
-        if not self.node.arrive(place, self.work.one(), now):
-            place.answer(response(503, headers=f"Srv-Declined: 1\r\n{self.load(now)}"))
+        if not self.node.arrive(pending_response, self.work.draw(), now):
+            pending_response.answer(response(503, headers=f"Srv-Declined: 1\r\n{self.load_header(now)}"))
         self.arm()
 
-    def load(self, now: float) -> str:
-        queue, util = self.node.load(now)
+    def load_header(self, now: float) -> str:
+        queue, util = self.node.load_report(now)
         return f"Srv-Load: TEXT queue={queue}, util={util:.2f}\r\n"
 
     def advance(self) -> None:
         now = self.clock()
-        for job in self.node.advance(now, self.slow(now)):
-            place = job.ident
-            if isinstance(place, Place):
-                place.answer(self.answer(now))
+        for job in self.node.advance(now, self.slowdown(now)):
+            pending_response = job.key
+            if isinstance(pending_response, PendingResponse):
+                pending_response.answer(self.answer(now))
 
     def answer(self, now: float) -> bytes:
-        whole = response(200, b'{"balance": 1}', self.load(now))
-        if self.chance(Fault.SPOIL, now):
-            return whole[: len(whole) // 2] if float(self.draw.random()) < 0.5 else b"\x00garbage\r\n\r\n"
+        whole = response(200, b'{"balance": 1}', self.load_header(now))
+        if self.occurs(Fault.CORRUPT, now):
+            return whole[: len(whole) // 2] if float(self.random.random()) < 0.5 else b"\x00garbage\r\n\r\n"
         return whole
 
     def arm(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        due = self.node.next_at(self.slow(self.clock()))
+        due = self.node.next_completion(self.slowdown(self.clock()))
         if due is not None and not self.down:
             self.timer = asyncio.get_running_loop().call_later(max(due - self.clock(), 0.0), self.fire)
 
@@ -140,82 +143,82 @@
 
     # Troubles that change the sockets.
 
-    def begin(self, trouble: Trouble) -> None:
-        if trouble.kind is Fault.RESTART:
+    def begin(self, event: FaultEvent) -> None:
+        if event.kind is Fault.RESTART:
             self.down = True
             self.node.restart(self.clock())
-            self.break_all()
+            self.abort_connections()
             if self.server is not None:
                 self.server.close()
-        elif trouble.kind is Fault.RESET:
-            self.break_all()
-        elif trouble.kind is Fault.VANISH:
+        elif event.kind is Fault.RESET:
+            self.abort_connections()
+        elif event.kind is Fault.UNRESPONSIVE:
             self.vanished = True
-            for link in self.links:
-                if link.transport is not None:
-                    link.transport.pause_reading()
+            for connection in self.connections:
+                if connection.transport is not None:
+                    connection.transport.pause_reading()
         self.advance()
         self.arm()
 
-    def end(self, trouble: Trouble) -> None:
+    def end(self, event: FaultEvent) -> None:
         """The listening socket comes back by ``listen``, as that takes the loop."""
-        if trouble.kind is Fault.RESTART:
+        if event.kind is Fault.RESTART:
             self.down = False
             self.node.restart(self.clock())
-        elif trouble.kind is Fault.VANISH:
+        elif event.kind is Fault.UNRESPONSIVE:
             self.vanished = False
-            self.break_all()
+            self.abort_connections()
         self.advance()
         self.arm()
 
-    def break_all(self) -> None:
-        for link in list(self.links):
-            link.abort()
+    def abort_connections(self) -> None:
+        for connection in list(self.connections):
+            connection.abort()
 
     def close(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         if self.server is not None:
             self.server.close()
-        self.break_all()
+        self.abort_connections()
 
 
-class CounterLink(Link):
-    def __init__(self, host: CounterHost) -> None:
+class CounterConnection(HttpServerConnection):
+    def __init__(self, host: CounterServer) -> None:
         super().__init__()
         self.host = host
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.host.links[self] = None
+        self.host.connections[self] = None
         if self.host.gone():
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.host.links.pop(self, None)
+        self.host.connections.pop(self, None)
 
-    def asked(self, place: Place) -> None:
-        self.host.asked(place, self.url.decode("latin-1"))
+    def handle_request(self, pending_response: PendingResponse) -> None:
+        self.host.handle_request(pending_response, self.url.decode("latin-1"))
 
 
-class CounterHost:
+class CounterServer:
     """The shared counter: answers go out when the model says, in their order on each connection."""
 
-    def __init__(self, settings: CounterSettings, schedule: Schedule, clock: Clock) -> None:
+    def __init__(self, settings: CounterSettings, schedule: FaultSchedule, clock: Clock) -> None:
         self.model, self.schedule, self.clock = CounterModel(settings), schedule, clock
-        self.links: dict[CounterLink, None] = {}
+        self.connections: dict[CounterConnection, None] = {}
         self.server: asyncio.Server | None = None
         self.port = 0
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: CounterLink(self), HOST, 0, backlog=256)
+        self.server = await loop.create_server(lambda: CounterConnection(self), HOST, 0, backlog=256)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def gone(self) -> bool:
-        return self.schedule.amount(Fault.COUNTER_GONE, self.clock()) is not None
+        return self.schedule.amount(Fault.COUNTER_DOWN, self.clock()) is not None
 
-    def asked(self, place: Place, url: str) -> None:
+    def handle_request(self, pending_response: PendingResponse, url: str) -> None:
         now = self.clock()
         parts = urlsplit(url)
         query = parse_qs(parts.query)
@@ -223,42 +226,44 @@
             name = parts.path.removeprefix("/v2/numbers/")
             amount, life = float(query["delta"][0]), float(query["life_ms"][0]) / 1000
         except (KeyError, ValueError):
-            place.answer(response(404))
+            pending_response.answer(response(404))
             return
         slow = self.schedule.amount(Fault.COUNTER_SLOW, now) or 1.0
         total, due = self.model.add(name, amount, life, now, slow)
         body = f"{total:.7g}".encode()
-        asyncio.get_running_loop().call_later(max(due - now, 0.0), place.answer, response(200, body))
+        asyncio.get_running_loop().call_later(
+            max(due - now, 0.0), pending_response.answer, response(200, body)
+        )
 
-    def begin(self, trouble: Trouble) -> None:
-        if trouble.kind is Fault.COUNTER_RESET:
+    def begin(self, event: FaultEvent) -> None:
+        if event.kind is Fault.COUNTER_RESET:
             self.model.reset()
-        if trouble.kind in (Fault.COUNTER_GONE, Fault.COUNTER_RESET):
-            for link in list(self.links):
-                link.abort()
+        if event.kind in (Fault.COUNTER_DOWN, Fault.COUNTER_RESET):
+            for connection in list(self.connections):
+                connection.abort()
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for link in list(self.links):
-            link.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
 
-class WatchLink(Link):
+class DiscoveryConnection(HttpServerConnection):
     """A gateway's watch, or a question for the list."""
 
-    def __init__(self, host: DiscoveryHost) -> None:
+    def __init__(self, host: DiscoveryServer) -> None:
         super().__init__()
         self.host = host
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.host.watches.pop(self, None)
 
-    def asked(self, place: Place) -> None:
+    def handle_request(self, pending_response: PendingResponse) -> None:
         if "stream=1" not in self.url.decode("latin-1"):
-            place.answer(response(200, self.host.whole()))
+            pending_response.answer(response(200, self.host.whole()))
             return
-        self.places.clear()
+        self.pending.clear()
         if self.transport is not None:
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.host.watches[self] = None
@@ -269,14 +274,14 @@
             self.transport.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
-class DiscoveryHost:
+class DiscoveryServer:
     """The list of nodes: whole at the start of a watch, changes as they become known."""
 
-    def __init__(self, schedule: Schedule, clock: Clock, late: float) -> None:
+    def __init__(self, schedule: FaultSchedule, clock: Clock, late: float) -> None:
         self.schedule, self.clock, self.late = schedule, clock, late
         self.entries: dict[str, dict[str, object]] = {}
         self.generation = 1
-        self.watches: dict[WatchLink, None] = {}
+        self.watches: dict[DiscoveryConnection, None] = {}
         self.server: asyncio.Server | None = None
         self.port = 0
         self.held: list[bytes] = []
@@ -284,25 +289,25 @@
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: WatchLink(self), HOST, 0, backlog=256)
+        self.server = await loop.create_server(lambda: DiscoveryConnection(self), HOST, 0, backlog=256)
         self.port = self.server.sockets[0].getsockname()[1]
-        self.beat = loop.call_later(EMPTY_EVERY, self.empty)
+        self.beat = loop.call_later(KEEPALIVE_INTERVAL_S, self.empty)
 
     def silent(self) -> bool:
         return self.schedule.amount(Fault.DISCOVERY_SILENT, self.clock()) is not None
 
     def empty(self) -> None:
-        self.beat = asyncio.get_running_loop().call_later(EMPTY_EVERY, self.empty)
+        self.beat = asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL_S, self.empty)
         self.tell(b"\n")
 
     def whole(self) -> bytes:
         return self.line(list(self.entries.values()), reset=True)
 
     def line(self, entries: list[dict[str, object]], reset: bool = False) -> bytes:
-        told = {"generation": self.generation, "reset": reset, "instances": entries}
-        return json.dumps(told).encode() + b"\n"
+        message = {"generation": self.generation, "reset": reset, "instances": entries}
+        return json.dumps(message).encode() + b"\n"
 
-    def put(self, host: NodeHost, zone: str, lifecycle: str = "in_service") -> dict[str, object]:
+    def put(self, host: NodeServer, zone: str, lifecycle: str = "in_service") -> dict[str, object]:
         entry: dict[str, object] = {
             "instanceId": host.name, "hostPort": f"{HOST}:{host.port}", "zone": zone, "lifecycle": lifecycle,
             "weight": 1.0, "startedAtMs": host.started_ms,
@@ -313,12 +318,12 @@
             self.entries[host.name] = entry
         return entry
 
-    def changed(self, host: NodeHost, zone: str, lifecycle: str) -> None:
+    def changed(self, host: NodeServer, zone: str, lifecycle: str) -> None:
         """A change that becomes known only after a while."""
-        late = self.schedule.amount(Fault.DISCOVERY_LATE, self.clock()) or self.late
+        late = self.schedule.amount(Fault.DISCOVERY_DELAYED, self.clock()) or self.late
         asyncio.get_running_loop().call_later(late, self.known, host, zone, lifecycle)
 
-    def known(self, host: NodeHost, zone: str, lifecycle: str) -> None:
+    def known(self, host: NodeServer, zone: str, lifecycle: str) -> None:
         self.generation += 1
         self.tell(self.line([self.put(host, zone, lifecycle)]))
 
@@ -341,22 +346,25 @@
             watch.abort()
 
 
-class World:
+class SimulatedServers:
     """All stand-ins of one run, and its schedule of troubles."""
 
     def __init__(
-        self, nodes: int, settings: NodeSettings, work: Work, counter: CounterSettings, schedule: Schedule,
-        judge: QuotaJudge, late: float, seed: int, zones: int = 3, unix: Clock = time.time,
+        self, nodes: int, settings: NodeSettings, work: WorkSampler, counter: CounterSettings,
+        schedule: FaultSchedule, quota_auditor: QuotaAuditor, late: float, seed: int, zones: int = 3,
+        unix: Clock = time.time,
     ) -> None:  # fmt: skip
         self.unix = unix
-        self.schedule, self.judge, self.zones = schedule, judge, zones
+        self.schedule, self.quota_auditor, self.zones = schedule, quota_auditor, zones
         self.origin: float | None = None
         self.nodes = {
-            f"s-{n}": NodeHost(f"s-{n}", settings, work, schedule, self.clock, seed * 1000 + n, self.sent)
+            f"s-{n}": NodeServer(
+                f"s-{n}", settings, work, schedule, self.clock, seed * 1000 + n, self.record_attempt
+            )
             for n in range(nodes)
         }
-        self.counter = CounterHost(counter, schedule, self.clock)
-        self.discovery = DiscoveryHost(schedule, self.clock, late)
+        self.counter = CounterServer(counter, schedule, self.clock)
+        self.discovery = DiscoveryServer(schedule, self.clock, late)
         self.timers: list[asyncio.TimerHandle] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -368,11 +376,13 @@
     def zone(self, name: str) -> str:
         return f"b{int(name.rpartition('-')[2]) % self.zones + 1}"
 
-    def sent(self, ident: str, url: str) -> None:
-        told = read_ident(ident)
+    def record_attempt(self, request_id: str, url: str) -> None:
+        request_details = parse_request_id(request_id)
         key = KEY.search(url)
-        if told is not None and key is not None:
-            self.judge.sent(ident, told[0], int(key.group(1), 16), told[1], self.clock())
+        if request_details is not None and key is not None:
+            self.quota_auditor.record_attempt(
+                request_id, request_details[0], int(key.group(1), 16), request_details[1], self.clock()
+            )
 
     async def start(self) -> None:
         await self.counter.listen()
@@ -387,24 +397,24 @@
         loop = asyncio.get_running_loop()
         for node in self.nodes.values():
             node.node.now = 0.0
-        for at, trouble, starts in self.schedule.edges():
-            self.timers.append(loop.call_at(origin + at, self.edge, trouble, starts))
+        for at, event, starts in self.schedule.transitions():
+            self.timers.append(loop.call_at(origin + at, self.apply_transition, event, starts))
 
-    def edge(self, trouble: Trouble, starts: bool) -> None:
-        if not trouble.nodes:
+    def apply_transition(self, event: FaultEvent, starts: bool) -> None:
+        if not event.nodes:
             if starts:
-                self.counter.begin(trouble)
+                self.counter.begin(event)
             return
-        for name in sorted(trouble.nodes):
+        for name in sorted(event.nodes):
             host = self.nodes[name]
             if starts:
-                host.begin(trouble)
+                host.begin(event)
             else:
-                host.end(trouble)
-            if trouble.kind is Fault.RESTART:
+                host.end(event)
+            if event.kind is Fault.RESTART:
                 self.restart(host, starts)
 
-    def restart(self, host: NodeHost, starts: bool) -> None:
+    def restart(self, host: NodeServer, starts: bool) -> None:
         if starts:
             self.discovery.changed(host, self.zone(host.name), "terminated")
             return
--- a/latchspoke/lab/node.py
+++ b/latchspoke/lab/node.py
@@ -22,147 +22,154 @@
 
     cores: float = 2.0
     slots: int = 8
-    room: int = 64
-    cold: float = 0.2
-    warm_time: float = 15.0
-    report_every: float = 0.5
-    handshake: float = 0.002  # s of work that a new connection costs
-    connections: int = 512
-    fall_multiple: float = 2.5
-    fall_time: float = 3.0
-    crowding: float = 0.002  # part of the pace that each request held beyond the slots costs
+    queue_limit: int = 64
+    cold_speed: float = 0.2
+    warm_up_time: float = 15.0
+    report_interval: float = 0.5
+    handshake_work: float = 0.002  # s of work that a new connection costs
+    max_connections: int = 512
+    overload_multiple: float = 2.5
+    overload_window: float = 3.0
+    crowding_penalty: float = 0.002  # part of the pace that each request held beyond the slots costs
 
 
 @dataclass(slots=True)
 class Job:
     """A request at a node: ``left`` is the work still to do, in seconds of one core."""
 
-    ident: Hashable
-    left: float
-    arrived: float
+    key: Hashable
+    remaining_work: float
+    arrived_at: float
 
 
 @dataclass(slots=True)
-class Node:
+class NodeModel:
     """One node's state. All methods take the time, which must not go back."""
 
     settings: NodeSettings
     started: float = float("-inf")
     now: float = 0.0
-    working: list[Job] = field(default_factory=list)
-    waiting: deque[Job] = field(default_factory=deque)
-    done: list[Job] = field(default_factory=list)
-    busy: float = 0.0  # core seconds used since the last report
+    running: list[Job] = field(default_factory=list)
+    queued: deque[Job] = field(default_factory=deque)
+    finished: list[Job] = field(default_factory=list)
+    busy_core_seconds: float = 0.0  # core seconds used since the last report
     reported_at: float = float("-inf")
     report: tuple[int, float] = (0, 0.0)
-    debt: float = 0.0  # work of handshakes not yet done
+    pending_handshake_work: float = 0.0  # work of handshakes not yet done
     served: int = 0
-    declined: int = 0
-    most_links: int = 0  # connections held at once, at most
-    fallen: bool = False
-    pushed: deque[tuple[float, float]] = field(default_factory=deque)  # (time, work) sent while it is cold
-
-    def pace(self, now: float, slow: float = 1.0) -> float:
+    rejected: int = 0
+    peak_connections: int = 0  # connections held at once, at most
+    overloaded: bool = False
+    recent_cold_work: deque[tuple[float, float]] = field(
+        default_factory=deque
+    )  # (time, work) sent while it is cold
+
+    def speed(self, now: float, slowdown: float = 1.0) -> float:
         """Part of the whole pace at which it works."""
-        held = max(len(self.working) + len(self.waiting) - self.settings.slots, 0)
-        return self.warmth(now) * slow / (1 + self.settings.crowding * held)
+        excess = max(len(self.running) + len(self.queued) - self.settings.slots, 0)
+        return self.warm_up_factor(now) * slowdown / (1 + self.settings.crowding_penalty * excess)
 
-    def warmth(self, now: float) -> float:
+    def warm_up_factor(self, now: float) -> float:
         """Part of the whole pace that its age allows."""
         settings, age = self.settings, now - self.started
-        if age >= settings.warm_time:
+        if age >= settings.warm_up_time:
             return 1.0
-        return settings.cold + (1 - settings.cold) * max(age, 0.0) / settings.warm_time
+        return settings.cold_speed + (1 - settings.cold_speed) * max(age, 0.0) / settings.warm_up_time
 
-    def share(self, now: float, slow: float) -> float:
+    def work_rate(self, now: float, slowdown: float) -> float:
         """Core seconds a second that each request in work gets."""
-        if not self.working:
+        if not self.running:
             return 0.0
-        return min(1.0, self.settings.cores / len(self.working)) * self.pace(now, slow)
+        return min(1.0, self.settings.cores / len(self.running)) * self.speed(now, slowdown)
 
-    def advance(self, now: float, slow: float = 1.0) -> list[Job]:
+    def advance(self, now: float, slowdown: float = 1.0) -> list[Job]:
         """Bring it up to now; the requests done meanwhile come back, in order."""
-        while self.working and now > self.now:
-            share = self.share(self.now, slow)
-            soonest = min(job.left for job in self.working)
-            step = min(now - self.now, soonest / share if share > EPSILON else now - self.now)
-            for job in self.working:
-                job.left -= step * share
-            self.busy += step * share * len(self.working)
+        while self.running and now > self.now:
+            work_rate = self.work_rate(self.now, slowdown)
+            shortest = min(job.remaining_work for job in self.running)
+            step = min(now - self.now, shortest / work_rate if work_rate > EPSILON else now - self.now)
+            for job in self.running:
+                job.remaining_work -= step * work_rate
+            self.busy_core_seconds += step * work_rate * len(self.running)
             self.now += step
-            self.finish()
+            self.collect_finished()
             if step <= 0:
                 break
         self.now = max(now, self.now)
-        done, self.done = self.done, []
-        return done
-
-    def finish(self) -> None:
-        over = [job for job in self.working if job.left <= EPSILON]
-        if over:
-            self.working = [job for job in self.working if job.left > EPSILON]
-            self.done += over
-            self.served += len(over)
-            while self.waiting and len(self.working) < self.settings.slots:
-                self.working.append(self.waiting.popleft())
-
-    def arrive(self, ident: Hashable, work: float, now: float) -> bool:
+        finished, self.finished = self.finished, []
+        return finished
+
+    def collect_finished(self) -> None:
+        completed = [job for job in self.running if job.remaining_work <= EPSILON]
+        if completed:
+            self.running = [job for job in self.running if job.remaining_work > EPSILON]
+            self.finished += completed
+            self.served += len(completed)
+            while self.queued and len(self.running) < self.settings.slots:
+                self.running.append(self.queued.popleft())
+
+    def arrive(self, key: Hashable, work: float, now: float) -> bool:
         """Take a request in; False if it is turned away. ``advance`` to now comes first."""
-        work, self.debt = work + self.debt, 0.0
-        if self.push(work, now):
-            self.declined += 1
+        work, self.pending_handshake_work = work + self.pending_handshake_work, 0.0
+        if self.check_overload(work, now):
+            self.rejected += 1
             return False
-        job = Job(ident, work, now)
-        if len(self.working) < self.settings.slots:
-            self.working.append(job)
-        elif len(self.waiting) < self.settings.room:
-            self.waiting.append(job)
+        job = Job(key, work, now)
+        if len(self.running) < self.settings.slots:
+            self.running.append(job)
+        elif len(self.queued) < self.settings.queue_limit:
+            self.queued.append(job)
         else:
-            self.declined += 1
+            self.rejected += 1
             return False
         return True
 
-    def push(self, work: float, now: float) -> bool:
+    def check_overload(self, work: float, now: float) -> bool:
         """Whether it is over, or falls with this."""
         settings = self.settings
-        if now - self.started < settings.warm_time:
-            self.pushed.append((now, work))
-            while self.pushed[0][0] <= now - settings.fall_time:
-                self.pushed.popleft()
-            able = settings.cores * self.warmth(now) * settings.fall_time
-            self.fallen |= sum(sent for _, sent in self.pushed) > settings.fall_multiple * able
-        return self.fallen
-
-    def connected(self, links: int = 0) -> None:
+        if now - self.started < settings.warm_up_time:
+            self.recent_cold_work.append((now, work))
+            while self.recent_cold_work[0][0] <= now - settings.overload_window:
+                self.recent_cold_work.popleft()
+            possible_work = settings.cores * self.warm_up_factor(now) * settings.overload_window
+            self.overloaded |= (
+                sum(work for _, work in self.recent_cold_work) > settings.overload_multiple * possible_work
+            )
+        return self.overloaded
+
+    def connection_opened(self, connections: int = 0) -> None:
         """A new connection costs work, which the next request on the node pays for."""
-        self.debt += self.settings.handshake
-        self.most_links = max(self.most_links, links)
+        self.pending_handshake_work += self.settings.handshake_work
+        self.peak_connections = max(self.peak_connections, connections)
 
-    def cancel(self, ident: Hashable) -> None:
+    def cancel(self, key: Hashable) -> None:
         """Waiting work of a client that has left is dropped; running work goes on."""
-        self.waiting = deque(job for job in self.waiting if job.ident != ident)
+        self.queued = deque(job for job in self.queued if job.key != key)
 
-    def next_at(self, slow: float = 1.0) -> float | None:
+    def next_completion(self, slowdown: float = 1.0) -> float | None:
         """When the next request is done if nothing else comes; None while nothing is in work."""
-        share = self.share(self.now, slow)
-        if share <= EPSILON:
+        work_rate = self.work_rate(self.now, slowdown)
+        if work_rate <= EPSILON:
             return None
-        return self.now + max(min(job.left for job in self.working) / share, 0.0)
+        return self.now + max(min(job.remaining_work for job in self.running) / work_rate, 0.0)
 
-    def load(self, now: float) -> tuple[int, float]:
+    def load_report(self, now: float) -> tuple[int, float]:
         """The report as it stands: requests waiting, and how busy the cores were; made anew now and then."""
-        gap = now - self.reported_at
-        if gap >= self.settings.report_every:
-            span = min(gap, 10 * self.settings.report_every)
-            self.report = len(self.waiting), min(self.busy / (span * self.settings.cores), 1.0)
-            self.busy, self.reported_at = 0.0, now
+        since_report = now - self.reported_at
+        if since_report >= self.settings.report_interval:
+            interval = min(since_report, 10 * self.settings.report_interval)
+            self.report = (
+                len(self.queued),
+                min(self.busy_core_seconds / (interval * self.settings.cores), 1.0),
+            )
+            self.busy_core_seconds, self.reported_at = 0.0, now
         return self.report
 
     def restart(self, now: float) -> list[Job]:
         """All that it held is lost; it begins cold."""
-        lost = [*self.working, *self.waiting]
-        self.working, self.waiting, self.started, self.now = [], deque(), now, now
-        self.debt = self.busy = 0.0
-        self.fallen = False
-        self.pushed.clear()
-        return lost
+        dropped = [*self.running, *self.queued]
+        self.running, self.queued, self.started, self.now = [], deque(), now, now
+        self.pending_handshake_work = self.busy_core_seconds = 0.0
+        self.overloaded = False
+        self.recent_cold_work.clear()
+        return dropped
--- a/latchspoke/lab/outcome.py
+++ b/latchspoke/lab/outcome.py
@@ -13,20 +13,22 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-SLOT = 0.1  # s; arrivals are compared in slots of this
-LEAST, MOST, DIGITS = 1, 120_000_000, 3  # µs
-BEHIND = 0.1  # s; a request sent later than this after its moment was sent by a player that fell behind
+SLOT_S = 0.1  # s; arrivals are compared in slots of this
+MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS = 1, 120_000_000, 3  # µs
+BEHIND_THRESHOLD_S = (
+    0.1  # s; a request sent later than this after its moment was sent by a player that fell behind
+)
 OUTCOMES = ("served", "late", "refused", "failed", "given up", "broken", "not connected")
 
 
 def histogram() -> HdrHistogram:
-    return HdrHistogram(LEAST, MOST, DIGITS)
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
-def outcome(status: int, took: float, aim: float) -> str:
+def classify_outcome(status: int, elapsed: float, target_latency: float) -> str:
     """An answer's word; status 0 is none."""
     if status == 200:
-        return "served" if took <= aim else "late"
+        return "served" if elapsed <= target_latency else "late"
     return "refused" if status in (429, 503) else "failed"
 
 
@@ -34,7 +36,7 @@
 class Outcomes:
     """All that is counted. Slots and seconds are of the run's own time."""
 
-    aim: float
+    target_latency: float
     planned: Counter[int] = field(default_factory=Counter)
     played: Counter[int] = field(default_factory=Counter)
     by_gateway: dict[str, Counter[int]] = field(
@@ -44,102 +46,107 @@
         default_factory=lambda: {"planned": Counter(), "played": Counter()}
     )
     attempts: dict[str, Counter[str]] = field(default_factory=dict)  # by plan
-    tries: dict[str, Counter[str]] = field(default_factory=dict)  # first tries, by plan
-    inside: dict[str, Counter[str]] = field(default_factory=dict)  # first tries inside quotas, by plan
-    seconds: dict[str, Counter[int]] = field(default_factory=dict)  # outcomes of first tries over time
+    first_tries: dict[str, Counter[str]] = field(default_factory=dict)  # first tries, by plan
+    inside_quota: dict[str, Counter[str]] = field(default_factory=dict)  # first tries inside quotas, by plan
+    by_second: dict[str, Counter[int]] = field(default_factory=dict)  # outcomes of first tries over time
     gateways: dict[int, Counter[str]] = field(default_factory=dict)
     latency: HdrHistogram = field(default_factory=histogram)  # first tries that were served, to their answer
-    answers: HdrHistogram = field(default_factory=histogram)  # each attempt's answer
+    answer_latency: HdrHistogram = field(default_factory=histogram)  # each attempt's answer
     lateness: HdrHistogram = field(default_factory=histogram)
     behind: int = 0
     behind_from: float = -1.0
     unplayed: int = 0
     retries: int = 0
 
-    def arrives(self, at: float, gateway: int, customer: int) -> None:
+    def record_arrival(self, at: float, gateway: int, customer: int) -> None:
         """An arrival was due: what is played is compared with this."""
-        self.planned[int(at / SLOT)] += 1
+        self.planned[int(at / SLOT_S)] += 1
         self.by_gateway["planned"][gateway] += 1
         self.by_customer["planned"][customer] += 1
 
-    def sent(self, due: float, at: float, gateway: int, customer: int) -> None:
-        self.played[int(at / SLOT)] += 1
+    def record_sent(self, due: float, at: float, gateway: int, customer: int) -> None:
+        self.played[int(at / SLOT_S)] += 1
         self.by_gateway["played"][gateway] += 1
         self.by_customer["played"][customer] += 1
-        late = max(at - due, 0.0)
-        self.lateness.record_value(min(max(int(late * 1e6), LEAST), MOST))
-        if late > BEHIND:
+        delay = max(at - due, 0.0)
+        self.lateness.record_value(min(max(int(delay * 1e6), MIN_LATENCY_US), MAX_LATENCY_US))
+        if delay > BEHIND_THRESHOLD_S:
             self.behind += 1
             if self.behind_from < 0:
                 self.behind_from = due
 
-    def attempt(self, plan: str, gateway: int, word: str, took: float) -> None:
-        self.attempts.setdefault(plan, Counter())[word] += 1
-        self.gateways.setdefault(gateway, Counter())[word] += 1
-        if word in ("served", "late", "refused", "failed"):
-            self.answers.record_value(min(max(int(took * 1e6), LEAST), MOST))
+    def record_attempt(self, plan: str, gateway: int, outcome: str, elapsed: float) -> None:
+        self.attempts.setdefault(plan, Counter())[outcome] += 1
+        self.gateways.setdefault(gateway, Counter())[outcome] += 1
+        if outcome in ("served", "late", "refused", "failed"):
+            self.answer_latency.record_value(min(max(int(elapsed * 1e6), MIN_LATENCY_US), MAX_LATENCY_US))
 
-    def ended(self, plan: str, word: str, due: float, took: float, inside: bool = True) -> None:
+    def record_first_try(
+        self, plan: str, outcome: str, due: float, elapsed: float, inside_quota: bool = True
+    ) -> None:
         """A first try is over, with all its retries; ``took`` is from its own moment."""
-        self.tries.setdefault(plan, Counter())[word] += 1
-        if inside:
-            self.inside.setdefault(plan, Counter())[word] += 1
-        self.seconds.setdefault(word, Counter())[int(due)] += 1
-        if word in ("served", "late"):
-            self.latency.record_value(min(max(int(took * 1e6), LEAST), MOST))
+        self.first_tries.setdefault(plan, Counter())[outcome] += 1
+        if inside_quota:
+            self.inside_quota.setdefault(plan, Counter())[outcome] += 1
+        self.by_second.setdefault(outcome, Counter())[int(due)] += 1
+        if outcome in ("served", "late"):
+            self.latency.record_value(min(max(int(elapsed * 1e6), MIN_LATENCY_US), MAX_LATENCY_US))
 
     # Put together, and told.
 
-    def plain(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """For another process."""
         return {
-            "aim": self.aim, "planned": dict(self.planned), "played": dict(self.played),
+            "aim": self.target_latency, "planned": dict(self.planned), "played": dict(self.played),
             "by_gateway": {k: dict(v) for k, v in self.by_gateway.items()},
             "by_customer": {k: dict(v) for k, v in self.by_customer.items()},
             "attempts": {k: dict(v) for k, v in self.attempts.items()},
-            "tries": {k: dict(v) for k, v in self.tries.items()},
-            "inside": {k: dict(v) for k, v in self.inside.items()},
-            "seconds": {k: dict(v) for k, v in self.seconds.items()},
+            "tries": {k: dict(v) for k, v in self.first_tries.items()},
+            "inside": {k: dict(v) for k, v in self.inside_quota.items()},
+            "seconds": {k: dict(v) for k, v in self.by_second.items()},
             "gateways": {k: dict(v) for k, v in self.gateways.items()},
-            "latency": self.latency.encode(), "answers": self.answers.encode(),
+            "latency": self.latency.encode(), "answers": self.answer_latency.encode(),
             "lateness": self.lateness.encode(), "behind": self.behind, "behind_from": self.behind_from,
             "unplayed": self.unplayed, "retries": self.retries,
         }  # fmt: skip
 
-    def add(self, told: dict[str, Any]) -> None:
+    def merge(self, counted: dict[str, Any]) -> None:
         """What another process counted."""
-        self.planned.update(told["planned"])
-        self.played.update(told["played"])
-        for mine, theirs in ((self.by_gateway, told["by_gateway"]), (self.by_customer, told["by_customer"])):
+        self.planned.update(counted["planned"])
+        self.played.update(counted["played"])
+        for mine, theirs in (
+            (self.by_gateway, counted["by_gateway"]),
+            (self.by_customer, counted["by_customer"]),
+        ):
             for name, counts in theirs.items():
                 mine[name].update(counts)
         groups: tuple[tuple[dict[Any, Counter[Any]], str], ...] = (
-            (self.attempts, "attempts"), (self.tries, "tries"), (self.inside, "inside"),
-            (self.seconds, "seconds"),
+            (self.attempts, "attempts"), (self.first_tries, "tries"), (self.inside_quota, "inside"),
+            (self.by_second, "seconds"),
             (self.gateways, "gateways"),
         )  # fmt: skip
         for group, name in groups:
-            for key, counts in told[name].items():
+            for key, counts in counted[name].items():
                 group.setdefault(key, Counter()).update(counts)
-        self.latency.decode_and_add(told["latency"])
-        self.answers.decode_and_add(told["answers"])
-        self.lateness.decode_and_add(told["lateness"])
-        self.behind += told["behind"]
-        starts = [s for s in (self.behind_from, told["behind_from"]) if s >= 0]
+        self.latency.decode_and_add(counted["latency"])
+        self.answer_latency.decode_and_add(counted["answers"])
+        self.lateness.decode_and_add(counted["lateness"])
+        self.behind += counted["behind"]
+        starts = [s for s in (self.behind_from, counted["behind_from"]) if s >= 0]
         self.behind_from = min(starts, default=-1.0)
-        self.unplayed += told["unplayed"]
-        self.retries += told["retries"]
+        self.unplayed += counted["unplayed"]
+        self.retries += counted["retries"]
 
-    def worth(self, pays: dict[str, float], late_worth: float = 0.2) -> float:
+    def served_worth(self, pays: dict[str, float], late_worth: float = 0.2) -> float:
         """Worth served over worth asked for inside quotas: first tries, weighed by what plans pay."""
-        asked = served = 0.0
-        for plan, counts in self.inside.items():
+        requested_worth = served_worth = 0.0
+        for plan, counts in self.inside_quota.items():
             weight = pays.get(plan, 1.0)
-            asked += weight * sum(counts.values())
-            served += weight * (counts["served"] + late_worth * counts["late"])
-        return served / asked if asked else 0.0
+            requested_worth += weight * sum(counts.values())
+            served_worth += weight * (counts["served"] + late_worth * counts["late"])
+        return served_worth / requested_worth if requested_worth else 0.0
 
-    def errors(self, kind: str) -> dict[str, float]:
+    def arrival_deviation(self, kind: str) -> dict[str, float]:
         """How far what was played lies from what was due: the part of arrivals in another place."""
         counts = {
             "slots": (self.planned, self.played),
@@ -157,23 +164,23 @@
 
     def summary(self) -> dict[str, Any]:
         return {
-            "arrivals": {kind: self.errors(kind) for kind in ("slots", "gateways", "customers")},
+            "arrivals": {kind: self.arrival_deviation(kind) for kind in ("slots", "gateways", "customers")},
             "lateness_ms": quantiles(self.lateness),
             "fell_behind": {"requests": self.behind, "from": self.behind_from if self.behind else None},
             "not_played": self.unplayed,
             "retries": self.retries,
-            "first_tries": {plan: dict(counts) for plan, counts in sorted(self.tries.items())},
-            "inside_quotas": {plan: dict(counts) for plan, counts in sorted(self.inside.items())},
+            "first_tries": {plan: dict(counts) for plan, counts in sorted(self.first_tries.items())},
+            "inside_quotas": {plan: dict(counts) for plan, counts in sorted(self.inside_quota.items())},
             "attempts": {plan: dict(counts) for plan, counts in sorted(self.attempts.items())},
             "gateways": {str(g): dict(counts) for g, counts in sorted(self.gateways.items())},
             "latency_ms": quantiles(self.latency),
-            "answers_ms": quantiles(self.answers),
+            "answers_ms": quantiles(self.answer_latency),
         }  # fmt: skip
 
 
-def quantiles(told: HdrHistogram) -> dict[str, float]:
+def quantiles(counted: HdrHistogram) -> dict[str, float]:
     """Milliseconds at percentiles; nothing where nothing was counted."""
-    if not told.get_total_count():
+    if not counted.get_total_count():
         return {}
     points = {"p50": 50, "p90": 90, "p99": 99, "p99.9": 99.9, "max": 100}
-    return {name: told.get_value_at_percentile(p) / 1000 for name, p in points.items()}
+    return {name: counted.get_value_at_percentile(p) / 1000 for name, p in points.items()}
--- a/latchspoke/lab/ports.py
+++ b/latchspoke/lab/ports.py
@@ -6,7 +6,7 @@
 import random
 import socket
 
-RANGE = 10_000, 20_000  # apart from those of the tests
+PORT_RANGE = 10_000, 20_000  # apart from those of the tests
 HOST = "127.0.0.1"
 
 
@@ -16,7 +16,7 @@
     It lies below the range from which the kernel takes ports for outgoing connections, so that nobody comes
     upon it once it is let go; drawn by the system's own luck, as two runs with one seed may share a machine.
     """
-    luck = random.SystemRandom()
+    system_random = random.SystemRandom()
     while True:
         with contextlib.suppress(OSError):
-            return socket.create_server((HOST, luck.randrange(*RANGE)))
+            return socket.create_server((HOST, system_random.randrange(*PORT_RANGE)))
--- a/latchspoke/lab/quota.py
+++ b/latchspoke/lab/quota.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-SEEN_FOR = 30.0  # s; attempts of one try lie closer together than this
+SEEN_RETENTION_S = 30.0  # s; attempts of one try lie closer together than this
 
 
 @dataclass(frozen=True, slots=True)
-class PlanFigures:
+class PlanQuota:
     """Units a second and units at once; a ceiling of 0 is none. ``slack`` is a part of the ceiling."""
 
     name: str
@@ -21,16 +21,16 @@
 
 
 @dataclass(slots=True)
-class Store:
+class TokenBucket:
     """A store of units that fills at a rate: a token bucket."""
 
     level: float
-    at: float
+    updated_at: float
 
-    def take(self, units: float, rate: float, most: float, now: float) -> bool:
+    def take(self, units: float, rate: float, capacity: float, now: float) -> bool:
         """Whether it holds them; it is left as it is where it does not."""
-        self.level = min(most, self.level + rate * (now - self.at))
-        self.at = now
+        self.level = min(capacity, self.level + rate * (now - self.updated_at))
+        self.updated_at = now
         if self.level < units - 1e-9:
             return False
         self.level -= units
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Use:
+class QuotaUsage:
     """What of one plan was sent on."""
 
     inside: float = 0.0
@@ -47,38 +47,43 @@
 
 
 @dataclass(slots=True)
-class QuotaJudge:
+class QuotaAuditor:
     """Watches what nodes take in, for all customers."""
 
-    plans: dict[str, PlanFigures]
-    largest: float = 1.0
-    stores: dict[tuple[str, int], tuple[Store, Store]] = field(default_factory=dict)
+    plans: dict[str, PlanQuota]
+    largest_request: float = 1.0
+    buckets: dict[tuple[str, int], tuple[TokenBucket, TokenBucket]] = field(default_factory=dict)
     seen: dict[str, float] = field(default_factory=dict)
-    use: dict[str, Use] = field(default_factory=dict)
+    use: dict[str, QuotaUsage] = field(default_factory=dict)
     attempts: int = 0
 
-    def sent(self, ident: str, plan: str, customer: int, units: float, now: float) -> None:
+    def record_attempt(self, request_id: str, plan: str, customer: int, units: float, now: float) -> None:
         """An attempt has come whole to a node."""
         self.attempts += 1
-        figures = self.plans.get(plan)
-        if figures is None or ident in self.seen:
+        plan_quota = self.plans.get(plan)
+        if plan_quota is None or request_id in self.seen:
             return
-        self.seen[ident] = now
+        self.seen[request_id] = now
         if len(self.seen) > 50_000:
-            self.seen = {name: at for name, at in self.seen.items() if now - at < SEEN_FOR}
-        quota, ceiling = self.stores.setdefault(
-            (plan, customer), (Store(figures.burst, now), Store(self.ceiling_most(figures), now))
+            self.seen = {
+                name: seen_at for name, seen_at in self.seen.items() if now - seen_at < SEEN_RETENTION_S
+            }
+        quota_bucket, ceiling_bucket = self.buckets.setdefault(
+            (plan, customer),
+            (TokenBucket(plan_quota.burst, now), TokenBucket(self.ceiling_capacity(plan_quota), now)),
         )
-        use = self.use.setdefault(plan, Use())
-        if quota.take(units, figures.rate, figures.burst, now):
+        use = self.use.setdefault(plan, QuotaUsage())
+        if quota_bucket.take(units, plan_quota.rate, plan_quota.burst, now):
             use.inside += units
         else:
             use.beyond += units
-        if figures.ceiling_rate:
-            rate = figures.ceiling_rate * (1 + figures.slack)
-            if not ceiling.take(units, rate, self.ceiling_most(figures), now):
+        if plan_quota.ceiling_rate:
+            rate = plan_quota.ceiling_rate * (1 + plan_quota.slack)
+            if not ceiling_bucket.take(units, rate, self.ceiling_capacity(plan_quota), now):
                 use.over_ceiling += units
 
-    def ceiling_most(self, figures: PlanFigures) -> float:
+    def ceiling_capacity(self, plan_quota: PlanQuota) -> float:
         """The ceiling at once, with a slack of its part or one of the largest requests."""
-        return figures.ceiling_burst + max(figures.slack * figures.ceiling_burst, self.largest)
+        return plan_quota.ceiling_burst + max(
+            plan_quota.slack * plan_quota.ceiling_burst, self.largest_request
+        )
--- a/latchspoke/lab/relay.py
+++ b/latchspoke/lab/relay.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-CHUNK = 65_536
+READ_SIZE_BYTES = 65_536
 
 
 class Mode(Enum):
@@ -28,25 +28,26 @@
     def __init__(self, target: tuple[str, int] | str) -> None:
         self.target = target
         self.mode, self.delay = Mode.PASS, 0.0
-        self.cut_after = -1  # bytes towards the target; the next connection breaks in the middle of them
-        self.changed = asyncio.Event()
+        # Bytes that the next connection forwards to the target before it breaks; negative for no limit.
+        self.break_after_bytes = -1
+        self.mode_changed = asyncio.Event()
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
-        self.passed = 0
+        self.forwarded_bytes = 0
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> tuple[str, int]:
-        self.server = await asyncio.start_server(self.carry, host, port)
+        self.server = await asyncio.start_server(self.handle_connection, host, port)
         address: tuple[str, int] = self.server.sockets[0].getsockname()
         return address
 
     async def start_unix(self, path: str) -> None:
         """In place of ``start``, for those who dial a Unix socket."""
-        self.server = await asyncio.start_unix_server(self.carry, path)
+        self.server = await asyncio.start_unix_server(self.handle_connection, path)
 
-    def set(self, mode: Mode, delay: float = 0.0) -> None:
+    def set_mode(self, mode: Mode, delay: float = 0.0) -> None:
         self.mode, self.delay = mode, delay
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.mode_changed.set()
+        self.mode_changed = asyncio.Event()
         if mode is Mode.REFUSE:
             self.reset()
 
@@ -60,50 +61,50 @@
             self.server.close()
         self.reset()
 
-    async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        far: asyncio.StreamWriter | None = None
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        upstream_writer: asyncio.StreamWriter | None = None
         self.writers.add(writer)
         try:
             if self.mode is Mode.REFUSE:
                 return
-            back, far = await self.dial()
-            self.writers.add(far)
+            upstream_reader, upstream_writer = await self.dial()
+            self.writers.add(upstream_writer)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self.pump(reader, far, self.count))
-                group.create_task(self.pump(back, writer, lambda size: size))
+                group.create_task(self.pump(reader, upstream_writer, self.allowed_bytes))
+                group.create_task(self.pump(upstream_reader, writer, lambda size: size))
         except* (OSError, asyncio.IncompleteReadError):
             pass
         finally:
-            for end in (writer, far):
-                if end is not None:
-                    self.writers.discard(end)
+            for endpoint in (writer, upstream_writer):
+                if endpoint is not None:
+                    self.writers.discard(endpoint)
                     with contextlib.suppress(OSError):
-                        end.transport.abort()
+                        endpoint.transport.abort()
 
     async def dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         if isinstance(self.target, str):
             return await asyncio.open_unix_connection(self.target)
         return await asyncio.open_connection(*self.target)
 
-    def count(self, size: int) -> int:
+    def allowed_bytes(self, size: int) -> int:
         """How many of these bytes go on."""
-        if self.cut_after < 0:
+        if self.break_after_bytes < 0:
             return size
-        left, self.cut_after = min(self.cut_after, size), -1
-        return left
+        allowed, self.break_after_bytes = min(self.break_after_bytes, size), -1
+        return allowed
 
     async def pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, allow: Callable[[int], int]
     ) -> None:
-        while data := await reader.read(CHUNK):
+        while data := await reader.read(READ_SIZE_BYTES):
             if self.delay:
                 await asyncio.sleep(self.delay)
             while self.mode is Mode.HOLD:
-                await self.changed.wait()
-            passing = allow(len(data))
-            writer.write(data[:passing])
+                await self.mode_changed.wait()
+            allowed = allow(len(data))
+            writer.write(data[:allowed])
             await writer.drain()
-            self.passed += passing
-            if passing < len(data):
+            self.forwarded_bytes += allowed
+            if allowed < len(data):
                 raise ConnectionResetError("cut in the middle")
         raise ConnectionResetError("ended")
--- a/latchspoke/lab/report.py
+++ b/latchspoke/lab/report.py
@@ -16,20 +16,20 @@
 matplotlib.use("svg")
 import matplotlib.pyplot as plt
 
-from latchspoke.lab.faults import Schedule
-from latchspoke.lab.outcome import SLOT, Outcomes
+from latchspoke.lab.faults import FaultSchedule
+from latchspoke.lab.outcome import SLOT_S, Outcomes
 
 COLOURS = {
     "served": "#2e7d32", "late": "#9ccc65", "refused": "#fbc02d", "failed": "#c62828", "given up": "#6a1b9a",
     "broken": "#ef6c00", "not connected": "#546e7a",
 }  # fmt: skip
-LINES = ("#1565c0", "#c62828", "#2e7d32", "#6a1b9a", "#ef6c00", "#00838f")
+LINE_COLOURS = ("#1565c0", "#c62828", "#2e7d32", "#6a1b9a", "#ef6c00", "#00838f")
 PERCENTILES = [0, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 99, 99.5, 99.9, 99.95, 99.99]
 TEMPLATE = Path(__file__).with_name("report.html.j2")
 
 
 @dataclass
-class Shown:
+class ReportedRun:
     """One run as a report shows it."""
 
     variant: str
@@ -39,19 +39,19 @@
     use: dict[str, dict[str, float]] = field(default_factory=dict)
     gateways: list[dict[str, Any]] = field(default_factory=list)
     interrupted: bool = False
-    schedule: Schedule = field(default_factory=Schedule)
+    schedule: FaultSchedule = field(default_factory=FaultSchedule)
     more: dict[str, Any] = field(default_factory=dict)
 
     def figures(self) -> dict[str, float]:
         """What variants are compared by."""
         outcomes = self.outcomes
-        words: dict[str, int] = {}
-        for counts in outcomes.tries.values():
+        totals: dict[str, int] = {}
+        for counts in outcomes.first_tries.values():
             for word, count in counts.items():
-                words[word] = words.get(word, 0) + count
-        total = sum(words.values()) or 1
-        told = {"served worth": outcomes.worth(self.pays)}
-        told |= {f"{w}, share of first tries": words.get(w, 0) / total for w in COLOURS if words.get(w)}
+                totals[word] = totals.get(word, 0) + count
+        total = sum(totals.values()) or 1
+        told = {"served worth": outcomes.served_worth(self.pays)}
+        told |= {f"{w}, share of first tries": totals.get(w, 0) / total for w in COLOURS if totals.get(w)}
         if outcomes.latency.get_total_count():
             for name, p in (("p50", 50), ("p99", 99), ("p99.9", 99.9)):
                 told[f"latency {name}, ms"] = outcomes.latency.get_value_at_percentile(p) / 1000
@@ -64,7 +64,7 @@
             told["gateway CPU a request, ms"] = cpu / served * 1000
         return told
 
-    def plain(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         return {
             "variant": self.variant, "seed": self.seed, "interrupted": self.interrupted,
             "figures": self.figures(), "use": self.use, "processes": self.gateways,
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True)
-class Row:
+class ComparisonRow:
     """A figure of two variants: each with its mean and range over the repeats, and what can be said."""
 
     name: str
@@ -82,7 +82,7 @@
     verdict: str
 
 
-def compared(runs: Sequence[Shown]) -> list[Row]:
+def compare_variants(runs: Sequence[ReportedRun]) -> list[ComparisonRow]:
     """Each figure by variant. Only where the ranges over the repeats lie apart is there a difference."""
     names = list(dict.fromkeys(run.variant for run in runs))
     figures = {name: [run.figures() for run in runs if run.variant == name] for name in names}
@@ -93,7 +93,7 @@
         for name in names:
             told = [f.get(key, 0.0) for f in figures[name]]
             values.append((statistics.fmean(told), min(told), max(told)))
-        rows.append(Row(key, tuple(values), verdict(values, min(len(f) for f in figures.values()))))
+        rows.append(ComparisonRow(key, tuple(values), verdict(values, min(len(f) for f in figures.values()))))
     return rows
 
 
@@ -120,53 +120,53 @@
     return text[text.index("<svg") :]
 
 
-def shade(axes: Any, schedule: Schedule) -> None:
+def shade_faults(axes: Any, schedule: FaultSchedule) -> None:
     """Troubles on the time axis, each named where it begins."""
-    for number, trouble in enumerate(schedule.troubles):
-        axes.axvspan(trouble.at, trouble.ends, color="#b71c1c", alpha=0.08, lw=0)
+    for number, event in enumerate(schedule.troubles):
+        axes.axvspan(event.at, event.ends, color="#b71c1c", alpha=0.08, lw=0)
         axes.annotate(
-            trouble.words(), (trouble.at, 1), xycoords=("data", "axes fraction"), fontsize=7,
+            event.words(), (event.at, 1), xycoords=("data", "axes fraction"), fontsize=7,
             xytext=(2, -9 - 9 * (number % 3)), textcoords="offset points", color="#b71c1c",
         )  # fmt: skip
 
 
-def arrivals_plot(outcomes: Outcomes, schedule: Schedule) -> str:
+def arrivals_plot(outcomes: Outcomes, schedule: FaultSchedule) -> str:
     figure, axes = plt.subplots(figsize=(9, 2.4))
     last = max((*outcomes.planned, *outcomes.played), default=0) + 1
     step = max(last // 300, 1)
     for counts, name, style in ((outcomes.planned, "due", "-"), (outcomes.played, "played", "--")):
         bins = [sum(counts[s] for s in range(b, min(b + step, last))) for b in range(0, last, step)]
-        times = [b * SLOT for b in range(0, last, step)]
-        axes.plot(times, [n / (step * SLOT) for n in bins], style, lw=1, label=name)
+        times = [b * SLOT_S for b in range(0, last, step)]
+        axes.plot(times, [n / (step * SLOT_S) for n in bins], style, lw=1, label=name)
     axes.set(xlabel="s", ylabel="requests a second", ylim=(0, None))
     axes.legend(frameon=False, fontsize=8, loc="lower right")
-    shade(axes, schedule)
+    shade_faults(axes, schedule)
     return svg(figure)
 
 
-def outcomes_plot(outcomes: Outcomes, schedule: Schedule) -> str:
+def outcomes_plot(outcomes: Outcomes, schedule: FaultSchedule) -> str:
     figure, axes = plt.subplots(figsize=(9, 2.8))
-    last = max((s for counts in outcomes.seconds.values() for s in counts), default=0) + 1
-    words = [w for w in COLOURS if w in outcomes.seconds]
-    rows = [[outcomes.seconds[w][s] for s in range(last)] for w in words]
+    last = max((s for counts in outcomes.by_second.values() for s in counts), default=0) + 1
+    names = [w for w in COLOURS if w in outcomes.by_second]
+    rows = [[outcomes.by_second[w][s] for s in range(last)] for w in names]
     if rows:
-        axes.stackplot(range(last), rows, labels=words, colors=[COLOURS[w] for w in words], step="post")
+        axes.stackplot(range(last), rows, labels=names, colors=[COLOURS[w] for w in names], step="post")
         axes.legend(
-            frameon=False, fontsize=8, ncol=len(words), loc="upper center", bbox_to_anchor=(0.5, -0.2)
+            frameon=False, fontsize=8, ncol=len(names), loc="upper center", bbox_to_anchor=(0.5, -0.2)
         )
     axes.set(xlabel="s", ylabel="first tries a second", xlim=(0, last))
-    shade(axes, schedule)
+    shade_faults(axes, schedule)
     return svg(figure)
 
 
-def latency_plot(runs: Iterable[Shown]) -> str:
+def latency_plot(runs: Iterable[ReportedRun]) -> str:
     """Percentiles on a scale that gives each further nine the same room; one line a run."""
     figure, axes = plt.subplots(figsize=(9, 3))
     names: dict[str, str] = {}
     for run in runs:
         if not run.outcomes.latency.get_total_count():
             continue
-        colour = names.setdefault(run.variant, LINES[len(names) % len(LINES)])
+        colour = names.setdefault(run.variant, LINE_COLOURS[len(names) % len(LINE_COLOURS)])
         values = [run.outcomes.latency.get_value_at_percentile(p) / 1000 for p in PERCENTILES]
         label = run.variant if not any(line.get_label() == run.variant for line in axes.lines) else None
         axes.plot([100 / (100 - p) for p in PERCENTILES], values, color=colour, lw=1, label=label)
@@ -179,7 +179,7 @@
     return svg(figure)
 
 
-def use_plot(run: Shown) -> str:
+def use_plot(run: ReportedRun) -> str:
     figure, axes = plt.subplots(figsize=(9, 0.6 + 0.4 * max(len(run.use), 1)))
     plans = sorted(run.use)
     inside = [run.use[p]["inside"] for p in plans]
@@ -193,14 +193,14 @@
 # The page.
 
 
-def write(folder: Path, title: str, runs: Sequence[Shown], notes: Sequence[str] = ()) -> None:
+def write(folder: Path, title: str, runs: Sequence[ReportedRun], notes: Sequence[str] = ()) -> None:
     """``report.html`` and ``report.json`` in the folder."""
     folder.mkdir(parents=True, exist_ok=True)
-    rows = compared(runs)
+    rows = compare_variants(runs)
     names = list(dict.fromkeys(run.variant for run in runs))
     told = {
         "title": title,
-        "runs": [run.plain() for run in runs],
+        "runs": [run.as_dict() for run in runs],
         "compared": [
             {"figure": r.name, "variants": dict(zip(names, r.values, strict=True)), "verdict": r.verdict}
             for r in rows
--- a/latchspoke/lab/schedules/real.py
+++ b/latchspoke/lab/schedules/real.py
@@ -178,13 +178,13 @@
                 pairs = [(n, int(fault.names[1]))]
             mode = {"hold": Mode.HOLD, "one-way": Mode.HOLD, "refuse": Mode.REFUSE}.get(fault.kind, Mode.PASS)
             for pair in pairs:
-                self.relays[pair].set(mode, 0.3 if fault.kind == "slow" else 0.0)
+                self.relays[pair].set_mode(mode, 0.3 if fault.kind == "slow" else 0.0)
                 if fault.kind == "reset":
                     self.relays[pair].reset()
-                    self.relays[pair].cut_after = 7
+                    self.relays[pair].break_after_bytes = 7
             await asyncio.sleep(fault.lasts)
             for pair in pairs:
-                self.relays[pair].set(Mode.PASS)
+                self.relays[pair].set_mode(Mode.PASS)
 
     async def stop(self, name: str, lasts: float) -> None:
         """The process, and its command if it has one: a frozen machine."""
--- a/latchspoke/lab/schedules/real_rules.py
+++ b/latchspoke/lab/schedules/real_rules.py
@@ -145,10 +145,10 @@
             mode = {"cut-gate": Mode.HOLD, "refuse-gate": Mode.REFUSE}.get(fault.kind, Mode.PASS)
             ways = [relay for (gate, _), relay in self.ways.items() if gate == n]
             for relay in ways:
-                relay.set(mode, 0.4 if fault.kind == "slow-gate" else 0.0)
+                relay.set_mode(mode, 0.4 if fault.kind == "slow-gate" else 0.0)
             await asyncio.sleep(fault.lasts)
             for relay in ways:
-                relay.set(Mode.PASS)
+                relay.set_mode(Mode.PASS)
         else:
             await Trial.strike(self, fault)
 
--- a/latchspoke/lab/soak/parties.py
+++ b/latchspoke/lab/soak/parties.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from latchspoke.lab.loopback.http import Link
+from latchspoke.lab.loopback.http import HttpServerConnection
 from latchspoke.lab.soak.record import Arrival, Record, Sent
 
 Address = tuple[str, int]
@@ -47,7 +47,7 @@
             writer.close()
 
 
-class ServerConnection(Link):
+class ServerConnection(HttpServerConnection):
     """A gateway's connection to a server: one request at a time, but for answers that come twice."""
 
     def __init__(self, server: Server) -> None:
--- a/latchspoke/lab/system/network.py
+++ b/latchspoke/lab/system/network.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from latchspoke.lab.virtual import Address, Reading, Unpolled
+from latchspoke.lab.virtual import Address, InMemoryTransport, SocketStub
 
 FIRST_PORT = 30_000
 AGAIN = (0.2, 0.5)  # s until bytes that a cut held up are sent again after it
@@ -199,7 +199,7 @@
         return Dial(self, loop, address, factory, done, failed)
 
 
-class Listener(Unpolled):
+class Listener(SocketStub):
     """What ``create_server`` gives."""
 
     def __init__(self, loop: ProcessLoop, address: Address, factory: Callable[[], Any]) -> None:
@@ -286,7 +286,7 @@
             self.done(near)
 
 
-class Knobs(Unpolled):
+class Knobs(SocketStub):
     """The one option of a socket that matters here."""
 
     def __init__(self, end: End) -> None:
@@ -297,7 +297,7 @@
             self.end.patience = value / 1000
 
 
-class End(Reading):
+class End(InMemoryTransport):
     """One end of a connection."""
 
     def __init__(self, network: Network, loop: ProcessLoop, here: Address, there: Address) -> None:
--- a/latchspoke/lab/virtual.py
+++ b/latchspoke/lab/virtual.py
@@ -17,14 +17,14 @@
 
 Address = tuple[str, int]
 FIRST_PORT = 20_000
-LEAST_DELAY = 0.00002  # s
+MIN_DELAY_S = 0.00002  # s
 
 
-class Stuck(Exception):  # noqa: N818  (a finding about a run, not a fault of the loop)
+class SimulationStalled(Exception):  # noqa: N818  (a finding about a run, not a fault of the loop)
     """Nothing is left to do and no timer stands, though the run is not over."""
 
 
-class Jumps:
+class TimeJumpSelector:
     """In a selector's place: there are no files, so to wait is to let the time jump."""
 
     def __init__(self, loop: VirtualLoop) -> None:
@@ -32,7 +32,7 @@
 
     def select(self, timeout: float | None) -> list[Any]:
         if timeout is None:
-            raise Stuck("nothing is left to do")
+            raise SimulationStalled("nothing is left to do")
         self.loop.now += max(timeout, 0.0)
         return []
 
@@ -44,33 +44,33 @@
     """Who listens where, how long bytes travel, and what is cut."""
 
     def __init__(self, seed: int, delay: float = 0.0005, jitter: float = 0.3) -> None:
-        self.draw, self.mean, self.jitter = random.Random(f"network:{seed}"), delay, jitter
+        self.random_source, self.mean_delay, self.jitter = random.Random(f"network:{seed}"), delay, jitter
         self.listeners: dict[Address, VirtualServer] = {}
         self.cuts: set[tuple[str, str]] = set()  # pairs of hosts, both ways
         self.port = FIRST_PORT
 
     def delay(self) -> float:
-        return max(self.mean * (1 + self.jitter * self.draw.uniform(-1, 1)), LEAST_DELAY)
+        return max(self.mean_delay * (1 + self.jitter * self.random_source.uniform(-1, 1)), MIN_DELAY_S)
 
-    def cut(self, one: str, other: str) -> None:
+    def cut(self, host_a: str, other: str) -> None:
         """From now on nothing passes between these two, and neither is told."""
-        self.cuts |= {(one, other), (other, one)}
+        self.cuts |= {(host_a, other), (other, host_a)}
 
-    def mend(self, one: str, other: str) -> None:
-        self.cuts -= {(one, other), (other, one)}
+    def mend(self, host_a: str, other: str) -> None:
+        self.cuts -= {(host_a, other), (other, host_a)}
 
-    def passes(self, one: str, other: str) -> bool:
-        return (one, other) not in self.cuts
+    def passes(self, host_a: str, other: str) -> bool:
+        return (host_a, other) not in self.cuts
 
 
-class Unpolled:
+class SocketStub:
     """In a socket's place: what comes is handed on at once here, so that nothing ever lies unread."""
 
     def fileno(self) -> int:
         return -1
 
 
-class VirtualServer(Unpolled):
+class VirtualServer(SocketStub):
     """What ``create_server`` gives."""
 
     def __init__(self, network: Network, address: Address, factory: Callable[[], asyncio.Protocol]) -> None:
@@ -85,7 +85,7 @@
             del self.network.listeners[self.address]
 
 
-class Reading(asyncio.Transport):
+class InMemoryTransport(asyncio.Transport):
     """What an end in memory does with what comes: ``take`` gets each piece, unless reading is paused."""
 
     def __init__(self, here: Address, there: Address) -> None:
@@ -116,7 +116,7 @@
         pass
 
 
-class VirtualTransport(Reading):
+class VirtualTransport(InMemoryTransport):
     """One end of a connection in memory."""
 
     def __init__(self, loop: VirtualLoop, here: Address, there: Address, protocol: asyncio.Protocol) -> None:
@@ -188,7 +188,7 @@
     def __init__(self, network: Network) -> None:
         super().__init__()
         self.network, self.now = network, 0.0
-        self._selector = Jumps(self)
+        self._selector = TimeJumpSelector(self)
         self._clock_resolution = 1e-9
 
     def time(self) -> float:
@@ -230,13 +230,13 @@
         server = network.listeners.get((host, port))
         if server is None:
             raise ConnectionRefusedError(f"nobody listens at {host}:{port}")
-        ours, theirs = protocol_factory(), server.factory()
-        near = VirtualTransport(self, here, (host, port), ours)
-        far = VirtualTransport(self, (host, port), here, theirs)
-        near.other, far.other = far, near
-        theirs.connection_made(far)
-        ours.connection_made(near)
-        return near, ours
+        client_protocol, server_protocol = protocol_factory(), server.factory()
+        client_end = VirtualTransport(self, here, (host, port), client_protocol)
+        server_end = VirtualTransport(self, (host, port), here, server_protocol)
+        client_end.other, server_end.other = server_end, client_end
+        server_protocol.connection_made(server_end)
+        client_protocol.connection_made(client_end)
+        return client_end, client_protocol
 
 
 def run(work: Any, network: Network) -> Any:
--- a/latchspoke/lab/virtual_run.py
+++ b/latchspoke/lab/virtual_run.py
@@ -14,10 +14,10 @@
 from latchspoke.config import Address, read_config
 from latchspoke.lab import virtual
 from latchspoke.lab.experiment import Experiment
-from latchspoke.lab.loopback.player import Part, Player
+from latchspoke.lab.loopback.player import Player, PlayerSettings
 from latchspoke.lab.loopback.run import Run, RunResult
-from latchspoke.lab.loopback.servers import HOST, World
-from latchspoke.lab.loopback.servers import Work as NodeWork
+from latchspoke.lab.loopback.servers import HOST, SimulatedServers
+from latchspoke.lab.loopback.servers import WorkSampler as NodeWorkSampler
 from latchspoke.lab.outcome import Outcomes
 from latchspoke.net.clock import Clock
 from latchspoke.net.http import Connection, Dialer
@@ -25,7 +25,7 @@
 from latchspoke.net.serve import Node
 
 EPOCH = 1_800_000_000.0  # the Unix time at which virtual time begins
-SETTLE = 1.5  # s before the first request, as discovery and the counter come up
+STARTUP_DELAY_S = 1.5  # s before the first request, as discovery and the counter come up
 
 
 class VirtualClock(Clock):
@@ -53,10 +53,12 @@
 class VirtualGateway:
     """One real gateway on the virtual loop; killed, it falls silent as a process does."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, name: str, port: int, told: dict[str, Any]) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, name: str, port: int, configuration: dict[str, Any]
+    ) -> None:
         self.name, self.port = name, port
         self.clock = VirtualClock(loop)
-        self.node = Node(read_config(told, {}), self.clock, VirtualDialer(loop, name))
+        self.node = Node(read_config(configuration, {}), self.clock, VirtualDialer(loop, name))
         self.drained = asyncio.Event()
         self.node.on_done = self.drained.set
         self.loop = loop
@@ -74,48 +76,51 @@
     def play_virtual(self) -> RunResult:
         logging.getLogger("latchspoke").setLevel(logging.ERROR)
         network = virtual.Network(self.seed)
-        result: RunResult = virtual.run(self.play_here(), network)
+        result: RunResult = virtual.run(self.play_in_loop(), network)
         return result
 
-    async def play_here(self) -> RunResult:
+    async def play_in_loop(self) -> RunResult:
         experiment, loop = self.experiment, asyncio.get_running_loop()
         nodes = experiment.nodes
-        world = World(
-            nodes.count, nodes.settings(), NodeWork(nodes.work, nodes.sigma, self.seed),
-            experiment.counter.settings(), experiment.schedule(), self.judge, nodes.late, self.seed,
+        world = SimulatedServers(
+            nodes.count, nodes.settings(), NodeWorkSampler(nodes.work, nodes.sigma, self.seed),
+            experiment.counter.settings(), experiment.schedule(), self.quota_auditor, nodes.late, self.seed,
             experiment.gateways.zones, unix=lambda: EPOCH + loop.time(),
         )  # fmt: skip
         await world.start()
         gateways = [self.gateway(loop, index, world) for index in range(experiment.gateways.count)]
         for gateway in gateways:
             await gateway.start()
-        await asyncio.sleep(SETTLE)
+        await asyncio.sleep(STARTUP_DELAY_S)
         world.begin(loop.time())
         outcomes = await self.player(gateways).run()
         for gateway in gateways:
             gateway.node.stop()
         for gateway in gateways:
             await gateway.drained.wait()
-        served = {name: (h.node.served, h.node.declined) for name, h in world.nodes.items()}
+        served = {name: (server.node.served, server.node.rejected) for name, server in world.nodes.items()}
         merged = Outcomes(experiment.clients.aim)
-        merged.add(outcomes.plain())
+        merged.merge(outcomes.as_dict())
         result = RunResult(
-            self.variant, self.seed, merged, self.judge.use, [], world.counter.model.calls,
-            self.judge.attempts, served,
+            self.variant, self.seed, merged, self.quota_auditor.use, [], world.counter.model.calls,
+            self.quota_auditor.attempts, served,
         )  # fmt: skip
         result.stats = [dict(sorted(gateway.node.stats.items())) for gateway in gateways]
-        result.fallen = [name for name, host in world.nodes.items() if host.node.fallen]
-        result.most_links = max(host.node.most_links for host in world.nodes.values())
+        result.overloaded_nodes = [name for name, host in world.nodes.items() if host.node.overloaded]
+        result.peak_connections = max(host.node.peak_connections for host in world.nodes.values())
         return result
 
-    def gateway(self, loop: asyncio.AbstractEventLoop, index: int, world: World) -> VirtualGateway:
+    def gateway(self, loop: asyncio.AbstractEventLoop, index: int, world: SimulatedServers) -> VirtualGateway:
         port = 7000 + index
         return VirtualGateway(loop, f"n{index}", port, self.configuration(index, port, world))
 
     def player(self, gateways: list[VirtualGateway]) -> Player:
-        make, words, verbatim = self.arrivals()
+        make_arrivals, arguments, verbatim = self.arrivals()
         addresses = [(HOST, gateway.port) for gateway in gateways]
-        return Player(Part(addresses, self.experiment.clients.settings(), self.seed, verbatim), make(*words))
+        return Player(
+            PlayerSettings(addresses, self.experiment.clients.settings(), self.seed, verbatim),
+            make_arrivals(*arguments),
+        )
 
 
 def play(experiment: Experiment, variant: str, seed: int) -> RunResult:
--- a/tests/agent/test_members.py
+++ b/tests/agent/test_members.py
@@ -68,7 +68,7 @@
         return asyncio.run_coroutine_threadsafe(within(), self.loop).result(10)
 
     def link(self, one: str, other: str, mode: Mode, delay: float = 0.0) -> None:
-        self.loop.call_soon_threadsafe(self.relays[one, other].set, mode, delay)
+        self.loop.call_soon_threadsafe(self.relays[one, other].set_mode, mode, delay)
 
     def apart(self, name: str, mode: Mode) -> None:
         for pair in self.relays:
--- a/tests/agent/test_rules.py
+++ b/tests/agent/test_rules.py
@@ -122,7 +122,7 @@
         return asyncio.run_coroutine_threadsafe(within(), self.loop).result(10)
 
     def cut(self, gate: str, mode: Mode) -> None:
-        self.loop.call_soon_threadsafe(self.relays[gate].set, mode)
+        self.loop.call_soon_threadsafe(self.relays[gate].set_mode, mode)
 
     def tool(self, *words: str) -> tuple[int, Any]:
         alive = [h for h in self.fleet.hosts.values() if h.process is not None and h.process.poll() is None]
--- a/tests/lab/test_large_fleet.py
+++ b/tests/lab/test_large_fleet.py
@@ -9,7 +9,7 @@
 
 from latchspoke.lab.experiment import read_experiment
 from latchspoke.lab.loopback.run import RunResult
-from latchspoke.lab.node import Node, NodeSettings
+from latchspoke.lab.node import NodeModel, NodeSettings
 from latchspoke.lab.virtual_run import play
 
 SEED = 5
@@ -30,19 +30,21 @@
     result, total = run(name)
     ended = sum(total[f"flows.{word}"] for word in ("served", "refused", "failed", "withdrawn"))
     assert total["flows.taken"] == ended > 5000  # each has its one final answer
-    assert result.fallen == []
+    assert result.overloaded_nodes == []
     assert result.use["duza"].over_ceiling == 0
     # Forty that each send to all sixty open one for every third attempt and more (0.35 and 0.40 here).
     assert total["targets.opened"] < 0.33 * total["forwards.sent"]
-    assert result.most_links <= 48  # of 64 that a node holds
+    assert result.peak_connections <= 48  # of 64 that a node holds
     assert total["counter.calls"] < 1.5 * total["flows.taken"]
 
 
 def test_a_cold_node_that_is_pushed_falls_over_until_it_starts_again() -> None:
-    node = Node(NodeSettings(cores=2.0, cold=0.2, warm_time=15.0, room=1000), started=0.0)
+    node = NodeModel(
+        NodeSettings(cores=2.0, cold_speed=0.2, warm_up_time=15.0, queue_limit=1000), started=0.0
+    )
     # 0.2 of two cores for 3 s is 1.2 s of work, and 2.5 times that are 3 s.
     assert all(node.arrive(k, 0.1, 0.0) for k in range(29))
     assert not all(node.arrive(100 + k, 0.1, 0.1) for k in range(5))
-    assert node.fallen
+    assert node.overloaded
     node.restart(20.0)
     assert node.arrive("again", 0.1, 20.0)
--- a/tests/lab/test_loopback.py
+++ b/tests/lab/test_loopback.py
@@ -18,19 +18,19 @@
 import pytest
 
 from latchspoke.console import lab, trace
-from latchspoke.lab.loopback.http import Link, Place, response
+from latchspoke.lab.loopback.http import HttpServerConnection, PendingResponse, response
 from latchspoke.traffic.trace import Header, Reader, Request, Writer
 
 ROOT = Path(__file__).parents[2]
 
 
-class Echo(Link):
+class Echo(HttpServerConnection):
     """Answers what a gateway might: by the customer's number."""
 
     seen = 0
     statuses = {0: 200, 1: 200, 2: 429, 3: 200}  # noqa: RUF012
 
-    def asked(self, place: Place) -> None:
+    def handle_request(self, place: PendingResponse) -> None:
         key = re.search(rb"key=([0-9a-f]+)", self.url)
         if key is None:
             place.answer(response(200, str(Echo.seen).encode()))
@@ -220,7 +220,7 @@
         task = asyncio.get_running_loop().create_task(run.play())
         while len(run.gateways) < 2:
             await asyncio.sleep(0.02)
-        while run.judge.attempts < 20:  # nodes have had requests: the run is under way
+        while run.quota_auditor.attempts < 20:  # nodes have had requests: the run is under way
             await asyncio.sleep(0.02)
         run.gateways[1].process.kill()
         result = await task
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -9,32 +9,40 @@
 
 import pytest
 
-from latchspoke.lab.clients import Clients, ClientSettings
+from latchspoke.lab.clients import ClientModel, ClientSettings
 from latchspoke.lab.counter import CounterModel, CounterSettings
 from latchspoke.lab.experiment import read_experiment, variants
-from latchspoke.lab.faults import Fault, Schedule, Trouble
-from latchspoke.lab.load import PlanLoad, Replayed, drawn, inside_quotas
-from latchspoke.lab.node import Node, NodeSettings
+from latchspoke.lab.faults import Fault, FaultEvent, FaultSchedule
+from latchspoke.lab.load import PlanLoad, TraceReplay, mark_inside_quota, poisson_arrivals
+from latchspoke.lab.node import NodeModel, NodeSettings
 from latchspoke.lab.outcome import Outcomes
-from latchspoke.lab.quota import PlanFigures, QuotaJudge
-from latchspoke.lab.report import Shown, compared
+from latchspoke.lab.quota import PlanQuota, QuotaAuditor
+from latchspoke.lab.report import ReportedRun, compare_variants
 from latchspoke.records import RecordError
 from latchspoke.traffic.trace import Request
 
-WARM = NodeSettings(cores=2, slots=4, room=2, warm_time=10.0, cold=0.2, crowding=0.0, handshake=0.0)
+WARM = NodeSettings(
+    cores=2,
+    slots=4,
+    queue_limit=2,
+    warm_up_time=10.0,
+    cold_speed=0.2,
+    crowding_penalty=0.0,
+    handshake_work=0.0,
+)
 
 
-def times(node: Node, until: float, slow: float = 1.0) -> dict[object, float]:
+def times(node: NodeModel, until: float, slow: float = 1.0) -> dict[object, float]:
     """When each request is done, as a driver that sleeps until ``next_at`` sees it."""
     done: dict[object, float] = {}
-    while (due := node.next_at(slow)) is not None and due <= until:
+    while (due := node.next_completion(slow)) is not None and due <= until:
         for job in node.advance(due + 1e-9, slow):
-            done[job.ident] = round(due, 4)
+            done[job.key] = round(due, 4)
     return done
 
 
 def test_requests_share_the_cores() -> None:
-    node = Node(WARM)
+    node = NodeModel(WARM)
     for ident in "ab":
         assert node.arrive(ident, 1.0, 0.0)
     assert times(node, 9) == {"a": 1.0, "b": 1.0}  # a core each
@@ -44,91 +52,93 @@
 
 
 def test_what_waits_follows_and_what_finds_no_room_is_turned_away() -> None:
-    node = Node(WARM)
+    node = NodeModel(WARM)
     taken = [node.arrive(n, 1.0, 0.0) for n in range(8)]
-    assert taken == [True] * 6 + [False] * 2 and node.declined == 2
+    assert taken == [True] * 6 + [False] * 2 and node.rejected == 2
     node.cancel(5)
     assert set(times(node, 99)) == {0, 1, 2, 3, 4} and node.served == 5
 
 
 def test_a_cold_start_is_slow_and_warms_up() -> None:
-    node = Node(WARM)
+    node = NodeModel(WARM)
     lost = node.restart(100.0)
-    assert lost == [] and node.pace(100.0) == pytest.approx(0.2) and node.pace(105.0) == pytest.approx(0.6)
-    assert node.pace(110.0) == 1.0
+    assert lost == [] and node.speed(100.0) == pytest.approx(0.2) and node.speed(105.0) == pytest.approx(0.6)
+    assert node.speed(110.0) == 1.0
     node.arrive("a", 0.1, 100.0)
     (done,) = times(node, 200.0).values()
     assert done == pytest.approx(100.5, abs=0.01)
 
 
 def test_slowness_and_crowding_cost_pace() -> None:
-    node = Node(NodeSettings(cores=1, slots=2, crowding=0.5))
+    node = NodeModel(NodeSettings(cores=1, slots=2, crowding_penalty=0.5))
     for n in range(4):
         node.arrive(n, 1.0, 0.0)
-    assert node.pace(0.0, 0.5) == pytest.approx(0.5 / 2)  # two more than the slots
+    assert node.speed(0.0, 0.5) == pytest.approx(0.5 / 2)  # two more than the slots
 
 
 def test_a_report_is_made_anew_now_and_then() -> None:
-    node = Node(WARM)
+    node = NodeModel(WARM)
     for n in range(6):
         node.arrive(n, 1.0, 0.0)
-    assert node.load(0.0)[0] == 2
+    assert node.load_report(0.0)[0] == 2
     node.advance(0.3)
     node.cancel(5)
-    assert node.load(0.3)[0] == 2  # the old one still
+    assert node.load_report(0.3)[0] == 2  # the old one still
     node.advance(0.6)
-    assert node.load(0.6) == (1, 1.0)
+    assert node.load_report(0.6) == (1, 1.0)
 
 
 def test_work_is_neither_lost_nor_made() -> None:
     """Whatever the looks at a node, all work that was taken is done, and cores do no more than they can."""
     for seed in range(100):
-        draw, node, now, work = random.Random(seed), Node(WARM), 0.0, 0.0
+        draw, node, now, work = random.Random(seed), NodeModel(WARM), 0.0, 0.0
         taken, done = set[int](), list[object]()
         for n in range(60):
             now += draw.choice((0.0, 0.05, 0.4))
-            done += [job.ident for job in node.advance(now)]
+            done += [job.key for job in node.advance(now)]
             amount = draw.uniform(0.01, 0.5)
             if node.arrive(n, amount, now):
                 taken.add(n)
                 work += amount
         done += list(times(node, 1e9))
         assert sorted(map(int, map(str, done))) == sorted(taken), f"seed {seed}"
-        assert node.busy == pytest.approx(work) and node.now * 2 >= work - 1e-6, f"seed {seed}"
+        assert node.busy_core_seconds == pytest.approx(work) and node.now * 2 >= work - 1e-6, f"seed {seed}"
 
 
 def test_the_counter_waits_its_turn_part_by_part_and_forgets() -> None:
-    model = CounterModel(CounterSettings(parts=1, capacity=100.0, call=0.001))
+    model = CounterModel(CounterSettings(shards=1, capacity=100.0, call_time=0.001))
     told = [model.add("n", 1.0, 5.0, 0.0) for _ in range(3)]
     assert [total for total, _ in told] == [1.0, 2.0, 3.0]
     assert [round(due, 3) for _, due in told] == [0.011, 0.021, 0.031]
     assert model.add("n", 1.0, 5.0, 6.0)[0] == 1.0  # its life is over
-    _, due = model.add("m", 1.0, 5.0, 10.0, slow=5.0)
+    _, due = model.add("m", 1.0, 5.0, 10.0, slowdown=5.0)
     assert due == pytest.approx(10.055)
     model.reset()
     assert model.add("m", 1.0, 5.0, 11.0)[0] == 1.0
 
 
 def test_clients_retry_by_what_they_get() -> None:
-    clients = Clients(ClientSettings(retries=2, wait=1.0), 1)
-    assert clients.after(200, None, 0, 0.0) is None and clients.after(404, None, 0, 0.0) is None
+    clients = ClientModel(ClientSettings(retries=2, retry_delay=1.0), 1)
+    assert clients.next_retry(200, None, 0, 0.0) is None and clients.next_retry(404, None, 0, 0.0) is None
     for status in (0, 429, 502, 503):
-        again = clients.after(status, None, 0, 10.0)
+        again = clients.next_retry(status, None, 0, 10.0)
         assert again is not None and 10.5 <= again.at <= 11.5
-    assert clients.after(503, None, 2, 0.0) is None
-    heeded = clients.after(429, 5.0, 0, 10.0)
+    assert clients.next_retry(503, None, 2, 0.0) is None
+    heeded = clients.next_retry(429, 5.0, 0, 10.0)
     assert heeded is not None and 15.0 <= heeded.at <= 16.0
-    deaf = Clients(ClientSettings(wait=1.0, heed_advice=False), 1).after(429, 5.0, 0, 10.0)
+    deaf = ClientModel(ClientSettings(retry_delay=1.0, honor_retry_after=False), 1).next_retry(
+        429, 5.0, 0, 10.0
+    )
     assert deaf is not None and deaf.at < 12.0
-    assert all(2.0 <= clients.deadline() <= 4.0 for _ in range(50))
+    assert all(2.0 <= clients.draw_timeout() <= 4.0 for _ in range(50))
 
 
 def test_a_schedule_says_what_is_on() -> None:
-    slow = Trouble(Fault.SLOW, 1.0, 2.0, frozenset({"s-1"}), 0.5)
-    schedule = Schedule([slow, Trouble(Fault.COUNTER_SLOW, 3.0, 1.0, amount=4.0)])
+    slow = FaultEvent(Fault.SLOW, 1.0, 2.0, frozenset({"s-1"}), 0.5)
+    schedule = FaultSchedule([slow, FaultEvent(Fault.COUNTER_SLOW, 3.0, 1.0, amount=4.0)])
     assert schedule.amount(Fault.SLOW, 2.9, "s-1") == 0.5 and schedule.amount(Fault.SLOW, 3.0, "s-1") is None
     assert schedule.amount(Fault.SLOW, 2.0, "s-2") is None
-    assert [(at, begins) for at, _, begins in schedule.edges()] == [
+    assert [(at, begins) for at, _, begins in schedule.transitions()] == [
         (1.0, True),
         (3.0, False),
         (3.0, True),
@@ -137,15 +147,15 @@
 
 
 def test_quotas_count_each_try_once() -> None:
-    judge = QuotaJudge({"p": PlanFigures("p", 1.0, 2.0, 2.0, 4.0)})
+    auditor = QuotaAuditor({"p": PlanQuota("p", 1.0, 2.0, 2.0, 4.0)})
     for ident in ("a", "a", "b", "c"):
-        judge.sent(ident, "p", 7, 1.0, 0.0)
-    assert (judge.attempts, judge.use["p"].inside, judge.use["p"].beyond) == (4, 2.0, 1.0)
+        auditor.record_attempt(ident, "p", 7, 1.0, 0.0)
+    assert (auditor.attempts, auditor.use["p"].inside, auditor.use["p"].beyond) == (4, 2.0, 1.0)
     for n in range(5):
-        judge.sent(f"d{n}", "p", 7, 1.0, 0.0)
-    assert judge.use["p"].over_ceiling == 3.0  # four at once, and one of the largest as slack
-    judge.sent("e", "p", 8, 1.0, 0.0)
-    assert judge.use["p"].inside == 3.0  # another customer has a store of its own
+        auditor.record_attempt(f"d{n}", "p", 7, 1.0, 0.0)
+    assert auditor.use["p"].over_ceiling == 3.0  # four at once, and one of the largest as slack
+    auditor.record_attempt("e", "p", 8, 1.0, 0.0)
+    assert auditor.use["p"].inside == 3.0  # another customer has a store of its own
 
 
 # Load.
@@ -162,49 +172,49 @@
 
 
 def test_a_replay_keeps_times_customers_and_gateways() -> None:
-    played = list(Replayed(GATES).arrivals(recorded()))
+    played = list(TraceReplay(GATES).arrivals(recorded()))
     assert [(a.customer, a.gateway) for a in played] == [(r.customer, GATES[r.gateway]) for r in recorded()]
     assert [a.at for a in played] == pytest.approx([(r.at - 10_000) / 1e6 for r in recorded()])
-    fast = list(Replayed(GATES, speed=10).arrivals(recorded()))
+    fast = list(TraceReplay(GATES, speed=10).arrivals(recorded()))
     assert fast[-1].at == pytest.approx(played[-1].at / 10)
 
 
 def test_scaling_adds_customers_of_the_same_habits() -> None:
-    played = list(Replayed(GATES, scale=2.5, seed=3).arrivals(recorded()))
+    played = list(TraceReplay(GATES, scale=2.5, seed=3).arrivals(recorded()))
     assert [a.at for a in played] == sorted(a.at for a in played)
     counts = Counter(a.customer for a in played)
     assert 14 < len(counts) <= 21 and max(counts.values()) <= 286
     assert {a.number for a in played} == set(range(1, len(played) + 1))
-    louder = list(Replayed(GATES, scale=2.5, louder=True, seed=3).arrivals(recorded()))
+    louder = list(TraceReplay(GATES, scale=2.5, louder=True, seed=3).arrivals(recorded()))
     assert len({a.customer for a in louder}) == 7 and len(louder) == pytest.approx(5000, rel=0.05)
-    part = list(Replayed(GATES, scale=0.5, seed=3).arrivals(recorded()))
+    part = list(TraceReplay(GATES, scale=0.5, seed=3).arrivals(recorded()))
     assert 0 < len({a.customer for a in part}) < 7
 
 
 def test_only_first_tries_are_played_unless_verbatim() -> None:
     requests = [Request(1, 0, 1, "p", "k", "GET", "/k", "g0", 503, 1, 1, 0),
                 Request(2, 10**6, 1, "p", "k", "GET", "/k", "g1", 200, 1, 1, 1)]  # fmt: skip
-    assert [a.number for a in Replayed(GATES).arrivals(requests)] == [1]
-    told = list(Replayed(GATES, verbatim=True).arrivals(requests))
+    assert [a.number for a in TraceReplay(GATES).arrivals(requests)] == [1]
+    told = list(TraceReplay(GATES, verbatim=True).arrivals(requests))
     assert [(a.first, a.attempt, a.gateway) for a in told] == [(told[0].first, 0, 0), (told[0].first, 1, 1)]
 
 
 def test_drawn_load_has_its_rate_and_its_customers_sets() -> None:
     plans = [PlanLoad("p", 20, 2.0), PlanLoad("q", 5, 1.0), PlanLoad("none", 0, 1.0)]
-    made = list(drawn(plans, "k", 60.0, 4, 2, seed=1))
+    made = list(poisson_arrivals(plans, "k", 60.0, 4, 2, seed=1))
     assert len(made) == pytest.approx(45 * 60, rel=0.08)
     assert [a.at for a in made] == sorted(a.at for a in made)
     for a in made:
-        assert (a.gateway - a.from_) % 4 < 2
-    assert made == list(drawn(plans, "k", 60.0, 4, 2, seed=1))
+        assert (a.gateway - a.first_gateway) % 4 < 2
+    assert made == list(poisson_arrivals(plans, "k", 60.0, 4, 2, seed=1))
 
 
 def test_what_is_asked_beyond_a_quota_is_marked() -> None:
-    figures = {"p": PlanFigures("p", 1.0, 2.0)}
+    figures = {"p": PlanQuota("p", 1.0, 2.0)}
     requests = [Request(n, n * 100_000, 1, "p", "k", "GET", "/k", "g0", first=n) for n in range(1, 32)]
-    told = [a.inside for a in inside_quotas(Replayed(GATES).arrivals(requests), figures)]
+    told = [a.inside_quota for a in mark_inside_quota(TraceReplay(GATES).arrivals(requests), figures)]
     assert told[:3] == [True, True, False] and sum(told) == 5  # two at once, and one each second for three
-    assert all(a.inside for a in inside_quotas(Replayed(GATES).arrivals(requests), {}))
+    assert all(a.inside_quota for a in mark_inside_quota(TraceReplay(GATES).arrivals(requests), {}))
 
 
 # Counts.
@@ -214,39 +224,43 @@
     whole, parts = Outcomes(1.2), [Outcomes(1.2), Outcomes(1.2)]
     for n, target in zip(range(300), itertools.cycle(parts), strict=False):
         for told in (whole, target):
-            told.arrives(n / 10, n % 3, n % 5)
-            told.sent(n / 10, n / 10 + (0.2 if n > 250 else 0.0005), n % 3, n % 5)
-            told.attempt("p", n % 3, "served", 0.1 + n / 1000)
-            told.ended("p", "served" if n % 4 else "refused", n / 10, 0.1 + n / 1000)
+            told.record_arrival(n / 10, n % 3, n % 5)
+            told.record_sent(n / 10, n / 10 + (0.2 if n > 250 else 0.0005), n % 3, n % 5)
+            told.record_attempt("p", n % 3, "served", 0.1 + n / 1000)
+            told.record_first_try("p", "served" if n % 4 else "refused", n / 10, 0.1 + n / 1000)
     merged = Outcomes(1.2)
     for part in parts:
-        merged.add(part.plain())
+        merged.merge(part.as_dict())
     assert merged.summary() == whole.summary()
     assert merged.behind == 49 and merged.behind_from == pytest.approx(25.1)
-    assert merged.worth({}) == pytest.approx(0.75)
+    assert merged.served_worth({}) == pytest.approx(0.75)
 
 
 def test_arrivals_elsewhere_are_counted_once() -> None:
     told = Outcomes(1.2)
     for n in range(100):
-        told.arrives(n / 10 + 0.01, 0, 1)
-        told.sent(n / 10 + 0.01, n / 10 + (0.15 if n < 5 else 0.01), 0, 1)
-    assert told.errors("slots")["elsewhere"] == pytest.approx(0.01)
-    assert told.errors("customers")["elsewhere"] == 0
+        told.record_arrival(n / 10 + 0.01, 0, 1)
+        told.record_sent(n / 10 + 0.01, n / 10 + (0.15 if n < 5 else 0.01), 0, 1)
+    assert told.arrival_deviation("slots")["elsewhere"] == pytest.approx(0.01)
+    assert told.arrival_deviation("customers")["elsewhere"] == 0
 
 
 def test_a_difference_is_named_only_beyond_the_runs_spread() -> None:
-    def run(variant: str, served: int) -> Shown:
+    def run(variant: str, served: int) -> ReportedRun:
         outcomes = Outcomes(1.2)
         for n in range(100):
-            outcomes.ended("p", "served" if n < served else "refused", 0.0, 0.1)
-        return Shown(variant, 1, outcomes)
+            outcomes.record_first_try("p", "served" if n < served else "refused", 0.0, 0.1)
+        return ReportedRun(variant, 1, outcomes)
 
-    rows = {r.name: r.verdict for r in compared([run("a", 90), run("a", 92), run("b", 70), run("b", 75)])}
+    rows = {
+        r.name: r.verdict for r in compare_variants([run("a", 90), run("a", 92), run("b", 70), run("b", 75)])
+    }
     assert rows["served worth"] == "lower"
-    rows = {r.name: r.verdict for r in compared([run("a", 90), run("a", 80), run("b", 85), run("b", 95)])}
+    rows = {
+        r.name: r.verdict for r in compare_variants([run("a", 90), run("a", 80), run("b", 85), run("b", 95)])
+    }
     assert rows["served worth"] == "within the runs' spread"
-    rows = {r.name: r.verdict for r in compared([run("a", 90), run("b", 10)])}
+    rows = {r.name: r.verdict for r in compare_variants([run("a", 90), run("b", 10)])}
     assert rows["served worth"].startswith("one run each")
 
 
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -121,7 +121,7 @@
     async def wait() -> None:
         await asyncio.Event().wait()
 
-    with pytest.raises(virtual.Stuck):
+    with pytest.raises(virtual.SimulationStalled):
         virtual.run(wait(), virtual.Network(1))
 
 
@@ -133,7 +133,7 @@
 
 def test_a_run_keeps_the_ceilings_and_serves_what_is_inside_quotas(tmp_path: Path) -> None:
     result = play(read_experiment(write(tmp_path)), "x", 1)
-    wide = result.outcomes.inside["wide"]
+    wide = result.outcomes.inside_quota["wide"]
     assert wide["served"] > 0.95 * sum(wide.values()), wide
     assert result.use["duza"].over_ceiling == 0
     taken = sum(stats["flows.taken"] for stats in result.stats)
@@ -155,7 +155,7 @@
     script = (
         "import json, sys; from latchspoke.lab.experiment import read_experiment; "
         "from latchspoke.lab.virtual_run import play; r = play(read_experiment(sys.argv[1]), 'x', 7); "
-        "print(json.dumps([r.outcomes.plain(), r.stats, r.counter_calls], default=repr, sort_keys=True))"
+        "print(json.dumps([r.outcomes.as_dict(), r.stats, r.counter_calls], default=repr, sort_keys=True))"
     )
     told = {
         subprocess.run(
