--- a/latchspoke/lab/loopback/http.py
+++ b/latchspoke/lab/loopback/http.py
@@ -1,4 +1,4 @@
-"""A small server side of HTTP for the stand-ins: parses requests, and answers in their order."""
+"""A minimal HTTP/1.1 server protocol for simulated servers, with pipelined responses in order."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
     return head.encode() + body
 
 
-class Place:
-    """An answer's place in its connection's order; it goes out once all before it have."""
+class PendingResponse:
+    """A response not sent yet; it is sent after all earlier ones of its connection."""
 
-    __slots__ = ("data", "link")
+    __slots__ = ("connection", "data")
 
-    def __init__(self, link: Link) -> None:
-        self.link, self.data = link, b""
+    def __init__(self, connection: HttpServerConnection) -> None:
+        self.connection, self.data = connection, b""
 
     def answer(self, data: bytes) -> None:
         self.data = data
-        self.link.flush()
+        self.connection.flush()
 
 
-class Link(asyncio.Protocol):
-    """One connection to a stand-in."""
+class HttpServerConnection(asyncio.Protocol):
+    """Server side of one connection; subclasses implement ``handle_request``."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.places: deque[Place] = deque()
+        self.pending: deque[PendingResponse] = deque()
         self.url, self.headers, self.body = b"", dict[bytes, bytes](), b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -64,21 +64,21 @@
         self.body += part
 
     def on_message_complete(self) -> None:
-        place = Place(self)
-        self.places.append(place)
-        self.asked(place)
+        pending_response = PendingResponse(self)
+        self.pending.append(pending_response)
+        self.handle_request(pending_response)
 
-    def asked(self, place: Place) -> None:
+    def handle_request(self, pending_response: PendingResponse) -> None:
         raise NotImplementedError
 
     def flush(self) -> None:
-        while self.places and self.places[0].data:
-            data = self.places.popleft().data
+        while self.pending and self.pending[0].data:
+            data = self.pending.popleft().data
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.write(data)
 
     def abort(self) -> None:
-        """A reset, so that the other side hears of it at once."""
+        """Reset the connection, so that the peer notices at once."""
         if self.transport is None:
             return
         sock = self.transport.get_extra_info("socket")
--- a/latchspoke/lab/loopback/run.py
+++ b/latchspoke/lab/loopback/run.py
@@ -1,4 +1,4 @@
-"""One run on loopback: the stand-ins in this process, gateways and players in processes of their own."""
+"""One run on loopback: simulated servers in this process, gateways and players in child processes."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 from typing import Any
 
 from latchspoke.lab.experiment import KIND, Experiment
-from latchspoke.lab.load import Arrival, Replayed, drawn, inside_quotas
-from latchspoke.lab.loopback.player import Part, Work, play_all
-from latchspoke.lab.loopback.servers import HOST, World
-from latchspoke.lab.loopback.servers import Work as NodeWork
+from latchspoke.lab.load import Arrival, TraceReplay, mark_inside_quota, poisson_arrivals
+from latchspoke.lab.loopback.player import PlayerJob, PlayerSettings, play_all
+from latchspoke.lab.loopback.servers import HOST, SimulatedServers
+from latchspoke.lab.loopback.servers import WorkSampler as NodeWorkSampler
 from latchspoke.lab.outcome import Outcomes
 from latchspoke.lab.ports import open_port
-from latchspoke.lab.quota import PlanFigures, QuotaJudge, Use
+from latchspoke.lab.quota import PlanQuota, QuotaAuditor, QuotaUsage
 from latchspoke.traffic.trace import Reader, requests_between
 
-READY_WITHIN = 15.0  # s
-DRAIN_WITHIN = 10.0  # s
-TICKS = os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT_S = 15.0
+DRAIN_TIMEOUT_S = 10.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class RunError(Exception):
-    """The run could not be played; one line says why."""
+    """The run could not be played; the message is one line."""
 
 
 @dataclass
-class Gateway:
-    """One gateway's process in a run."""
+class GatewayProcess:
+    """A gateway process of a run; ``ended`` says why it stopped if it did not drain."""
 
     name: str
     port: int
@@ -49,61 +49,67 @@
 
 @dataclass
 class RunResult:
-    """What one run came to."""
+    """Result of one run."""
 
     variant: str
     seed: int
     outcomes: Outcomes
-    use: dict[str, Use]
-    gateways: list[Gateway]
+    use: dict[str, QuotaUsage]
+    gateways: list[GatewayProcess]
     counter_calls: int
     attempts: int
     served_by_nodes: dict[str, tuple[int, int]]
     interrupted: bool = False
-    stats: list[dict[str, int]] = field(default_factory=list)  # gateways' counters, in virtual time
-    fallen: list[str] = field(default_factory=list)  # nodes pushed over while they were cold
-    most_links: int = 0  # connections that one node held at once, at most
+    stats: list[dict[str, int]] = field(
+        default_factory=list
+    )  # counters of each gateway, in virtual time only
+    overloaded_nodes: list[str] = field(default_factory=list)  # nodes overloaded during warm-up
+    peak_connections: int = 0  # most connections open at one node at once
 
 
 def trace_gateways(path: str, count: int) -> dict[str, int]:
-    """The recorded gateways' names, in the order of their first request, to gateways of the run."""
+    """Map the gateways of a trace, in order of their first request, to gateway indexes of the run."""
     names: dict[str, int] = {}
     for request in Reader(path):
         names.setdefault(request.gateway, len(names) % count)
     return names
 
 
-def replayed(
-    path: str, options: dict[str, Any], start: float, end: float, plans: dict[str, PlanFigures]
+def recorded_arrivals(
+    path: str, options: dict[str, Any], start: float, end: float, plans: dict[str, PlanQuota]
 ) -> Iterator[Arrival]:
-    """Arrivals of a trace; made anew in each process of the player."""
-    return inside_quotas(Replayed(**options).arrivals(requests_between(Reader(path), start, end)), plans)
+    """Arrivals of a trace; each player process generates them itself."""
+    return mark_inside_quota(
+        TraceReplay(**options).arrivals(requests_between(Reader(path), start, end)), plans
+    )
 
 
-def drawn_again(experiment: Experiment, seed: int) -> Iterator[Arrival]:
+def generated_arrivals(experiment: Experiment, seed: int) -> Iterator[Arrival]:
     gateways = experiment.gateways
-    arrivals = drawn(experiment.loads(), KIND, experiment.duration, gateways.count, gateways.spread, seed)
-    return inside_quotas(arrivals, experiment.figures())
+    arrivals = poisson_arrivals(
+        experiment.plan_loads(), KIND, experiment.duration, gateways.count, gateways.spread, seed
+    )
+    return mark_inside_quota(arrivals, experiment.plan_quotas())
 
 
 class Run:
-    """One variant, played once."""
+    """One run of one variant on loopback."""
 
     def __init__(
         self, experiment: Experiment, variant: str, seed: int, tree: str, folder: Path, processes: int = 1,
     ) -> None:  # fmt: skip
         self.experiment, self.variant, self.seed = experiment, variant, seed
         self.tree, self.folder, self.processes = tree, folder, processes
-        self.gateways: list[Gateway] = []
+        self.gateways: list[GatewayProcess] = []
         self.interrupted = False
-        self.judge = QuotaJudge(experiment.figures())
+        self.quota_auditor = QuotaAuditor(experiment.plan_quotas())
 
     async def play(self) -> RunResult:
         experiment = self.experiment
         nodes = experiment.nodes
-        world = World(
-            nodes.count, nodes.settings(), NodeWork(nodes.work, nodes.sigma, self.seed),
-            experiment.counter.settings(), experiment.schedule(), self.judge, nodes.late, self.seed,
+        world = SimulatedServers(
+            nodes.count, nodes.settings(), NodeWorkSampler(nodes.work, nodes.sigma, self.seed),
+            experiment.counter.settings(), experiment.schedule(), self.quota_auditor, nodes.late, self.seed,
             experiment.gateways.zones,
         )  # fmt: skip
         await world.start()
@@ -111,16 +117,19 @@
             await self.start_gateways(world)
             outcomes, loop = Outcomes(experiment.clients.aim), asyncio.get_running_loop()
 
-            def begin(began: float) -> None:
-                loop.call_soon_threadsafe(lambda: world.begin(loop.time() + began - time.time()))
+            def begin(started_at: float) -> None:
+                loop.call_soon_threadsafe(lambda: world.begin(loop.time() + started_at - time.time()))
 
             with self.watch_interrupts():
-                await loop.run_in_executor(None, play_all, self.works(), outcomes, begin)
+                await loop.run_in_executor(None, play_all, self.player_jobs(), outcomes, begin)
             await self.stop_gateways()
-            served = {name: (h.node.served, h.node.declined) for name, h in world.nodes.items()}
+            served = {
+                name: (node_server.node.served, node_server.node.rejected)
+                for name, node_server in world.nodes.items()
+            }
             return RunResult(
-                self.variant, self.seed, outcomes, self.judge.use, self.gateways, world.counter.model.calls,
-                self.judge.attempts, served, self.interrupted,
+                self.variant, self.seed, outcomes, self.quota_auditor.use, self.gateways,
+                world.counter.model.calls, self.quota_auditor.attempts, served, self.interrupted,
             )  # fmt: skip
         finally:
             await self.kill_gateways()
@@ -128,7 +137,7 @@
 
     @contextlib.contextmanager
     def watch_interrupts(self) -> Iterator[None]:
-        """Ctrl-C ends the players, which hear it themselves; the report is of what was played."""
+        """Note Ctrl-C, which the player processes handle; the report then covers what was played."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGINT, self.interrupt)
         try:
@@ -139,15 +148,17 @@
     def interrupt(self) -> None:
         self.interrupted = True
 
-    def works(self) -> list[Work]:
+    def player_jobs(self) -> list[PlayerJob]:
         experiment = self.experiment
         addresses = [(HOST, gateway.port) for gateway in self.gateways]
-        make, words, verbatim = self.arrivals()
+        make_arrivals, arguments, verbatim = self.arrivals()
         return [
-            Work(
-                Part(addresses, experiment.clients.settings(), self.seed, verbatim, n, self.processes),
-                make,
-                words,
+            PlayerJob(
+                PlayerSettings(
+                    addresses, experiment.clients.settings(), self.seed, verbatim, n, self.processes
+                ),
+                make_arrivals,
+                arguments,
             )
             for n in range(self.processes)
         ]
@@ -155,17 +166,17 @@
     def arrivals(self) -> tuple[Callable[..., Iterator[Arrival]], tuple[Any, ...], bool]:
         experiment, trace = self.experiment, self.experiment.trace
         if trace is None:
-            return drawn_again, (experiment, self.seed), False
+            return generated_arrivals, (experiment, self.seed), False
         options = {
             "gateways": trace_gateways(trace.file, experiment.gateways.count), "speed": trace.speed,
             "scale": trace.scale, "louder": trace.louder, "verbatim": trace.verbatim, "seed": self.seed,
         }  # fmt: skip
         end = experiment.duration * trace.speed
-        return replayed, (trace.file, options, 0.0, end, experiment.figures()), trace.verbatim
+        return recorded_arrivals, (trace.file, options, 0.0, end, experiment.plan_quotas()), trace.verbatim
 
-    # Gateways.
+    # Gateway processes
 
-    def configuration(self, index: int, port: int, world: World) -> dict[str, Any]:
+    def configuration(self, index: int, port: int, world: SimulatedServers) -> dict[str, Any]:
         entries = list(world.discovery.entries.values())
         return {
             "name": f"n{index}", "listen": f"{HOST}:{port}", "discovery": f"{HOST}:{world.discovery.port}",
@@ -175,7 +186,7 @@
             "settings": self.experiment.settings(index),
         }  # fmt: skip
 
-    async def start_gateways(self, world: World) -> None:
+    async def start_gateways(self, world: SimulatedServers) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
         for index in range(self.experiment.gateways.count):
             with open_port() as probe:
@@ -189,16 +200,16 @@
                     cwd=self.tree or None, stderr=out, stdout=out, start_new_session=True,
                     env=self.environment(),
                 )  # fmt: skip
-            self.gateways.append(Gateway(f"n{index}", port, process, log))
-        await asyncio.gather(*(self.ready(gateway) for gateway in self.gateways))
+            self.gateways.append(GatewayProcess(f"n{index}", port, process, log))
+        await asyncio.gather(*(self.wait_until_ready(gateway) for gateway in self.gateways))
 
     def environment(self) -> dict[str, str]:
-        own = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
-        # A tree of another commit must be what is imported there, not what is installed here.
-        return own | ({"PYTHONPATH": self.tree} if self.tree else {})
+        inherited = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
+        # Gateways of another source tree must import that tree, not the installed package.
+        return inherited | ({"PYTHONPATH": self.tree} if self.tree else {})
 
-    async def ready(self, gateway: Gateway) -> None:
-        end = time.monotonic() + READY_WITHIN
+    async def wait_until_ready(self, gateway: GatewayProcess) -> None:
+        end = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end and gateway.process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 reader, writer = await asyncio.open_connection(HOST, gateway.port)
@@ -208,20 +219,20 @@
                 if b" 200 " in line:
                     return
             await asyncio.sleep(0.02)
-        raise RunError(f"gateway {gateway.name} is not ready; its log is {gateway.log}")
+        raise RunError(f"gateway {gateway.name} did not become ready in time; see its log {gateway.log}")
 
     async def stop_gateways(self) -> None:
         for gateway in self.gateways:
             if gateway.process.returncode is not None:
                 gateway.ended = f"ended by itself, code {gateway.process.returncode}"
                 continue
-            gateway.cpu, gateway.memory_mb = usage(gateway.process.pid)
+            gateway.cpu, gateway.memory_mb = process_usage(gateway.process.pid)
             gateway.process.terminate()
         for gateway in self.gateways:
             try:
-                await asyncio.wait_for(gateway.process.wait(), DRAIN_WITHIN)
+                await asyncio.wait_for(gateway.process.wait(), DRAIN_TIMEOUT_S)
             except TimeoutError:
-                gateway.ended = f"did not drain in {DRAIN_WITHIN:g} s"
+                gateway.ended = f"did not drain in {DRAIN_TIMEOUT_S:g} s"
             gateway.stats = read_stats(gateway.log)
 
     async def kill_gateways(self) -> None:
@@ -231,21 +242,21 @@
                 await gateway.process.wait()
 
 
-def usage(pid: int) -> tuple[float, float]:
-    """CPU in s and the most memory held in MB, by the kernel."""
+def process_usage(pid: int) -> tuple[float, float]:
+    """CPU time in s and peak memory in MB of a process, from /proc."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         status = Path(f"/proc/{pid}/status").read_text()
     except OSError:
         return 0.0, 0.0
     peak = next((line.split()[1] for line in status.splitlines() if line.startswith("VmHWM")), "0")
-    return (int(fields[11]) + int(fields[12])) / TICKS, int(peak) / 1024
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, int(peak) / 1024
 
 
 def read_stats(log: Path) -> dict[str, int]:
-    """The counters that a gateway prints as it ends."""
+    """Counters that a gateway logs when it stops."""
     for line in reversed(log.read_text(errors="replace").splitlines()):
         if line.startswith("stats "):
-            told: dict[str, int] = json.loads(line[6:])
-            return told
+            counters: dict[str, int] = json.loads(line[6:])
+            return counters
     return {}
--- a/latchspoke/lab/loopback/servers.py
+++ b/latchspoke/lab/loopback/servers.py
@@ -1,4 +1,4 @@
-"""Nodes, counter and discovery on loopback: each a model, and the sockets round it."""
+"""Simulated nodes, counter and discovery: HTTP servers around the models."""
 
 from __future__ import annotations
 
@@ -13,412 +13,434 @@
 import numpy as np
 
 from latchspoke.lab.counter import CounterModel, CounterSettings
-from latchspoke.lab.faults import Fault, Schedule, Trouble
-from latchspoke.lab.loopback.http import Link, Place, response
-from latchspoke.lab.loopback.player import read_ident
-from latchspoke.lab.node import Node, NodeSettings
-from latchspoke.lab.quota import QuotaJudge
+from latchspoke.lab.faults import Fault, FaultEvent, FaultSchedule
+from latchspoke.lab.loopback.http import HttpServerConnection, PendingResponse, response
+from latchspoke.lab.loopback.player import parse_request_id
+from latchspoke.lab.node import NodeModel, NodeSettings
+from latchspoke.lab.quota import QuotaAuditor
 
 HOST = "127.0.0.1"
 KEY = re.compile(r"[?&]key=([0-9a-fA-F]+)")
-EMPTY_EVERY = 2.0  # s between the empty lines of a watch
+KEEPALIVE_INTERVAL_S = 2.0  # between empty lines on a subscription
 Clock = Callable[[], float]
 
 
-class Work:
-    """Draws the work of requests, in seconds of one core: lognormal with this mean and spread."""
+class WorkSampler:
+    """Draws the work of requests in seconds of one core, from a lognormal distribution."""
 
     def __init__(self, mean: float, sigma: float, seed: int) -> None:
         self.mean, self.sigma = mean, sigma
-        self.draw = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 3])))
+        self.random = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 3])))
 
-    def one(self) -> float:
-        return float(self.draw.lognormal(np.log(self.mean) - self.sigma**2 / 2, self.sigma))
+    def draw(self) -> float:
+        return float(self.random.lognormal(np.log(self.mean) - self.sigma**2 / 2, self.sigma))
 
 
-class NodeLink(Link):
+class NodeConnection(HttpServerConnection):
     """A gateway's connection to a node."""
 
-    def __init__(self, host: NodeHost) -> None:
+    def __init__(self, server: NodeServer) -> None:
         super().__init__()
-        self.host = host
+        self.server = server
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        host = self.host
-        if host.down or len(host.links) >= host.node.settings.connections:
+        server = self.server
+        if server.is_down or len(server.connections) >= server.node.settings.max_connections:
             self.abort()
             return
-        host.links[self] = None
-        host.node.connected(len(host.links) + 1)
-        if host.vanished and self.transport is not None:
+        server.connections[self] = None
+        server.node.connection_opened(len(server.connections) + 1)
+        if server.unresponsive and self.transport is not None:
             self.transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.host.links.pop(self, None)
-        for place in self.places:
-            self.host.node.cancel(place)
+        self.server.connections.pop(self, None)
+        for pending_response in self.pending:
+            self.server.node.cancel(pending_response)
 
-    def asked(self, place: Place) -> None:
-        self.host.asked(place, self.url.decode("latin-1"), self.headers.get(b"req-id", b"").decode("latin-1"))
+    def handle_request(self, pending_response: PendingResponse) -> None:
+        self.server.handle_request(
+            pending_response, self.url.decode("latin-1"), self.headers.get(b"req-id", b"").decode("latin-1")
+        )
 
 
-class NodeHost:
-    """One node: the model, its listening socket, its connections, its troubles."""
+class NodeServer:
+    """One node: its model, listener, connections and injected faults."""
 
     def __init__(
-        self, name: str, settings: NodeSettings, work: Work, schedule: Schedule, clock: Clock, seed: int,
-        on_sent: Callable[[str, str], None],
+        self, name: str, settings: NodeSettings, work_sampler: WorkSampler, schedule: FaultSchedule,
+        clock: Clock, seed: int, on_attempt: Callable[[str, str], None],
     ) -> None:  # fmt: skip
-        self.name, self.work, self.schedule, self.clock = name, work, schedule, clock
-        self.node, self.on_sent = Node(settings), on_sent
-        self.draw = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 5])))
-        self.links: dict[NodeLink, None] = {}  # in the order of their coming, so that runs can be repeated
+        self.name, self.work_sampler, self.schedule, self.clock = name, work_sampler, schedule, clock
+        self.node, self.on_attempt = NodeModel(settings), on_attempt
+        self.random = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 5])))
+        # Kept in connection order, so that runs are reproducible.
+        self.connections: dict[NodeConnection, None] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.server: asyncio.Server | None = None
+        self.listener: asyncio.Server | None = None
         self.port = 0
-        self.down = self.vanished = False
+        self.is_down = self.unresponsive = False
         self.started_ms = 0
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: NodeLink(self), HOST, self.port, backlog=1024)
-        self.port = self.server.sockets[0].getsockname()[1]
+        self.listener = await loop.create_server(lambda: NodeConnection(self), HOST, self.port, backlog=1024)
+        self.port = self.listener.sockets[0].getsockname()[1]
 
-    def slow(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         return self.schedule.amount(Fault.SLOW, now, self.name) or 1.0
 
-    def chance(self, kind: Fault, now: float) -> bool:
+    def occurs(self, kind: Fault, now: float) -> bool:
         amount = self.schedule.amount(kind, now, self.name)
-        return amount is not None and float(self.draw.random()) < amount
+        return amount is not None and float(self.random.random()) < amount
 
-    def asked(self, place: Place, url: str, ident: str) -> None:
+    def handle_request(self, pending_response: PendingResponse, url: str, request_id: str) -> None:
         now = self.clock()
-        if not ident:
-            place.answer(response(404))
+        if not request_id:
+            pending_response.answer(response(404))
             return
-        self.on_sent(ident, url)
+        self.on_attempt(request_id, url)
         if self.schedule.amount(Fault.HANG, now, self.name) is not None:
             return
-        if self.chance(Fault.FAIL_FAST, now):
-            place.answer(response(500, headers=self.load(now)))
+        if self.occurs(Fault.FAIL_FAST, now):
+            pending_response.answer(response(500, headers=self.load_header(now)))
             return
         self.advance()
-        if not self.node.arrive(place, self.work.one(), now):
-            place.answer(response(503, headers=f"Srv-Declined: 1\r\n{self.load(now)}"))
-        self.arm()
+        if not self.node.arrive(pending_response, self.work_sampler.draw(), now):
+            pending_response.answer(response(503, headers=f"Srv-Declined: 1\r\n{self.load_header(now)}"))
+        self.schedule_completion()
 
-    def load(self, now: float) -> str:
-        queue, util = self.node.load(now)
+    def load_header(self, now: float) -> str:
+        queue, util = self.node.load_report(now)
         return f"Srv-Load: TEXT queue={queue}, util={util:.2f}\r\n"
 
     def advance(self) -> None:
         now = self.clock()
-        for job in self.node.advance(now, self.slow(now)):
-            place = job.ident
-            if isinstance(place, Place):
-                place.answer(self.answer(now))
+        for job in self.node.advance(now, self.slowdown(now)):
+            pending_response = job.key
+            if isinstance(pending_response, PendingResponse):
+                pending_response.answer(self.answer(now))
 
     def answer(self, now: float) -> bytes:
-        whole = response(200, b'{"balance": 1}', self.load(now))
-        if self.chance(Fault.SPOIL, now):
-            return whole[: len(whole) // 2] if float(self.draw.random()) < 0.5 else b"\x00garbage\r\n\r\n"
-        return whole
-
-    def arm(self) -> None:
+        full_response = response(200, b'{"balance": 1}', self.load_header(now))
+        if self.occurs(Fault.CORRUPT, now):
+            return (
+                full_response[: len(full_response) // 2]
+                if float(self.random.random()) < 0.5
+                else b"\x00garbage\r\n\r\n"
+            )
+        return full_response
+
+    def schedule_completion(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        due = self.node.next_at(self.slow(self.clock()))
-        if due is not None and not self.down:
-            self.timer = asyncio.get_running_loop().call_later(max(due - self.clock(), 0.0), self.fire)
+        due = self.node.next_completion(self.slowdown(self.clock()))
+        if due is not None and not self.is_down:
+            self.timer = asyncio.get_running_loop().call_later(
+                max(due - self.clock(), 0.0), self.on_completion_due
+            )
 
-    def fire(self) -> None:
+    def on_completion_due(self) -> None:
         self.timer = None
         self.advance()
-        self.arm()
+        self.schedule_completion()
 
-    # Troubles that change the sockets.
+    # Faults that affect sockets
 
-    def begin(self, trouble: Trouble) -> None:
-        if trouble.kind is Fault.RESTART:
-            self.down = True
+    def begin_fault(self, event: FaultEvent) -> None:
+        if event.kind is Fault.RESTART:
+            self.is_down = True
             self.node.restart(self.clock())
-            self.break_all()
-            if self.server is not None:
-                self.server.close()
-        elif trouble.kind is Fault.RESET:
-            self.break_all()
-        elif trouble.kind is Fault.VANISH:
-            self.vanished = True
-            for link in self.links:
-                if link.transport is not None:
-                    link.transport.pause_reading()
+            self.abort_connections()
+            if self.listener is not None:
+                self.listener.close()
+        elif event.kind is Fault.RESET:
+            self.abort_connections()
+        elif event.kind is Fault.UNRESPONSIVE:
+            self.unresponsive = True
+            for connection in self.connections:
+                if connection.transport is not None:
+                    connection.transport.pause_reading()
         self.advance()
-        self.arm()
+        self.schedule_completion()
 
-    def end(self, trouble: Trouble) -> None:
-        """The listening socket comes back by ``listen``, as that takes the loop."""
-        if trouble.kind is Fault.RESTART:
-            self.down = False
+    def end_fault(self, event: FaultEvent) -> None:
+        """End a fault. After a restart the caller reopens the listener with ``listen``."""
+        if event.kind is Fault.RESTART:
+            self.is_down = False
             self.node.restart(self.clock())
-        elif trouble.kind is Fault.VANISH:
-            self.vanished = False
-            self.break_all()
+        elif event.kind is Fault.UNRESPONSIVE:
+            self.unresponsive = False
+            self.abort_connections()
         self.advance()
-        self.arm()
+        self.schedule_completion()
 
-    def break_all(self) -> None:
-        for link in list(self.links):
-            link.abort()
+    def abort_connections(self) -> None:
+        for connection in list(self.connections):
+            connection.abort()
 
     def close(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        if self.server is not None:
-            self.server.close()
-        self.break_all()
+        if self.listener is not None:
+            self.listener.close()
+        self.abort_connections()
 
 
-class CounterLink(Link):
-    def __init__(self, host: CounterHost) -> None:
+class CounterConnection(HttpServerConnection):
+    def __init__(self, server: CounterServer) -> None:
         super().__init__()
-        self.host = host
+        self.server = server
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.host.links[self] = None
-        if self.host.gone():
+        self.server.connections[self] = None
+        if self.server.is_down():
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.host.links.pop(self, None)
+        self.server.connections.pop(self, None)
 
-    def asked(self, place: Place) -> None:
-        self.host.asked(place, self.url.decode("latin-1"))
+    def handle_request(self, pending_response: PendingResponse) -> None:
+        self.server.handle_request(pending_response, self.url.decode("latin-1"))
 
 
-class CounterHost:
-    """The shared counter: answers go out when the model says, in their order on each connection."""
+class CounterServer:
+    """The shared counter: responds at the times of its model, in order on each connection."""
 
-    def __init__(self, settings: CounterSettings, schedule: Schedule, clock: Clock) -> None:
+    def __init__(self, settings: CounterSettings, schedule: FaultSchedule, clock: Clock) -> None:
         self.model, self.schedule, self.clock = CounterModel(settings), schedule, clock
-        self.links: dict[CounterLink, None] = {}
-        self.server: asyncio.Server | None = None
+        self.connections: dict[CounterConnection, None] = {}
+        self.listener: asyncio.Server | None = None
         self.port = 0
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: CounterLink(self), HOST, 0, backlog=256)
-        self.port = self.server.sockets[0].getsockname()[1]
+        self.listener = await loop.create_server(lambda: CounterConnection(self), HOST, 0, backlog=256)
+        self.port = self.listener.sockets[0].getsockname()[1]
 
-    def gone(self) -> bool:
-        return self.schedule.amount(Fault.COUNTER_GONE, self.clock()) is not None
+    def is_down(self) -> bool:
+        return self.schedule.amount(Fault.COUNTER_DOWN, self.clock()) is not None
 
-    def asked(self, place: Place, url: str) -> None:
+    def handle_request(self, pending_response: PendingResponse, url: str) -> None:
         now = self.clock()
         parts = urlsplit(url)
         query = parse_qs(parts.query)
         try:
             name = parts.path.removeprefix("/v2/numbers/")
-            amount, life = float(query["delta"][0]), float(query["life_ms"][0]) / 1000
+            amount, lifetime = float(query["delta"][0]), float(query["life_ms"][0]) / 1000
         except (KeyError, ValueError):
-            place.answer(response(404))
+            pending_response.answer(response(404))
             return
-        slow = self.schedule.amount(Fault.COUNTER_SLOW, now) or 1.0
-        total, due = self.model.add(name, amount, life, now, slow)
+        slowdown = self.schedule.amount(Fault.COUNTER_SLOW, now) or 1.0
+        total, due = self.model.add(name, amount, lifetime, now, slowdown)
         body = f"{total:.7g}".encode()
-        asyncio.get_running_loop().call_later(max(due - now, 0.0), place.answer, response(200, body))
+        asyncio.get_running_loop().call_later(
+            max(due - now, 0.0), pending_response.answer, response(200, body)
+        )
 
-    def begin(self, trouble: Trouble) -> None:
-        if trouble.kind is Fault.COUNTER_RESET:
+    def begin_fault(self, event: FaultEvent) -> None:
+        if event.kind is Fault.COUNTER_RESET:
             self.model.reset()
-        if trouble.kind in (Fault.COUNTER_GONE, Fault.COUNTER_RESET):
-            for link in list(self.links):
-                link.abort()
+        if event.kind in (Fault.COUNTER_DOWN, Fault.COUNTER_RESET):
+            for connection in list(self.connections):
+                connection.abort()
 
     def close(self) -> None:
-        if self.server is not None:
-            self.server.close()
-        for link in list(self.links):
-            link.abort()
+        if self.listener is not None:
+            self.listener.close()
+        for connection in list(self.connections):
+            connection.abort()
 
 
-class WatchLink(Link):
-    """A gateway's watch, or a question for the list."""
+class DiscoveryConnection(HttpServerConnection):
+    """A subscription of a gateway, or a single request for the instance list."""
 
-    def __init__(self, host: DiscoveryHost) -> None:
+    def __init__(self, server: DiscoveryServer) -> None:
         super().__init__()
-        self.host = host
+        self.server = server
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.host.watches.pop(self, None)
+        self.server.subscribers.pop(self, None)
 
-    def asked(self, place: Place) -> None:
+    def handle_request(self, pending_response: PendingResponse) -> None:
         if "stream=1" not in self.url.decode("latin-1"):
-            place.answer(response(200, self.host.whole()))
+            pending_response.answer(response(200, self.server.full_snapshot()))
             return
-        self.places.clear()
+        self.pending.clear()
         if self.transport is not None:
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.host.watches[self] = None
-            self.tell(self.host.whole())
+            self.server.subscribers[self] = None
+            self.send(self.server.full_snapshot())
 
-    def tell(self, line: bytes) -> None:
+    def send(self, line: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
-class DiscoveryHost:
-    """The list of nodes: whole at the start of a watch, changes as they become known."""
+class DiscoveryServer:
+    """Service discovery: a full snapshot at the start of a subscription, then deltas."""
 
-    def __init__(self, schedule: Schedule, clock: Clock, late: float) -> None:
-        self.schedule, self.clock, self.late = schedule, clock, late
+    def __init__(self, schedule: FaultSchedule, clock: Clock, notification_delay: float) -> None:
+        self.schedule, self.clock, self.notification_delay = schedule, clock, notification_delay
         self.entries: dict[str, dict[str, object]] = {}
         self.generation = 1
-        self.watches: dict[WatchLink, None] = {}
-        self.server: asyncio.Server | None = None
+        self.subscribers: dict[DiscoveryConnection, None] = {}
+        self.listener: asyncio.Server | None = None
         self.port = 0
-        self.held: list[bytes] = []
-        self.beat: asyncio.TimerHandle | None = None
+        self.suppressed_updates: list[bytes] = []
+        self.keepalive_timer: asyncio.TimerHandle | None = None
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: WatchLink(self), HOST, 0, backlog=256)
-        self.port = self.server.sockets[0].getsockname()[1]
-        self.beat = loop.call_later(EMPTY_EVERY, self.empty)
+        self.listener = await loop.create_server(lambda: DiscoveryConnection(self), HOST, 0, backlog=256)
+        self.port = self.listener.sockets[0].getsockname()[1]
+        self.keepalive_timer = loop.call_later(KEEPALIVE_INTERVAL_S, self.send_keepalive)
 
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         return self.schedule.amount(Fault.DISCOVERY_SILENT, self.clock()) is not None
 
-    def empty(self) -> None:
-        self.beat = asyncio.get_running_loop().call_later(EMPTY_EVERY, self.empty)
-        self.tell(b"\n")
+    def send_keepalive(self) -> None:
+        self.keepalive_timer = asyncio.get_running_loop().call_later(
+            KEEPALIVE_INTERVAL_S, self.send_keepalive
+        )
+        self.broadcast(b"\n")
 
-    def whole(self) -> bytes:
-        return self.line(list(self.entries.values()), reset=True)
+    def full_snapshot(self) -> bytes:
+        return self.encode_update(list(self.entries.values()), reset=True)
 
-    def line(self, entries: list[dict[str, object]], reset: bool = False) -> bytes:
-        told = {"generation": self.generation, "reset": reset, "instances": entries}
-        return json.dumps(told).encode() + b"\n"
+    def encode_update(self, entries: list[dict[str, object]], reset: bool = False) -> bytes:
+        message = {"generation": self.generation, "reset": reset, "instances": entries}
+        return json.dumps(message).encode() + b"\n"
 
-    def put(self, host: NodeHost, zone: str, lifecycle: str = "in_service") -> dict[str, object]:
+    def set_entry(self, server: NodeServer, zone: str, lifecycle: str = "in_service") -> dict[str, object]:
         entry: dict[str, object] = {
-            "instanceId": host.name, "hostPort": f"{HOST}:{host.port}", "zone": zone, "lifecycle": lifecycle,
-            "weight": 1.0, "startedAtMs": host.started_ms,
+            "instanceId": server.name, "hostPort": f"{HOST}:{server.port}", "zone": zone,
+            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": server.started_ms,
         }  # fmt: skip
         if lifecycle == "terminated":
-            self.entries.pop(host.name, None)
+            self.entries.pop(server.name, None)
         else:
-            self.entries[host.name] = entry
+            self.entries[server.name] = entry
         return entry
 
-    def changed(self, host: NodeHost, zone: str, lifecycle: str) -> None:
-        """A change that becomes known only after a while."""
-        late = self.schedule.amount(Fault.DISCOVERY_LATE, self.clock()) or self.late
-        asyncio.get_running_loop().call_later(late, self.known, host, zone, lifecycle)
+    def announce_change(self, server: NodeServer, zone: str, lifecycle: str) -> None:
+        """Publish a change after the notification delay."""
+        notification_delay = (
+            self.schedule.amount(Fault.DISCOVERY_DELAYED, self.clock()) or self.notification_delay
+        )
+        asyncio.get_running_loop().call_later(
+            notification_delay, self.publish_change, server, zone, lifecycle
+        )
 
-    def known(self, host: NodeHost, zone: str, lifecycle: str) -> None:
+    def publish_change(self, server: NodeServer, zone: str, lifecycle: str) -> None:
         self.generation += 1
-        self.tell(self.line([self.put(host, zone, lifecycle)]))
+        self.broadcast(self.encode_update([self.set_entry(server, zone, lifecycle)]))
 
-    def tell(self, line: bytes) -> None:
-        """Nothing goes out while it is silent; what has changed meanwhile comes whole after it."""
-        if self.silent():
-            self.held.append(line)
+    def broadcast(self, line: bytes) -> None:
+        """Send to all subscribers; after a silent period a full snapshot replaces the suppressed updates."""
+        if self.is_silent():
+            self.suppressed_updates.append(line)
             return
-        if self.held:
-            self.held, line = [], self.whole()
-        for watch in list(self.watches):
-            watch.tell(line)
+        if self.suppressed_updates:
+            self.suppressed_updates, line = [], self.full_snapshot()
+        for subscriber in list(self.subscribers):
+            subscriber.send(line)
 
     def close(self) -> None:
-        if self.beat is not None:
-            self.beat.cancel()
-        if self.server is not None:
-            self.server.close()
-        for watch in list(self.watches):
-            watch.abort()
+        if self.keepalive_timer is not None:
+            self.keepalive_timer.cancel()
+        if self.listener is not None:
+            self.listener.close()
+        for subscriber in list(self.subscribers):
+            subscriber.abort()
 
 
-class World:
-    """All stand-ins of one run, and its schedule of troubles."""
+class SimulatedServers:
+    """All simulated servers of one run, and its fault schedule."""
 
     def __init__(
-        self, nodes: int, settings: NodeSettings, work: Work, counter: CounterSettings, schedule: Schedule,
-        judge: QuotaJudge, late: float, seed: int, zones: int = 3, unix: Clock = time.time,
+        self, nodes: int, settings: NodeSettings, work_sampler: WorkSampler, counter: CounterSettings,
+        schedule: FaultSchedule, quota_auditor: QuotaAuditor, notification_delay: float, seed: int,
+        zones: int = 3, unix_clock: Clock = time.time,
     ) -> None:  # fmt: skip
-        self.unix = unix
-        self.schedule, self.judge, self.zones = schedule, judge, zones
+        self.unix_clock = unix_clock
+        self.schedule, self.quota_auditor, self.zones = schedule, quota_auditor, zones
         self.origin: float | None = None
         self.nodes = {
-            f"s-{n}": NodeHost(f"s-{n}", settings, work, schedule, self.clock, seed * 1000 + n, self.sent)
+            f"s-{n}": NodeServer(
+                f"s-{n}", settings, work_sampler, schedule, self.clock, seed * 1000 + n, self.record_attempt
+            )
             for n in range(nodes)
         }
-        self.counter = CounterHost(counter, schedule, self.clock)
-        self.discovery = DiscoveryHost(schedule, self.clock, late)
+        self.counter = CounterServer(counter, schedule, self.clock)
+        self.discovery = DiscoveryServer(schedule, self.clock, notification_delay)
         self.timers: list[asyncio.TimerHandle] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
     def clock(self) -> float:
-        """Seconds of the run; below 0 before it begins."""
+        """Time of the run (s); negative before its start."""
         now = asyncio.get_running_loop().time()
         return now - self.origin if self.origin is not None else -1.0
 
     def zone(self, name: str) -> str:
         return f"b{int(name.rpartition('-')[2]) % self.zones + 1}"
 
-    def sent(self, ident: str, url: str) -> None:
-        told = read_ident(ident)
+    def record_attempt(self, request_id: str, url: str) -> None:
+        request_details = parse_request_id(request_id)
         key = KEY.search(url)
-        if told is not None and key is not None:
-            self.judge.sent(ident, told[0], int(key.group(1), 16), told[1], self.clock())
+        if request_details is not None and key is not None:
+            self.quota_auditor.record_attempt(
+                request_id, request_details[0], int(key.group(1), 16), request_details[1], self.clock()
+            )
 
     async def start(self) -> None:
         await self.counter.listen()
         await self.discovery.listen()
-        for host in self.nodes.values():
-            await host.listen()
-            self.discovery.put(host, self.zone(host.name))
+        for server in self.nodes.values():
+            await server.listen()
+            self.discovery.set_entry(server, self.zone(server.name))
 
     def begin(self, origin: float) -> None:
-        """The run's time begins at this time of the loop, and its troubles are laid out."""
+        """Start the run at this loop time and schedule its faults."""
         self.origin = origin
         loop = asyncio.get_running_loop()
         for node in self.nodes.values():
             node.node.now = 0.0
-        for at, trouble, starts in self.schedule.edges():
-            self.timers.append(loop.call_at(origin + at, self.edge, trouble, starts))
+        for at, event, starts in self.schedule.transitions():
+            self.timers.append(loop.call_at(origin + at, self.apply_transition, event, starts))
 
-    def edge(self, trouble: Trouble, starts: bool) -> None:
-        if not trouble.nodes:
+    def apply_transition(self, event: FaultEvent, starts: bool) -> None:
+        if not event.nodes:
             if starts:
-                self.counter.begin(trouble)
+                self.counter.begin_fault(event)
             return
-        for name in sorted(trouble.nodes):
-            host = self.nodes[name]
+        for name in sorted(event.nodes):
+            server = self.nodes[name]
             if starts:
-                host.begin(trouble)
+                server.begin_fault(event)
             else:
-                host.end(trouble)
-            if trouble.kind is Fault.RESTART:
-                self.restart(host, starts)
+                server.end_fault(event)
+            if event.kind is Fault.RESTART:
+                self.apply_restart(server, starts)
 
-    def restart(self, host: NodeHost, starts: bool) -> None:
+    def apply_restart(self, server: NodeServer, starts: bool) -> None:
         if starts:
-            self.discovery.changed(host, self.zone(host.name), "terminated")
+            self.discovery.announce_change(server, self.zone(server.name), "terminated")
             return
-        host.started_ms = int(self.unix() * 1000)
-        task = asyncio.get_running_loop().create_task(host.listen())
+        server.started_ms = int(self.unix_clock() * 1000)
+        task = asyncio.get_running_loop().create_task(server.listen())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        self.discovery.changed(host, self.zone(host.name), "in_service")
+        self.discovery.announce_change(server, self.zone(server.name), "in_service")
 
     async def close(self) -> None:
         for timer in self.timers:
             timer.cancel()
-        for host in self.nodes.values():
-            host.close()
+        for server in self.nodes.values():
+            server.close()
         self.counter.close()
         self.discovery.close()
         for task in self.tasks:
--- a/latchspoke/lab/system/network.py
+++ b/latchspoke/lab/system/network.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from latchspoke.lab.virtual import Address, Reading, Unpolled
+from latchspoke.lab.virtual import Address, InMemoryTransport, SocketStub
 
 FIRST_PORT = 30_000
 RETRANSMIT_DELAY_S = (0.2, 0.5)  # after a cut has healed
@@ -208,7 +208,7 @@
         return PendingConnection(self, loop, address, factory, done, failed)
 
 
-class Listener(Unpolled):
+class Listener(SocketStub):
     """A listening socket, as returned by ``create_server``."""
 
     def __init__(self, loop: ProcessLoop, address: Address, factory: Callable[[], Any]) -> None:
@@ -295,7 +295,7 @@
             self.done(near)
 
 
-class SocketOptions(Unpolled):
+class SocketOptions(SocketStub):
     """Stands in for the socket; supports TCP_USER_TIMEOUT only."""
 
     def __init__(self, transport: StreamTransport) -> None:
@@ -306,7 +306,7 @@
             self.transport.user_timeout_s = value / 1000
 
 
-class StreamTransport(Reading):
+class StreamTransport(InMemoryTransport):
     """Transport at one end of a simulated TCP connection."""
 
     def __init__(self, network: Network, loop: ProcessLoop, here: Address, there: Address) -> None:
--- a/tests/agent/test_members.py
+++ b/tests/agent/test_members.py
@@ -78,7 +78,7 @@
         return asyncio.run_coroutine_threadsafe(within(), self.loop).result(10)
 
     def link(self, source: str, destination: str, mode: Mode, delay: float = 0.0) -> None:
-        self.loop.call_soon_threadsafe(self.relays[source, destination].set, mode, delay)
+        self.loop.call_soon_threadsafe(self.relays[source, destination].set_mode, mode, delay)
 
     def isolate(self, name: str, mode: Mode) -> None:
         for pair in self.relays:
--- a/tests/agent/test_rules.py
+++ b/tests/agent/test_rules.py
@@ -122,7 +122,7 @@
         return asyncio.run_coroutine_threadsafe(within(), self.loop).result(10)
 
     def set_link_mode(self, gateway: str, mode: Mode) -> None:
-        self.loop.call_soon_threadsafe(self.relays[gateway].set, mode)
+        self.loop.call_soon_threadsafe(self.relays[gateway].set_mode, mode)
 
     def tool(self, *arguments: str) -> tuple[int, Any]:
         alive = [h for h in self.fleet.hosts.values() if h.process is not None and h.process.poll() is None]
