--- a/latchspoke/ctl/app.py
+++ b/latchspoke/ctl/app.py
@@ -580,7 +580,7 @@
             remaining = reply.body.get("standing") if isinstance(reply.body, dict) else None
             extra = {} if remaining is None else {"standing": remaining}
             if command == "evacuation.finish" and remaining:
-                message = f"one evacuation of {zone} is finished; {remaining} more, by others, remains"
+                message = f"one evacuation of {zone} is taken back; {remaining} more, by others, stands"
             return print_result(options, message, {"by": reply.source} | extra)
         case Success(Reply(status=412) as reply):
             raise CommandError(CONFLICT, f"conflict: {reply.reason}", by=reply.source)
@@ -681,13 +681,13 @@
 @evacuate_app.command(name="begin")
 def evacuate_begin(zone: str, *, where: ControlPlaneOptions = DEFAULT_CONTROL_PLANE) -> int:
     """Stop sending requests to the zone's servers."""
-    return submit_command(where, "evacuation.begin", b"", f"{zone} is evacuated", zone)
+    return submit_command(where, "evacuation.begin", b"", f"{zone} gets nothing more", zone)
 
 
 @evacuate_app.command(name="finish")
 def evacuate_finish(zone: str, *, where: ControlPlaneOptions = DEFAULT_CONTROL_PLANE) -> int:
     """End an evacuation of the zone."""
-    return submit_command(where, "evacuation.finish", b"", f"the evacuation of {zone} is finished", zone)
+    return submit_command(where, "evacuation.finish", b"", f"{zone} is taken back", zone)
 
 
 # Stores.
